--- a/adapter/caller/caller_test.go
+++ b/adapter/caller/caller_test.go
@@ -36,7 +36,7 @@
 )
 
 // newServer serves the example policy with one engine.
-func newServer(t testing.TB) (string, *engine.Engine, *entry.Current) {
+func newServer(t testing.TB) (string, *engine.Engine, *entry.CurrentView) {
 	f, err := policyfile.ReadDir("../../examples/shared-memory")
 	if err != nil {
 		t.Fatal(err)
--- a/adapter/caller/server.go
+++ b/adapter/caller/server.go
@@ -57,7 +57,7 @@
 // Server is the caller API of one entry.
 type Server struct {
 	router  *entry.Router
-	view    *entry.Current
+	view    *entry.CurrentView
 	clock   entry.Clock
 	observe Observer
 	ready   atomic.Bool
@@ -65,7 +65,7 @@
 }
 
 // New returns a server; it is not ready until SetReady.
-func New(r *entry.Router, v *entry.Current, c entry.Clock, o Observer) *Server {
+func New(r *entry.Router, v *entry.CurrentView, c entry.Clock, o Observer) *Server {
 	s := &Server{router: r, view: v, clock: c, observe: o}
 	s.http = &fasthttp.Server{
 		Handler:                      s.handle,
--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -65,7 +65,7 @@
 	resumedAfter time.Duration
 
 	metrics  *metrics.Registry
-	view     *entry.Current
+	view     *entry.CurrentView
 	lease    *lease.Lease
 	state    *state.State
 	router   *entry.Router
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -166,7 +166,7 @@
 func (s trials) Tell(quarantine.Fingerprint, quarantine.Event) {}
 
 // router returns a router before the talkers, with what else decides drawn.
-func (w *talkers) router() (*Router, *Current) {
+func (w *talkers) router() (*Router, *CurrentView) {
 	v := NewCurrent()
 	rel := map[string]rollout.Release{}
 	if rapid.Bool().Draw(w.t, "release") {
--- a/entry/router.go
+++ b/entry/router.go
@@ -34,7 +34,7 @@
 
 // Router decides and carries out each request.
 type Router struct {
-	view     *Current
+	view     *CurrentView
 	engines  Engines
 	services Services
 	claims   Claims
@@ -82,7 +82,7 @@
 
 // Ports are what a router works through.
 type Ports struct {
-	View     *Current
+	View     *CurrentView
 	Engines  Engines
 	Services Services
 	Claims   Claims
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -108,7 +108,7 @@
 
 var versions = []version.ID{version.New("large", "1"), version.New("small", "1"), version.New("small", "2")}
 
-func newTestRouter(t interface{ Fatal(...any) }, b *backendsFake, f *rest) (*Router, *Current) {
+func newTestRouter(t interface{ Fatal(...any) }, b *backendsFake, f *rest) (*Router, *CurrentView) {
 	c := catalog.Catalog{Team: "t", Services: []catalog.Service{{Name: "desk", Once: []string{"confirm"}}, {Name: "checked", Once: []string{"confirm"}, ChecksKey: true}}}
 	for i, tier := range []string{"gold", "bronze"} {
 		c.Customers = append(c.Customers, catalog.Customer{Name: tier, Tier: tier, Share: 1, KeyHashes: []string{fmt.Sprintf("%064x", i)}})
@@ -133,12 +133,12 @@
 	return NewRouter(Ports{View: v, Engines: b, Services: b, Claims: f, Rater: f, Biller: biller.New(f, v.Members, "me", "me/1"), Clock: time.Now, Self: "me", Rand: rand.NewPCG(1, 1)}), v
 }
 
-func customerOf(v *Current, name string) config.Caller {
+func customerOf(v *CurrentView, name string) config.Caller {
 	c, _ := v.Get().Active.Document().Part("t").Source.Catalog.Customer(name)
 	return config.Caller{Team: "t", Customer: c}
 }
 
-func request(v *Current, customer, model string) Request {
+func request(v *CurrentView, customer, model string) Request {
 	return Request{ID: "id", Caller: customerOf(v, customer), Task: "chat", Model: model, Deadline: time.Now().Add(time.Minute), Session: session.New("s", customer, time.Now().Add(time.Hour))}
 }
 
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -30,7 +30,7 @@
 // 400 ms to all.
 type trialFleet struct {
 	t       *testing.T
-	view    *Current
+	view    *CurrentView
 	routers []*Router
 	// answer is how a replica answers: how long it takes, and with what status.
 	answer func(r *pool.Replica, busy int, u *rand.Rand) (time.Duration, int)
--- a/entry/view.go
+++ b/entry/view.go
@@ -111,24 +111,24 @@
 	return v.Active.MayRun(c, x) && !v.IsTripped(x)
 }
 
-// Current is the view in force, replaced as a whole.
-type Current struct {
+// CurrentView is the view in force, replaced as a whole.
+type CurrentView struct {
 	p atomic.Pointer[View]
 }
 
 // NewCurrent returns an empty view in force.
-func NewCurrent() *Current {
-	c := &Current{}
+func NewCurrent() *CurrentView {
+	c := &CurrentView{}
 	c.p.Store(NewView(nil, nil, nil, nil))
 	return c
 }
 
 // Get returns the view in force.
-func (c *Current) Get() *View { return c.p.Load() }
+func (c *CurrentView) Get() *View { return c.p.Load() }
 
 // Put replaces the view. A configuration with a lower revision than the one
 // in force is not taken: the rest of v is, with the newer configuration.
-func (c *Current) Put(v *View) {
+func (c *CurrentView) Put(v *View) {
 	for {
 		o := c.p.Load()
 		n := v
@@ -142,4 +142,4 @@
 }
 
 // Members returns the fleet's instances.
-func (c *Current) Members() []peer.Member { return c.Get().Members }
+func (c *CurrentView) Members() []peer.Member { return c.Get().Members }
--- a/process/entry.go
+++ b/process/entry.go
@@ -35,7 +35,7 @@
 	settings    settings.Entry
 	log         log.Interface
 	incarnation string
-	view        *entry.Current
+	view        *entry.CurrentView
 	router      *entry.Router
 	biller      *biller.Biller
 	caller      *caller.Server
--- a/process/link.go
+++ b/process/link.go
@@ -21,7 +21,7 @@
 // the control process is not reached the entry goes on with what it holds.
 type Link struct {
 	control     Controller
-	view        *entry.Current
+	view        *entry.CurrentView
 	router      *entry.Router
 	biller      *biller.Biller
 	incarnation string
@@ -36,7 +36,7 @@
 }
 
 // NewLink returns a link of the entry's incarnation.
-func NewLink(c Controller, v *entry.Current, r *entry.Router, b *biller.Biller, incarnation string, log func(string, ...any)) *Link {
+func NewLink(c Controller, v *entry.CurrentView, r *entry.Router, b *biller.Biller, incarnation string, log func(string, ...any)) *Link {
 	return &Link{control: c, view: v, router: r, biller: b, incarnation: incarnation, log: log}
 }
 
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -58,7 +58,7 @@
 	Control *Proc
 	Node    *control.Node
 	Router  *entry.Router
-	View    *entry.Current
+	View    *entry.CurrentView
 	Biller  *biller.Biller
 
 	mu       sync.Mutex
--- a/state/state.go
+++ b/state/state.go
@@ -21,7 +21,7 @@
 // State is safe for concurrent use.
 type State struct {
 	mu       sync.Mutex
-	view     *entry.Current
+	view     *entry.CurrentView
 	lease    *lease.Lease
 	clock    func() time.Time
 	log      func(event string, fields ...any)
@@ -46,7 +46,7 @@
 
 // New returns an empty state that puts what it knows into v.
 // onMembers is told of each change of the fleet.
-func New(v *entry.Current, l *lease.Lease, clock func() time.Time, log func(event string, fields ...any), onMembers func([]peer.Member)) *State {
+func New(v *entry.CurrentView, l *lease.Lease, clock func() time.Time, log func(event string, fields ...any), onMembers func([]peer.Member)) *State {
 	return &State{view: v, lease: l, clock: clock, log: log, replicas: discovery.NewSet(), evacuated: map[string]bool{}, releases: map[string]*release{}, members: map[string]peer.Member{}, lapsed: map[string]time.Time{}, start: newStart(), onMembers: onMembers}
 }
 
