--- a/adapter/caller/caller_test.go
+++ b/adapter/caller/caller_test.go
@@ -57,7 +57,7 @@
 	x := engine.New(engine.Settings{ID: "e", Slots: 4, Queue: 4, Models: m})
 	l := listen(t, x.Handle)
 	r := listen(t, rating.New(0).Handle)
-	v := entry.NewCurrent()
+	v := entry.NewCurrentView()
 	v.Put(entry.NewView(a, []pool.Replica{{ID: "e", Addr: l.Addr, Kind: pool.Engine, Slots: 4, Versions: []version.ID{version.New("lingua-small", "1"), version.New("lingua-large", "1")}}}, nil, nil))
 	h := httpconn.New()
 	o := entry.NewRouter(entry.Ports{View: v, Engines: backend.NewEngines(h), Services: backend.NewServices(h), Rater: platform.New(h, "", r.Addr), Biller: biller.New(nil, v.Members, "i", "i/1"), Clock: time.Now, Self: "i", Rand: rand.NewPCG(1, 1)})
--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -111,7 +111,7 @@
 // newNodeBy returns an instance that goes by the clock.
 func newNodeBy(c *clock.Clock, s settings.Node, path string, l log.Interface) *node {
 	n := &node{
-		s: s, path: path, log: l, clock: c.Now, machine: c, metrics: metrics.New(), view: entry.NewCurrent(),
+		s: s, path: path, log: l, clock: c.Now, machine: c, metrics: metrics.New(), view: entry.NewCurrentView(),
 		records: make(chan state.Record), seen: map[string]entry.Trial{}, earlier: make(chan store.Announced, 1), alone: make(chan struct{}, 1), pool: exchange.New(c.Now), stopping: make(chan struct{}),
 	}
 	n.lease = lease.New(time.Duration(honourPart*float64(s.HonourFor)), s.ApplyWithin, keyRule(s), n.clock())
--- a/entry/bounded_test.go
+++ b/entry/bounded_test.go
@@ -71,7 +71,7 @@
 func boundedRouter(g *grantingQuota, p Placer) (*Router, *route.Table, []*pool.Replica, *time.Time) {
 	now := time.Unix(1_700_000_000, 0)
 	g.suspect = map[string]bool{}
-	r := NewRouter(Ports{View: NewCurrent(), Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Quota: g, Placer: p, ColdBound: quota.ColdBound{Overage: 2}})
+	r := NewRouter(Ports{View: NewCurrentView(), Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Quota: g, Placer: p, ColdBound: quota.ColdBound{Overage: 2}})
 	t := route.New(1, nil, map[string]route.Service{"s": {ColdFor: 3 * time.Second, ColdPerSecond: 10}}, nil, route.Limits{})
 	l := []*pool.Replica{{ID: "warm"}, {ID: "cold", ColdUntil: now.Add(2 * time.Second)}, {ID: "lost"}, {ID: "cut"}}
 	for _, x := range l {
@@ -247,7 +247,7 @@
 		{"", "", map[string]bool{"new": true, "old": true}},
 	} {
 		g := &grantingQuota{limited: map[string]bool{c.limited: true}, suspect: map[string]bool{}}
-		v := NewCurrent()
+		v := NewCurrentView()
 		l := []pool.Replica{{ID: "old", Kind: pool.Service, Service: "s", Release: "v1"}, {ID: "new", Kind: pool.Service, Service: "s", Release: "v2"}}
 		table := route.New(1, nil, nil, nil, route.Limits{})
 		v.Put(NewView(nil, l, nil, nil).WithRoutes(table, map[string]rollout.Release{"s": rel}))
--- a/entry/crashing_test.go
+++ b/entry/crashing_test.go
@@ -39,7 +39,7 @@
 // a call.
 func TestOneCallEndsFewServers(t *testing.T) {
 	s := &brittleServices{ended: map[string]bool{}}
-	v := NewCurrent()
+	v := NewCurrentView()
 	var l []pool.Replica
 	for i := range 40 {
 		l = append(l, pool.Replica{ID: fmt.Sprint("s", i), Kind: pool.Service, Service: "memory", Slots: 4})
--- a/entry/ended_test.go
+++ b/entry/ended_test.go
@@ -28,7 +28,7 @@
 // A request brings down a replica of a good release, and forty others break off there. To
 // the judges that was forty bad answers of the release, and it was taken back.
 func TestAReplicaThatEndsIsOneFinding(t *testing.T) {
-	v := NewCurrent()
+	v := NewCurrentView()
 	rel := rollout.NewRelease("s", "v2", 1, time.Minute)
 	rel.Phase = 2
 	v.Put(NewView(nil, []pool.Replica{{ID: "new.1", Kind: pool.Service, Service: "s", Release: "v2", Slots: 64}}, nil, nil).
@@ -67,7 +67,7 @@
 		{"gone, sent just before", false, now.Add(-40 * time.Millisecond), true},
 		{"gone, sent long before", false, now.Add(-3 * time.Second), false},
 	} {
-		v := NewCurrent()
+		v := NewCurrentView()
 		b := pool.Replica{ID: "r", Kind: pool.Service, Service: "s"}
 		if c.listed {
 			v.Put(NewView(nil, []pool.Replica{b}, nil, nil))
--- a/entry/forward_test.go
+++ b/entry/forward_test.go
@@ -74,7 +74,7 @@
 func playForwardWith(t *testing.T, path string, bounds Quota, contents Quarantine) int {
 	s := readForward(t, path)
 	s.route.Split = []route.Part{{Service: "s"}}
-	v := NewCurrent()
+	v := NewCurrentView()
 	var l []pool.Replica
 	for i := range 8 {
 		l = append(l, pool.Replica{ID: fmt.Sprint("r", i), Kind: pool.Service, Service: "s", Slots: 4})
--- a/entry/hopeless_test.go
+++ b/entry/hopeless_test.go
@@ -12,7 +12,7 @@
 // when they will have done enough, and not all in one moment.
 func TestHopelessRequestsComeBackSpread(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	r := NewRouter(Ports{View: NewCurrent(), Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1)})
+	r := NewRouter(Ports{View: NewCurrentView(), Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1)})
 	q := &Opaque{Route: &route.Route{}, Deadline: now.Add(5 * time.Second), TimeoutAt: now.Add(5 * time.Second)}
 	seen := map[time.Time]bool{}
 	for range 20 {
--- a/entry/leads_test.go
+++ b/entry/leads_test.go
@@ -53,7 +53,7 @@
 // One answer teaches once, and only what the next smaller model has answered
 // before counts.
 func TestLeadOfOneRequest(t *testing.T) {
-	r := NewRouter(Ports{View: NewCurrent(), Clock: time.Now, Rand: rand.NewPCG(1, 1)})
+	r := NewRouter(Ports{View: NewCurrentView(), Clock: time.Now, Rand: rand.NewPCG(1, 1)})
 	w := &forwarding{r: r, q: &Opaque{Route: &route.Route{Models: []string{"s", "m", "l"}}}, f: &Forwarded{Service: "x", Confidence: 50}, model: 2, askedBy: 0}
 	w.learnLead(100)
 	if g := r.leads.of("x/l"); g != firstLead {
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -81,7 +81,7 @@
 							n.limits[id], n.limits["e"+id] = "1.5", "1.5"
 						}
 					}
-					v := NewCurrent()
+					v := NewCurrentView()
 					v.Put(NewView(nil, l, nil, nil))
 					var routers []*Router
 					var quotas []*quota.Node
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -167,7 +167,7 @@
 
 // router returns a router before the talkers, with what else decides drawn.
 func (w *talkers) router() (*Router, *CurrentView) {
-	v := NewCurrent()
+	v := NewCurrentView()
 	rel := map[string]rollout.Release{}
 	if rapid.Bool().Draw(w.t, "release") {
 		rel["s"] = rollout.NewRelease("s", "v1", 1, time.Minute).Next().Next()
@@ -290,7 +290,7 @@
 	clock := func() time.Time { return now }
 	b := notice.NewBook(clock, talkersDrain, func(string, ...any) {})
 	u := sure{map[string]int{}}
-	v := NewCurrent()
+	v := NewCurrentView()
 	v.Put(NewView(nil, []pool.Replica{{ID: "a", Kind: pool.Service, Service: "s"}, {ID: "b", Kind: pool.Service, Service: "s"}, {ID: "c", Kind: pool.Service, Service: "s"}}, nil, nil))
 	r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Repeats: admission.Repeats{Burst: 9}, Notices: b})
 	send := func() (string, *Failure) {
@@ -363,7 +363,7 @@
 			u.rest[id] = time.Duration(1+i) * time.Second
 			l = append(l, pool.Replica{ID: id, Kind: pool.Service, Service: "s"})
 		}
-		v := NewCurrent()
+		v := NewCurrentView()
 		v.Put(NewView(nil, l, nil, nil))
 		r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Repeats: admission.Repeats{Burst: 9}, FleetSize: func() int { return 1 }, Notices: u.book})
 		q := &Opaque{ID: "q", Table: route.New(1, nil, nil, nil, route.Limits{}), Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 3}, Arrived: now, Deadline: now.Add(time.Hour), TimeoutAt: now.Add(time.Hour)}
--- a/entry/release_test.go
+++ b/entry/release_test.go
@@ -26,7 +26,7 @@
 // Sessions stay where they are in a release's first phase, whichever instance
 // saw them before, and then move once; requests without one go by their share.
 func TestSessionsMoveFromTheSecondPhaseOn(t *testing.T) {
-	v := NewCurrent()
+	v := NewCurrentView()
 	view := NewView(nil, []pool.Replica{
 		{ID: "old", Kind: pool.Service, Service: "s", Release: "v1"},
 		{ID: "new", Kind: pool.Service, Service: "s", Release: "v2"},
@@ -76,7 +76,7 @@
 
 // Clients that leave are no evidence against the replica or its release.
 func TestClientsThatLeaveCountAgainstNobody(t *testing.T) {
-	v := NewCurrent()
+	v := NewCurrentView()
 	rel := rollout.NewRelease("s", "v2", 1, time.Minute).Next()
 	v.Put(NewView(nil, []pool.Replica{{ID: "new", Kind: pool.Service, Service: "s", Release: "v2"}}, nil, nil).
 		WithRoutes(nil, map[string]rollout.Release{"s": rel.Next()}))
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -128,7 +128,7 @@
 	for n := range 4 {
 		r = append(r, pool.Replica{ID: fmt.Sprint("e", n), Kind: pool.Engine, Slots: 4, Versions: versions}, pool.Replica{ID: fmt.Sprint("d", n), Kind: pool.Service, Service: "desk", Slots: 4}, pool.Replica{ID: fmt.Sprint("c", n), Kind: pool.Service, Service: "checked", Slots: 4})
 	}
-	v := NewCurrent()
+	v := NewCurrentView()
 	v.Put(NewView(a, r, []peer.Member{{ID: "other", DataCentre: "x"}}, nil))
 	return NewRouter(Ports{View: v, Engines: b, Services: b, Claims: f, Rater: f, Biller: biller.New(f, v.Members, "me", "me/1"), Clock: time.Now, Self: "me", Rand: rand.NewPCG(1, 1)}), v
 }
@@ -260,7 +260,7 @@
 
 func TestViewNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := NewCurrent()
+		c := NewCurrentView()
 		d := config.Document{}
 		var high uint64
 		for range rapid.IntRange(1, 20).Draw(t, "puts") {
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -45,7 +45,7 @@
 }
 
 func newTrialFleet(t *testing.T, instances int) *trialFleet {
-	f := &trialFleet{t: t, view: NewCurrent(), rand: rand.New(rand.NewPCG(7, 7)), busy: map[string]int{}, most: map[string]int{}, got: map[string]int{}}
+	f := &trialFleet{t: t, view: NewCurrentView(), rand: rand.New(rand.NewPCG(7, 7)), busy: map[string]int{}, most: map[string]int{}, got: map[string]int{}}
 	for i := range instances {
 		f.routers = append(f.routers, f.router(i))
 	}
--- a/entry/underway_test.go
+++ b/entry/underway_test.go
@@ -31,7 +31,7 @@
 func TestTimeoutsThatStoodStill(t *testing.T) {
 	var suspended atomic.Int64
 	now := func() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }
-	v := NewCurrent()
+	v := NewCurrentView()
 	v.Put(NewView(nil, []pool.Replica{{ID: "r", Kind: pool.Service, Service: "s", Slots: 1}}, nil, nil).
 		WithRoutes(route.New(1, nil, nil, nil, route.Limits{}), map[string]rollout.Release{}))
 	u := silentUpstream{make(chan struct{}, 1)}
--- a/entry/view.go
+++ b/entry/view.go
@@ -116,8 +116,8 @@
 	p atomic.Pointer[View]
 }
 
-// NewCurrent returns an empty view in force.
-func NewCurrent() *CurrentView {
+// NewCurrentView returns an empty view in force.
+func NewCurrentView() *CurrentView {
 	c := &CurrentView{}
 	c.p.Store(NewView(nil, nil, nil, nil))
 	return c
--- a/measure/router.go
+++ b/measure/router.go
@@ -176,7 +176,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v := entry.NewCurrent()
+	v := entry.NewCurrentView()
 	v.Put(entry.NewView(a, []pool.Replica{{ID: "e", Addr: engineAddr, Kind: pool.Engine, Slots: 256, Versions: []version.ID{version.New("m", "1"), version.New("n", "1")}}}, []peer.Member{{ID: "other"}}, nil))
 	h := httpconn.New()
 	o := entry.NewRouter(entry.Ports{
--- a/process/entry.go
+++ b/process/entry.go
@@ -54,7 +54,7 @@
 
 // NewEntry puts an entry together.
 func NewEntry(s settings.Entry, l log.Interface) *Entry {
-	e := &Entry{settings: s, log: l, incarnation: uuid.NewString(), view: entry.NewCurrent(), metrics: metrics.New()}
+	e := &Entry{settings: s, log: l, incarnation: uuid.NewString(), view: entry.NewCurrentView(), metrics: metrics.New()}
 	h := httpconn.New()
 	k := rpc.NewLocal(s.Control, s.FleetKey)
 	e.biller = biller.New(rpc.NewPeers(s.FleetKey), e.view.Members, s.ID, e.incarnation)
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -157,7 +157,7 @@
 func (w *World) startEntry(i *Instance, n int) {
 	p := i.Entry
 	inc := fmt.Sprintf("%s/e%d", i.ID, n)
-	i.View = entry.NewCurrent()
+	i.View = entry.NewCurrentView()
 	i.Biller = biller.New(&holdLink{w, p}, i.View.Members, i.ID, inc)
 	i.Biller.Log = func(event string, f ...any) { w.log(i.ID, event, f...) }
 	i.Router = entry.NewRouter(entry.Ports{
--- a/state/start_test.go
+++ b/state/start_test.go
@@ -35,7 +35,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := New(entry.NewCurrent(), lease.New(time.Second, 2*time.Second, lease.Strict, time.Now()), time.Now, func(string, ...any) {}, func([]peer.Member) {})
+				s := New(entry.NewCurrentView(), lease.New(time.Second, 2*time.Second, lease.Strict, time.Now()), time.Now, func(string, ...any) {}, func([]peer.Member) {})
 				if c.after == 0 {
 					c.event(s)
 				} else {
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -17,7 +17,7 @@
 
 // large returns the state of an instance before so many replicas.
 func large(replicas int) *State {
-	s := New(entry.NewCurrent(), lease.New(time.Second, 2*time.Second, lease.Strict, time.Now()), time.Now, func(string, ...any) {}, func([]peer.Member) {})
+	s := New(entry.NewCurrentView(), lease.New(time.Second, 2*time.Second, lease.Strict, time.Now()), time.Now, func(string, ...any) {}, func([]peer.Member) {})
 	var c Change
 	for i := range replicas {
 		c.Replicas = append(c.Replicas, replica(i))
@@ -56,7 +56,7 @@
 		log = append(log, strings.TrimSpace(fmt.Sprintln(append([]any{event}, fields...)...)))
 	}
 	l := lease.New(time.Second, 2*time.Second, lease.Lenient, now)
-	s := New(entry.NewCurrent(), l, func() time.Time { return now }, note, func([]peer.Member) {})
+	s := New(entry.NewCurrentView(), l, func() time.Time { return now }, note, func([]peer.Member) {})
 	s.Apply(Change{Table: route.New(7, nil, nil, nil, route.Limits{})})
 	l.Confirm(now)
 	log = nil
@@ -78,7 +78,7 @@
 func TestLapsedMembersStayForAWhile(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var known []peer.Member
-	s := New(entry.NewCurrent(), lease.New(time.Second, 2*time.Second, lease.Strict, now), func() time.Time { return now }, func(string, ...any) {}, func(m []peer.Member) { known = m })
+	s := New(entry.NewCurrentView(), lease.New(time.Second, 2*time.Second, lease.Strict, now), func() time.Time { return now }, func(string, ...any) {}, func(m []peer.Member) { known = m })
 	a, b, c := peer.Member{ID: "a"}, peer.Member{ID: "b"}, peer.Member{ID: "c"}
 	check := func(when string, listed int, want ...peer.Member) {
 		t.Helper()
