--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -289,7 +289,7 @@
 		{"half of them have", NewView(a, []pool.Replica{e(versions[0]), e()}, nil, nil), true},
 		{"a plain service alone", NewView(a, []pool.Replica{{Kind: pool.Service}}, nil, nil), true},
 	} {
-		if g := c.view.Serves(); g != c.want {
+		if g := c.view.IsReady(); g != c.want {
 			t.Errorf("%s: %t, want %t", c.name, g, c.want)
 		}
 	}
--- a/entry/view.go
+++ b/entry/view.go
@@ -89,10 +89,10 @@
 // IsTripped reports whether the version was found bad.
 func (v *View) IsTripped(x version.ID) bool { return v.Tripped[x] }
 
-// Serves reports whether requests can be answered: there is a configuration,
+// IsReady reports whether requests can be answered: there is a configuration,
 // and a backend server, and of the engines at least half have said what they
 // have loaded.
-func (v *View) Serves() bool {
+func (v *View) IsReady() bool {
 	engines, known := 0, 0
 	for _, r := range v.Replicas {
 		if r.Kind != pool.Engine {
--- a/process/entry.go
+++ b/process/entry.go
@@ -136,7 +136,7 @@
 	g, x := errgroup.WithContext(x)
 	g.Go(func() error { return e.caller.Serve(l, t) })
 	g.Go(func() error {
-		return ignoreClosed(x, e.metrics.Serve(m, func() bool { return e.view.Get().Serves() }))
+		return ignoreClosed(x, e.metrics.Serve(m, func() bool { return e.view.Get().IsReady() }))
 	})
 	g.Go(func() error { return e.router.Run(x) })
 	g.Go(func() error { return e.sweep(x) })
--- a/process/link.go
+++ b/process/link.go
@@ -90,7 +90,7 @@
 func (l *Link) Ready() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.settled && l.view.Get().Serves()
+	return l.settled && l.view.Get().IsReady()
 }
 
 func (l *Link) revision() uint64 {
