--- a/adapter/caller/errors.go
+++ b/adapter/caller/errors.go
@@ -77,7 +77,7 @@
 // statuses of failures that have one of their own.
 var statuses = map[entry.Code]int{
 	entry.NotReady:      fasthttp.StatusServiceUnavailable,
-	entry.NotAllowed:    fasthttp.StatusForbidden,
+	entry.ModelNotAllowed:    fasthttp.StatusForbidden,
 	entry.UnknownModel:  fasthttp.StatusNotFound,
 	entry.UnknownTarget: fasthttp.StatusNotFound,
 	entry.Refused:       fasthttp.StatusTooManyRequests,
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -66,7 +66,7 @@
 		return *c.best, r.finish(q, c, c.by, true), nil
 	}
 	if err == nil {
-		err = notRun(NotAllowed, "the plan has no steps")
+		err = notRun(ModelNotAllowed, "the plan has no steps")
 	}
 	f := *failed(err)
 	if c.unknown {
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -16,7 +16,7 @@
 // The codes of failures.
 const (
 	NotReady      Code = "not_ready"
-	NotAllowed    Code = "model_not_allowed"
+	ModelNotAllowed    Code = "model_not_allowed"
 	UnknownModel  Code = "model_not_found"
 	UnknownTarget Code = "service_not_found"
 	Refused       Code = "refused"
--- a/entry/router.go
+++ b/entry/router.go
@@ -178,7 +178,7 @@
 	if q.Model == AutoModel || q.Model == "" {
 		p := v.Active.Decide(q.Caller, q.Task, q.Size)
 		if len(p) == 0 {
-			return nil, notRun(NotAllowed, "the policy has no model for this request")
+			return nil, notRun(ModelNotAllowed, "the policy has no model for this request")
 		}
 		return r.learned(v, q, p), nil
 	}
@@ -225,13 +225,13 @@
 func (r *Router) pick(v *View, q Request, s session.Session, model string) (version.ID, session.Session, bool, error) {
 	if x, err := version.Parse(q.Model); err == nil {
 		if !v.mayRun(q.Caller, x) {
-			return x, s, false, notRun(NotAllowed, "version "+q.Model+" may not be used")
+			return x, s, false, notRun(ModelNotAllowed, "version "+q.Model+" may not be used")
 		}
 		return x, s, false, nil
 	}
 	x, ok := v.Active.Pick(q.Caller, model, s, v.IsTripped)
 	if !ok {
-		return x, s, false, notRun(NotAllowed, "no version of "+model+" may be used")
+		return x, s, false, notRun(ModelNotAllowed, "no version of "+model+" may be used")
 	}
 	o, had := s.Pin(model)
 	return x, s.WithPin(x), had && o != x, nil
