--- a/adapter/caller/errors.go
+++ b/adapter/caller/errors.go
@@ -78,7 +78,7 @@
 var statuses = map[entry.Code]int{
 	entry.NotReady:      fasthttp.StatusServiceUnavailable,
 	entry.ModelNotAllowed:    fasthttp.StatusForbidden,
-	entry.UnknownModel:  fasthttp.StatusNotFound,
+	entry.ModelNotFound:  fasthttp.StatusNotFound,
 	entry.UnknownTarget: fasthttp.StatusNotFound,
 	entry.Refused:       fasthttp.StatusTooManyRequests,
 	entry.TooLate:       fasthttp.StatusGatewayTimeout,
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -17,7 +17,7 @@
 const (
 	NotReady      Code = "not_ready"
 	ModelNotAllowed    Code = "model_not_allowed"
-	UnknownModel  Code = "model_not_found"
+	ModelNotFound  Code = "model_not_found"
 	UnknownTarget Code = "service_not_found"
 	Refused       Code = "refused"
 	TooLate       Code = "deadline_exceeded"
--- a/entry/router.go
+++ b/entry/router.go
@@ -191,7 +191,7 @@
 			return policy.Plan{{Model: m}}, nil
 		}
 	}
-	return nil, notRun(UnknownModel, "model "+q.Model+" does not exist or may not be used")
+	return nil, notRun(ModelNotFound, "model "+q.Model+" does not exist or may not be used")
 }
 
 // learned leaves out a cheap first step that ratings show to be wasted.
