--- a/adapter/caller/errors.go
+++ b/adapter/caller/errors.go
@@ -79,7 +79,7 @@
 	entry.NotReady:      fasthttp.StatusServiceUnavailable,
 	entry.ModelNotAllowed:    fasthttp.StatusForbidden,
 	entry.ModelNotFound:  fasthttp.StatusNotFound,
-	entry.UnknownTarget: fasthttp.StatusNotFound,
+	entry.ServiceNotFound: fasthttp.StatusNotFound,
 	entry.Refused:       fasthttp.StatusTooManyRequests,
 	entry.TooLate:       fasthttp.StatusGatewayTimeout,
 	entry.Failed:        fasthttp.StatusBadGateway,
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -18,7 +18,7 @@
 	NotReady      Code = "not_ready"
 	ModelNotAllowed    Code = "model_not_allowed"
 	ModelNotFound  Code = "model_not_found"
-	UnknownTarget Code = "service_not_found"
+	ServiceNotFound Code = "service_not_found"
 	Refused       Code = "refused"
 	TooLate       Code = "deadline_exceeded"
 	Failed        Code = "backend_failed"
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -211,7 +211,7 @@
 		{"desk", "k", 0, StoreOut},
 		{"desk", "", 0, NeedsKey},
 		{"checked", "k", 1, ""},
-		{"none", "k", 0, UnknownTarget},
+		{"none", "k", 0, ServiceNotFound},
 	} {
 		b := &backendsFake{}
 		r, v := newTestRouter(t, b, &rest{claims: errors.New("store is out")})
--- a/entry/service.go
+++ b/entry/service.go
@@ -25,7 +25,7 @@
 	}
 	s, ok := v.Active.Service(q.Caller.Team, q.Service)
 	if !ok {
-		return ServiceResult{}, notRun(UnknownTarget, "service "+q.Service+" does not exist")
+		return ServiceResult{}, notRun(ServiceNotFound, "service "+q.Service+" does not exist")
 	}
 	x, cancel := context.WithDeadline(ctx, q.Deadline)
 	defer cancel()
