--- a/adapter/caller/errors.go
+++ b/adapter/caller/errors.go
@@ -81,7 +81,7 @@
 	entry.ModelNotFound:  fasthttp.StatusNotFound,
 	entry.ServiceNotFound: fasthttp.StatusNotFound,
 	entry.Refused:       fasthttp.StatusTooManyRequests,
-	entry.TooLate:       fasthttp.StatusGatewayTimeout,
+	entry.DeadlineExceeded:       fasthttp.StatusGatewayTimeout,
 	entry.Failed:        fasthttp.StatusBadGateway,
 	entry.MayHaveRun:    fasthttp.StatusConflict,
 	entry.RanBefore:     fasthttp.StatusConflict,
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -20,7 +20,7 @@
 	ModelNotFound  Code = "model_not_found"
 	ServiceNotFound Code = "service_not_found"
 	Refused       Code = "refused"
-	TooLate       Code = "deadline_exceeded"
+	DeadlineExceeded       Code = "deadline_exceeded"
 	Failed        Code = "backend_failed"
 	MayHaveRun    Code = "may_have_run"
 	RanBefore     Code = "already_ran"
@@ -69,7 +69,7 @@
 		f.RetryAt = o.RetryAt
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		f.Code, f.Message = TooLate, "the deadline passed"
+		f.Code, f.Message = DeadlineExceeded, "the deadline passed"
 	}
 	return f
 }
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -244,7 +244,7 @@
 		f.Code, f.Run, f.Message = Failed, outcome.Ran, "the backend servers failed"
 	}
 	if !w.r.clock().Before(w.q.until()) && ctx.Err() == nil {
-		f.Code, f.Message = TooLate, "the deadline passed"
+		f.Code, f.Message = DeadlineExceeded, "the deadline passed"
 	}
 	if f.RetryAt.IsZero() {
 		f.RetryAt = w.r.restedAt(w.r.view.Get().byService[w.f.Service])
--- a/entry/service.go
+++ b/entry/service.go
@@ -75,7 +75,7 @@
 	case claim.RanBefore:
 		return ServiceResult{}, &Failure{Code: RanBefore, Run: outcome.Ran, Message: "the request ran before; its answer is not kept"}
 	case claim.Expired:
-		return ServiceResult{}, notRun(TooLate, "the deadline passed before the request was sent")
+		return ServiceResult{}, notRun(DeadlineExceeded, "the deadline passed before the request was sent")
 	}
 	return ServiceResult{}, &Failure{Code: MayHaveRun, Run: outcome.Unknown, Message: "a request with this key may have run"}
 }
--- a/entry/underway_test.go
+++ b/entry/underway_test.go
@@ -51,7 +51,7 @@
 	select {
 	case err := <-done:
 		var e *Failure
-		if !errors.As(err, &e) || e.Code != TooLate || f.Stopped != "out of time" {
+		if !errors.As(err, &e) || e.Code != DeadlineExceeded || f.Stopped != "out of time" {
 			t.Errorf("ended with %v, %q, want that the deadline passed", err, f.Stopped)
 		}
 	case <-time.After(20 * time.Second):
