--- a/adapter/caller/errors.go
+++ b/adapter/caller/errors.go
@@ -82,7 +82,7 @@
 	entry.ServiceNotFound: fasthttp.StatusNotFound,
 	entry.Refused:       fasthttp.StatusTooManyRequests,
 	entry.DeadlineExceeded:       fasthttp.StatusGatewayTimeout,
-	entry.Failed:        fasthttp.StatusBadGateway,
+	entry.BackendFailed:        fasthttp.StatusBadGateway,
 	entry.MayHaveRun:    fasthttp.StatusConflict,
 	entry.RanBefore:     fasthttp.StatusConflict,
 	entry.NeedsKey:      fasthttp.StatusBadRequest,
@@ -94,10 +94,10 @@
 func fromFailure(err error) *apiError {
 	var f *entry.Failure
 	if !errors.As(err, &f) {
-		return &apiError{status: fasthttp.StatusBadGateway, code: string(entry.Failed), kind: serverError, message: err.Error(), run: outcome.Of(err).String()}
+		return &apiError{status: fasthttp.StatusBadGateway, code: string(entry.BackendFailed), kind: serverError, message: err.Error(), run: outcome.Of(err).String()}
 	}
 	e := &apiError{status: statuses[f.Code], code: string(f.Code), kind: serverError, message: f.Error(), run: f.Run.String(), retryAt: f.RetryAt}
-	if f.Code == entry.Failed && f.Run == outcome.NotRun {
+	if f.Code == entry.BackendFailed && f.Run == outcome.NotRun {
 		e.status = fasthttp.StatusServiceUnavailable
 	}
 	switch {
--- a/adapter/caller/failure_test.go
+++ b/adapter/caller/failure_test.go
@@ -10,7 +10,7 @@
 // A failure without a status of its own would be answered with none.
 func TestEachFailureHasAStatus(t *testing.T) {
 	for _, c := range []entry.Code{
-		entry.NotReady, entry.ModelNotAllowed, entry.ModelNotFound, entry.ServiceNotFound, entry.Refused, entry.DeadlineExceeded, entry.Failed,
+		entry.NotReady, entry.ModelNotAllowed, entry.ModelNotFound, entry.ServiceNotFound, entry.Refused, entry.DeadlineExceeded, entry.BackendFailed,
 		entry.MayHaveRun, entry.RanBefore, entry.NeedsKey, entry.StoreOut, entry.Quarantined,
 	} {
 		if e := fromFailure(&entry.Failure{Code: c, Run: outcome.NotRun}); e.status < 400 {
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -21,7 +21,7 @@
 	ServiceNotFound Code = "service_not_found"
 	Refused       Code = "refused"
 	DeadlineExceeded       Code = "deadline_exceeded"
-	Failed        Code = "backend_failed"
+	BackendFailed        Code = "backend_failed"
 	MayHaveRun    Code = "may_have_run"
 	RanBefore     Code = "already_ran"
 	NeedsKey      Code = "idempotency_key_required"
@@ -63,7 +63,7 @@
 	if errors.As(err, &f) {
 		return f
 	}
-	f = &Failure{Code: Failed, Run: outcome.Of(err), Message: "the backend servers failed", Cause: err}
+	f = &Failure{Code: BackendFailed, Run: outcome.Of(err), Message: "the backend servers failed", Cause: err}
 	var o *outcome.Error
 	if errors.As(err, &o) {
 		f.RetryAt = o.RetryAt
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -239,9 +239,9 @@
 	}
 	switch {
 	case w.unknown || w.started:
-		f.Code, f.Run, f.Message = Failed, outcome.Unknown, "the backend servers failed"
+		f.Code, f.Run, f.Message = BackendFailed, outcome.Unknown, "the backend servers failed"
 	case w.f.Runs > 0:
-		f.Code, f.Run, f.Message = Failed, outcome.Ran, "the backend servers failed"
+		f.Code, f.Run, f.Message = BackendFailed, outcome.Ran, "the backend servers failed"
 	}
 	if !w.r.clock().Before(w.q.until()) && ctx.Err() == nil {
 		f.Code, f.Message = DeadlineExceeded, "the deadline passed"
