--- a/adapter/caller/errors.go
+++ b/adapter/caller/errors.go
@@ -84,7 +84,7 @@
 	entry.DeadlineExceeded:       fasthttp.StatusGatewayTimeout,
 	entry.BackendFailed:        fasthttp.StatusBadGateway,
 	entry.MayHaveRun:    fasthttp.StatusConflict,
-	entry.RanBefore:     fasthttp.StatusConflict,
+	entry.AlreadyRan:     fasthttp.StatusConflict,
 	entry.NeedsKey:      fasthttp.StatusBadRequest,
 	entry.StoreOut:      fasthttp.StatusServiceUnavailable,
 	entry.Quarantined:   fasthttp.StatusServiceUnavailable,
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -23,7 +23,7 @@
 	DeadlineExceeded       Code = "deadline_exceeded"
 	BackendFailed        Code = "backend_failed"
 	MayHaveRun    Code = "may_have_run"
-	RanBefore     Code = "already_ran"
+	AlreadyRan     Code = "already_ran"
 	NeedsKey      Code = "idempotency_key_required"
 	StoreOut      Code = "claims_unavailable"
 	Quarantined   Code = "quarantined"
--- a/entry/service.go
+++ b/entry/service.go
@@ -73,7 +73,7 @@
 		v := r.view.Get()
 		return ServiceResult{Answer: ServiceAnswer{Status: f.Status, Body: f.Answer, Type: jsonType}, Replayed: true, Revision: v.Active.Revision()}, nil
 	case claim.RanBefore:
-		return ServiceResult{}, &Failure{Code: RanBefore, Run: outcome.Ran, Message: "the request ran before; its answer is not kept"}
+		return ServiceResult{}, &Failure{Code: AlreadyRan, Run: outcome.Ran, Message: "the request ran before; its answer is not kept"}
 	case claim.Expired:
 		return ServiceResult{}, notRun(DeadlineExceeded, "the deadline passed before the request was sent")
 	}
