--- a/adapter/caller/errors.go
+++ b/adapter/caller/errors.go
@@ -85,7 +85,7 @@
 	entry.BackendFailed:        fasthttp.StatusBadGateway,
 	entry.MayHaveRun:    fasthttp.StatusConflict,
 	entry.AlreadyRan:     fasthttp.StatusConflict,
-	entry.NeedsKey:      fasthttp.StatusBadRequest,
+	entry.IdempotencyKeyRequired:      fasthttp.StatusBadRequest,
 	entry.StoreOut:      fasthttp.StatusServiceUnavailable,
 	entry.Quarantined:   fasthttp.StatusServiceUnavailable,
 }
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -24,7 +24,7 @@
 	BackendFailed        Code = "backend_failed"
 	MayHaveRun    Code = "may_have_run"
 	AlreadyRan     Code = "already_ran"
-	NeedsKey      Code = "idempotency_key_required"
+	IdempotencyKeyRequired      Code = "idempotency_key_required"
 	StoreOut      Code = "claims_unavailable"
 	Quarantined   Code = "quarantined"
 )
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -209,7 +209,7 @@
 		code    Code
 	}{
 		{"desk", "k", 0, StoreOut},
-		{"desk", "", 0, NeedsKey},
+		{"desk", "", 0, IdempotencyKeyRequired},
 		{"checked", "k", 1, ""},
 		{"none", "k", 0, ServiceNotFound},
 	} {
--- a/entry/service.go
+++ b/entry/service.go
@@ -34,7 +34,7 @@
 		return r.callService(x, q)
 	}
 	if q.Key == "" {
-		return ServiceResult{}, notRun(NeedsKey, q.Service+"/"+q.Call+" may not be repeated: give an Idempotency-Key")
+		return ServiceResult{}, notRun(IdempotencyKeyRequired, q.Service+"/"+q.Call+" may not be repeated: give an Idempotency-Key")
 	}
 	return r.callOnce(x, q, s.ChecksKey)
 }
