--- a/adapter/caller/errors.go
+++ b/adapter/caller/errors.go
@@ -86,7 +86,7 @@
 	entry.MayHaveRun:    fasthttp.StatusConflict,
 	entry.AlreadyRan:     fasthttp.StatusConflict,
 	entry.IdempotencyKeyRequired:      fasthttp.StatusBadRequest,
-	entry.StoreOut:      fasthttp.StatusServiceUnavailable,
+	entry.ClaimsUnavailable:      fasthttp.StatusServiceUnavailable,
 	entry.Quarantined:   fasthttp.StatusServiceUnavailable,
 }
 
--- a/adapter/caller/failure_test.go
+++ b/adapter/caller/failure_test.go
@@ -11,7 +11,7 @@
 func TestEachFailureHasAStatus(t *testing.T) {
 	for _, c := range []entry.Code{
 		entry.NotReady, entry.ModelNotAllowed, entry.ModelNotFound, entry.ServiceNotFound, entry.Refused, entry.DeadlineExceeded, entry.BackendFailed,
-		entry.MayHaveRun, entry.AlreadyRan, entry.IdempotencyKeyRequired, entry.StoreOut, entry.Quarantined,
+		entry.MayHaveRun, entry.AlreadyRan, entry.IdempotencyKeyRequired, entry.ClaimsUnavailable, entry.Quarantined,
 	} {
 		if e := fromFailure(&entry.Failure{Code: c, Run: outcome.NotRun}); e.status < 400 {
 			t.Errorf("%s: status %d", c, e.status)
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -25,7 +25,7 @@
 	MayHaveRun    Code = "may_have_run"
 	AlreadyRan     Code = "already_ran"
 	IdempotencyKeyRequired      Code = "idempotency_key_required"
-	StoreOut      Code = "claims_unavailable"
+	ClaimsUnavailable      Code = "claims_unavailable"
 	Quarantined   Code = "quarantined"
 )
 
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -208,7 +208,7 @@
 		ran     int
 		code    Code
 	}{
-		{"desk", "k", 0, StoreOut},
+		{"desk", "k", 0, ClaimsUnavailable},
 		{"desk", "", 0, IdempotencyKeyRequired},
 		{"checked", "k", 1, ""},
 		{"none", "k", 0, ServiceNotFound},
--- a/entry/service.go
+++ b/entry/service.go
@@ -61,7 +61,7 @@
 	if checked {
 		return r.callService(ctx, q)
 	}
-	f := notRun(StoreOut, "the right to run this once can't be had now")
+	f := notRun(ClaimsUnavailable, "the right to run this once can't be had now")
 	f.Cause = err
 	f.RetryAt = r.clock().Add(time.Second)
 	return ServiceResult{}, f
