--- a/adapter/caller/errors.go
+++ b/adapter/caller/errors.go
@@ -96,8 +96,8 @@
 	if !errors.As(err, &f) {
 		return &apiError{status: fasthttp.StatusBadGateway, code: string(entry.BackendFailed), kind: serverError, message: err.Error(), run: outcome.Of(err).String()}
 	}
-	e := &apiError{status: statuses[f.Code], code: string(f.Code), kind: serverError, message: f.Error(), run: f.Run.String(), retryAt: f.RetryAt}
-	if f.Code == entry.BackendFailed && f.Run == outcome.NotRun {
+	e := &apiError{status: statuses[f.Code], code: string(f.Code), kind: serverError, message: f.Error(), run: f.Outcome.String(), retryAt: f.RetryAt}
+	if f.Code == entry.BackendFailed && f.Outcome == outcome.NotRun {
 		e.status = fasthttp.StatusServiceUnavailable
 	}
 	switch {
--- a/adapter/caller/failure_test.go
+++ b/adapter/caller/failure_test.go
@@ -13,7 +13,7 @@
 		entry.NotReady, entry.ModelNotAllowed, entry.ModelNotFound, entry.ServiceNotFound, entry.Refused, entry.DeadlineExceeded, entry.BackendFailed,
 		entry.MayHaveRun, entry.AlreadyRan, entry.IdempotencyKeyRequired, entry.ClaimsUnavailable, entry.Quarantined,
 	} {
-		if e := fromFailure(&entry.Failure{Code: c, Run: outcome.NotRun}); e.status < 400 {
+		if e := fromFailure(&entry.Failure{Code: c, Outcome: outcome.NotRun}); e.status < 400 {
 			t.Errorf("%s: status %d", c, e.status)
 		}
 	}
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -70,7 +70,7 @@
 	}
 	f := *failed(err)
 	if c.unknown {
-		f.Run = outcome.Unknown
+		f.Outcome = outcome.Unknown
 	}
 	return Answer{}, Result{}, &f
 }
--- a/entry/crashing_test.go
+++ b/entry/crashing_test.go
@@ -67,7 +67,7 @@
 		t.Errorf("it was sent %d times, want 5 at most", s.sent)
 	}
 	var f *Failure
-	if !errors.As(last, &f) || f.Code != Quarantined || f.Run != outcome.NotRun {
+	if !errors.As(last, &f) || f.Code != Quarantined || f.Outcome != outcome.NotRun {
 		t.Errorf("the last call ended with %v, want that it was not sent", last)
 	}
 	if err := call("o", "good"); err != nil {
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -32,7 +32,7 @@
 // Failure is the final word on a request that got no answer.
 type Failure struct {
 	Code    Code
-	Run     outcome.Kind
+	Outcome     outcome.Kind
 	RetryAt time.Time
 	Message string
 	Cause   error
@@ -50,11 +50,11 @@
 func (f *Failure) Unwrap() error { return f.Cause }
 
 func notRun(c Code, message string) *Failure {
-	return &Failure{Code: c, Run: outcome.NotRun, Message: message}
+	return &Failure{Code: c, Outcome: outcome.NotRun, Message: message}
 }
 
 func refused(r *admission.Refusal) *Failure {
-	return &Failure{Code: Refused, Run: outcome.NotRun, RetryAt: r.RetryAt, Message: "refused: " + string(r.Reason)}
+	return &Failure{Code: Refused, Outcome: outcome.NotRun, RetryAt: r.RetryAt, Message: "refused: " + string(r.Reason)}
 }
 
 // failed turns an attempt's error into the caller's failure.
@@ -63,7 +63,7 @@
 	if errors.As(err, &f) {
 		return f
 	}
-	f = &Failure{Code: BackendFailed, Run: outcome.Of(err), Message: "the backend servers failed", Cause: err}
+	f = &Failure{Code: BackendFailed, Outcome: outcome.Of(err), Message: "the backend servers failed", Cause: err}
 	var o *outcome.Error
 	if errors.As(err, &o) {
 		f.RetryAt = o.RetryAt
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -75,7 +75,7 @@
 		return w.f, nil
 	}
 	f := w.failed(ctx, err)
-	w.f.Run, w.f.Code, w.f.Cause = f.Run, f.Code, f.Cause
+	w.f.Run, w.f.Code, w.f.Cause = f.Outcome, f.Code, f.Cause
 	return w.f, f
 }
 
@@ -230,7 +230,7 @@
 
 // failed is the last word on the request.
 func (w *forwarding) failed(ctx context.Context, err error) *Failure {
-	f := &Failure{Code: Refused, Run: outcome.NotRun, RetryAt: w.retryAt, Message: "no replica took the request", Cause: err}
+	f := &Failure{Code: Refused, Outcome: outcome.NotRun, RetryAt: w.retryAt, Message: "no replica took the request", Cause: err}
 	if w.cause != nil {
 		f.Cause = w.cause
 	}
@@ -239,9 +239,9 @@
 	}
 	switch {
 	case w.unknown || w.started:
-		f.Code, f.Run, f.Message = BackendFailed, outcome.Unknown, "the backend servers failed"
+		f.Code, f.Outcome, f.Message = BackendFailed, outcome.Unknown, "the backend servers failed"
 	case w.f.Runs > 0:
-		f.Code, f.Run, f.Message = BackendFailed, outcome.Ran, "the backend servers failed"
+		f.Code, f.Outcome, f.Message = BackendFailed, outcome.Ran, "the backend servers failed"
 	}
 	if !w.r.clock().Before(w.q.until()) && ctx.Err() == nil {
 		f.Code, f.Message = DeadlineExceeded, "the deadline passed"
--- a/entry/forward_test.go
+++ b/entry/forward_test.go
@@ -87,7 +87,7 @@
 	run := "ok"
 	var f *Failure
 	if errors.As(err, &f) {
-		run = f.Run.String()
+		run = f.Outcome.String()
 	}
 	got := fmt.Sprintf("sends=%s after=%s client=%s run=%s", strings.Join(s.sends, ","), strings.Join(s.after, ","), strings.Join(c.got, ","), run)
 	for _, d := range fwd.Dropped {
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -110,7 +110,7 @@
 						}
 						if err != nil {
 							refused++
-							if f := failed(err); f.Run != outcome.NotRun || !f.RetryAt.After(now) {
+							if f := failed(err); f.Outcome != outcome.NotRun || !f.RetryAt.After(now) {
 								t.Fatalf("refused with %+v", f)
 							}
 						}
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -216,7 +216,7 @@
 			ends = append(ends, w.rests[r.ID])
 		}
 	}
-	if f.Run == outcome.NotRun && len(ends) > 0 {
+	if f.Outcome == outcome.NotRun && len(ends) > 0 {
 		first := slices.MinFunc(ends, time.Time.Compare)
 		if f.RetryAt.After(first.Add(restedSpread)) {
 			w.t.Errorf("refused until %s after the first replica has rested", f.RetryAt.Sub(first))
@@ -317,7 +317,7 @@
 	b.Hear(notice.Notice{Replica: "c", RestUntil: now.Add(3 * time.Second), Refused: true, SentAt: now, HeardAt: now})
 	want("c rests, the others still serve", "ab")
 	now = now.Add(talkersServe)
-	if g, f := send(); f == nil || f.Run != outcome.NotRun || f.RetryAt.Before(now.Add(2*time.Second)) || f.RetryAt.After(now.Add(2*time.Second+restedSpread)) {
+	if g, f := send(); f == nil || f.Outcome != outcome.NotRun || f.RetryAt.Before(now.Add(2*time.Second)) || f.RetryAt.After(now.Add(2*time.Second+restedSpread)) {
 		t.Fatalf("none left: at %q, %+v", g, f)
 	}
 	now = now.Add(2 * time.Second)
@@ -369,8 +369,8 @@
 		q := &Opaque{ID: "q", Table: route.New(1, nil, nil, nil, route.Limits{}), Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 3}, Arrived: now, Deadline: now.Add(time.Hour), TimeoutAt: now.Add(time.Hour)}
 		_, err := r.Forward(t.Context(), q, &clientSink{})
 		var f *Failure
-		if !errors.As(err, &f) || f.Run != outcome.NotRun || f.RetryAt.Sub(now) < c.min || f.RetryAt.Sub(now) > c.max {
-			t.Errorf("%d replicas: %s, come back in %s, want %s to %s", c.replicas, f.Run, f.RetryAt.Sub(now), c.min, c.max)
+		if !errors.As(err, &f) || f.Outcome != outcome.NotRun || f.RetryAt.Sub(now) < c.min || f.RetryAt.Sub(now) > c.max {
+			t.Errorf("%d replicas: %s, come back in %s, want %s to %s", c.replicas, f.Outcome, f.RetryAt.Sub(now), c.min, c.max)
 		}
 	}
 }
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -156,7 +156,7 @@
 
 // quarantined is the refusal of a request before it is sent.
 func (w *watch) quarantined() error {
-	return &Failure{Code: Quarantined, Run: outcome.NotRun, RetryAt: w.verdict.RetryAt, Message: errQuarantined.Error(), Cause: errQuarantined}
+	return &Failure{Code: Quarantined, Outcome: outcome.NotRun, RetryAt: w.verdict.RetryAt, Message: errQuarantined.Error(), Cause: errQuarantined}
 }
 
 // watchOf returns a request's dealings with the quarantine by what it asks.
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -167,7 +167,7 @@
 				t.Fatalf("a bronze customer's request ran on %s", x)
 			}
 		}
-		if err != nil && failed(err).Run == outcome.NotRun && len(b.ran) > 0 {
+		if err != nil && failed(err).Outcome == outcome.NotRun && len(b.ran) > 0 {
 			t.Fatalf("told %v, and it ran on %v", err, b.ran)
 		}
 		if err == nil && f.held != 1 {
@@ -195,7 +195,7 @@
 		if f.freed > 0 && len(b.ran) > 0 {
 			t.Fatalf("the claim was freed though %v may have run", b.script)
 		}
-		if err != nil && failed(err).Run == outcome.NotRun && len(b.ran) > 0 {
+		if err != nil && failed(err).Outcome == outcome.NotRun && len(b.ran) > 0 {
 			t.Fatalf("told %v after %v", err, b.script)
 		}
 	})
@@ -217,7 +217,7 @@
 		r, v := newTestRouter(t, b, &rest{claims: errors.New("store is out")})
 		_, err := r.Call(t.Context(), ServiceRequest{ID: "id", Caller: customerOf(v, "gold"), Service: c.service, Call: "confirm", Key: c.key, Deadline: time.Now().Add(time.Minute)})
 		var f *Failure
-		if errors.As(err, &f) != (c.code != "") || f != nil && (f.Code != c.code || f.Run != outcome.NotRun) || len(b.ran) != c.ran {
+		if errors.As(err, &f) != (c.code != "") || f != nil && (f.Code != c.code || f.Outcome != outcome.NotRun) || len(b.ran) != c.ran {
 			t.Errorf("%s with key %q: ran %d times, %v; want %d and %q", c.service, c.key, len(b.ran), err, c.ran, c.code)
 		}
 	}
@@ -230,7 +230,7 @@
 	f := &rest{}
 	r, v := newTestRouter(t, b, f)
 	_, err := r.Call(t.Context(), ServiceRequest{ID: "id", Caller: customerOf(v, "gold"), Service: "desk", Call: "confirm", Key: "k", Deadline: time.Now().Add(-time.Second)})
-	if err == nil || len(b.ran) != 0 || failed(err).Run != outcome.NotRun {
+	if err == nil || len(b.ran) != 0 || failed(err).Outcome != outcome.NotRun {
 		t.Errorf("ran %d times: %v", len(b.ran), err)
 	}
 }
--- a/entry/service.go
+++ b/entry/service.go
@@ -73,11 +73,11 @@
 		v := r.view.Get()
 		return ServiceResult{Answer: ServiceAnswer{Status: f.Status, Body: f.Answer, Type: jsonType}, Replayed: true, Revision: v.Active.Revision()}, nil
 	case claim.RanBefore:
-		return ServiceResult{}, &Failure{Code: AlreadyRan, Run: outcome.Ran, Message: "the request ran before; its answer is not kept"}
+		return ServiceResult{}, &Failure{Code: AlreadyRan, Outcome: outcome.Ran, Message: "the request ran before; its answer is not kept"}
 	case claim.Expired:
 		return ServiceResult{}, notRun(DeadlineExceeded, "the deadline passed before the request was sent")
 	}
-	return ServiceResult{}, &Failure{Code: MayHaveRun, Run: outcome.Unknown, Message: "a request with this key may have run"}
+	return ServiceResult{}, &Failure{Code: MayHaveRun, Outcome: outcome.Unknown, Message: "a request with this key may have run"}
 }
 
 const jsonType = "application/json"
@@ -90,7 +90,7 @@
 	switch {
 	case err == nil:
 		err = r.claims.Finish(x, c.WithAnswer(a.Answer.Status, a.Answer.Body))
-	case failed(err).Run == outcome.NotRun:
+	case failed(err).Outcome == outcome.NotRun:
 		err = r.claims.Finish(x, c.WithFree())
 	default:
 		return
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -122,7 +122,7 @@
 func (r *Router) streamFailure(c *cascadeRun, err error, started bool) error {
 	f := *failed(err)
 	if c.unknown || started {
-		f.Run = outcome.Unknown
+		f.Outcome = outcome.Unknown
 	}
 	return &f
 }
--- a/faults/client_test.go
+++ b/faults/client_test.go
@@ -69,7 +69,7 @@
 		}
 		s.last = err
 		var f *entry.Failure
-		if !errors.As(err, &f) || f.Run != outcome.NotRun {
+		if !errors.As(err, &f) || f.Outcome != outcome.NotRun {
 			s.denied = false
 		}
 		if s.kind == "once" && errors.As(err, &f) && f.Code == entry.MayHaveRun {
@@ -117,7 +117,7 @@
 	d.mu.Unlock()
 	a, err := world.Do(x, c, i, func(y context.Context, r *entry.Router, v *entry.View) (reply, error) {
 		if v.Active == nil {
-			return reply{}, &entry.Failure{Code: entry.NotReady, Run: outcome.NotRun}
+			return reply{}, &entry.Failure{Code: entry.NotReady, Outcome: outcome.NotRun}
 		}
 		q, err := d.chatRequest(v, s, k, token)
 		if err != nil {
@@ -193,7 +193,7 @@
 	}
 	a, err := world.Do(x, c, i, func(y context.Context, r *entry.Router, v *entry.View) (entry.ServiceResult, error) {
 		if v.Active == nil {
-			return entry.ServiceResult{}, &entry.Failure{Code: entry.NotReady, Run: outcome.NotRun}
+			return entry.ServiceResult{}, &entry.Failure{Code: entry.NotReady, Outcome: outcome.NotRun}
 		}
 		k := config.Caller{Team: "t"}
 		k.Customer, _ = v.Active.Document().Part("t").Source.Catalog.Customer(customer(s.n))
--- a/faults/scene_test.go
+++ b/faults/scene_test.go
@@ -76,7 +76,7 @@
 func runOf(err error) outcome.Kind {
 	var f *entry.Failure
 	if errors.As(err, &f) {
-		return f.Run
+		return f.Outcome
 	}
 	return outcome.Unknown
 }
