--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -19,7 +19,7 @@
 	return &entry.Events{
 		Began:  n.began(),
 		Judged: func(service, release, verdict string) { judged.WithLabelValues(service, release, verdict).Inc() },
-		Attempt: func(f entry.FailedAttempt) {
+		AttemptFailed: func(f entry.FailedAttempt) {
 			broken.WithLabelValues(f.Service, strconv.FormatBool(f.Began)).Inc()
 			n.event("attempt_failed", "request", f.Request, "content", f.Content, "replica", f.Replica, "began", f.Began, "events", f.Events, "retry_in", retryIn(f.Err, n.clock()), "error", f.Err)
 		},
--- a/entry/events.go
+++ b/entry/events.go
@@ -22,8 +22,8 @@
 // Events is told of what an operator may want to see. Its functions may be
 // nil and must not block.
 type Events struct {
-	// Attempt is a failed attempt of a request at a backend server.
-	Attempt func(FailedAttempt)
+	// AttemptFailed is a failed attempt of a request at a backend server.
+	AttemptFailed func(FailedAttempt)
 	// Unrated is an answer that the rating service did not rate.
 	Unrated func(request string, err error)
 	// Unrecorded is a claim whose end was not recorded: a caller who asks
@@ -51,8 +51,8 @@
 }
 
 func (e *Events) attempt(f FailedAttempt) {
-	if e.Attempt != nil {
-		e.Attempt(f)
+	if e.AttemptFailed != nil {
+		e.AttemptFailed(f)
 	}
 }
 
--- a/process/entry.go
+++ b/process/entry.go
@@ -85,7 +85,7 @@
 
 func (e *Entry) events() *entry.Events {
 	return &entry.Events{
-		Attempt: func(f entry.FailedAttempt) {
+		AttemptFailed: func(f entry.FailedAttempt) {
 			e.log.WithFields(logging.Fields("request", f.Request, "replica", f.Replica, "error", f.Err)).Warn("attempt_failed")
 		},
 		Unrated: func(request string, err error) {
