--- a/entry/events.go
+++ b/entry/events.go
@@ -24,8 +24,8 @@
 type Events struct {
 	// AttemptFailed is a failed attempt of a request at a backend server.
 	AttemptFailed func(FailedAttempt)
-	// Unrated is an answer that the rating service did not rate.
-	Unrated func(request string, err error)
+	// RatingFailed is an answer that the rating service did not rate.
+	RatingFailed func(request string, err error)
 	// Unrecorded is a claim whose end was not recorded: a caller who asks
 	// again is told that the request may have run.
 	Unrecorded func(c claim.Claim, err error)
@@ -57,8 +57,8 @@
 }
 
 func (e *Events) unrated(request string, err error) {
-	if e.Unrated != nil {
-		e.Unrated(request, err)
+	if e.RatingFailed != nil {
+		e.RatingFailed(request, err)
 	}
 }
 
--- a/process/entry.go
+++ b/process/entry.go
@@ -88,7 +88,7 @@
 		AttemptFailed: func(f entry.FailedAttempt) {
 			e.log.WithFields(logging.Fields("request", f.Request, "replica", f.Replica, "error", f.Err)).Warn("attempt_failed")
 		},
-		Unrated: func(request string, err error) {
+		RatingFailed: func(request string, err error) {
 			e.log.WithFields(logging.Fields("request", request, "error", err)).Warn("answer_unrated")
 		},
 		Unrecorded: func(c claim.Claim, err error) {
