--- a/entry/events.go
+++ b/entry/events.go
@@ -26,9 +26,9 @@
 	AttemptFailed func(FailedAttempt)
 	// RatingFailed is an answer that the rating service did not rate.
 	RatingFailed func(request string, err error)
-	// Unrecorded is a claim whose end was not recorded: a caller who asks
+	// ClaimNotRecorded is a claim whose end was not recorded: a caller who asks
 	// again is told that the request may have run.
-	Unrecorded func(c claim.Claim, err error)
+	ClaimNotRecorded func(c claim.Claim, err error)
 	// BadRelease is a release that this instance found to be bad, with what
 	// it and those that report to it saw.
 	BadRelease func(r rollout.Release, seen rollout.Tally, f rollout.Finding)
@@ -63,7 +63,7 @@
 }
 
 func (e *Events) unrecorded(c claim.Claim, err error) {
-	if e.Unrecorded != nil {
-		e.Unrecorded(c, err)
+	if e.ClaimNotRecorded != nil {
+		e.ClaimNotRecorded(c, err)
 	}
 }
--- a/process/entry.go
+++ b/process/entry.go
@@ -91,7 +91,7 @@
 		RatingFailed: func(request string, err error) {
 			e.log.WithFields(logging.Fields("request", request, "error", err)).Warn("answer_unrated")
 		},
-		Unrecorded: func(c claim.Claim, err error) {
+		ClaimNotRecorded: func(c claim.Claim, err error) {
 			e.log.WithFields(logging.Fields("customer", c.Customer, "key", c.Key, "error", err)).Error("claim_unrecorded")
 		},
 	}
