--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -23,7 +23,7 @@
 			broken.WithLabelValues(f.Service, strconv.FormatBool(f.Began)).Inc()
 			n.event("attempt_failed", "request", f.Request, "content", f.Content, "replica", f.Replica, "began", f.Began, "events", f.Events, "retry_in", retryIn(f.Err, n.clock()), "error", f.Err)
 		},
-		BadRelease: func(r rollout.Release, t rollout.Tally, f rollout.Finding) {
+		BadReleaseFound: func(r rollout.Release, t rollout.Tally, f rollout.Finding) {
 			n.event("release_bad", append(seen(r, t, f), "cause", f.Cause)...)
 		},
 	}
--- a/entry/events.go
+++ b/entry/events.go
@@ -29,9 +29,9 @@
 	// ClaimNotRecorded is a claim whose end was not recorded: a caller who asks
 	// again is told that the request may have run.
 	ClaimNotRecorded func(c claim.Claim, err error)
-	// BadRelease is a release that this instance found to be bad, with what
+	// BadReleaseFound is a release that this instance found to be bad, with what
 	// it and those that report to it saw.
-	BadRelease func(r rollout.Release, seen rollout.Tally, f rollout.Finding)
+	BadReleaseFound func(r rollout.Release, seen rollout.Tally, f rollout.Finding)
 	// Began is a request of the customer that began to run.
 	Began func(customer string, at time.Time)
 	// Judged is what an attempt counts as for its service's release.
@@ -45,8 +45,8 @@
 }
 
 func (e *Events) badRelease(r rollout.Release, seen rollout.Tally, f rollout.Finding) {
-	if e.BadRelease != nil {
-		e.BadRelease(r, seen, f)
+	if e.BadReleaseFound != nil {
+		e.BadReleaseFound(r, seen, f)
 	}
 }
 
