--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -17,7 +17,7 @@
 	judged := n.metrics.Counter("release_answers_total", "Attempts by release and what they count as when releases are judged.", "service", "release", "verdict")
 	broken := n.metrics.Counter("attempts_failed_total", "Attempts at backend servers that came to nothing, by service and whether an answer had begun.", "service", "began")
 	return &entry.Events{
-		Began:  n.began(),
+		RequestStarted:  n.began(),
 		Judged: func(service, release, verdict string) { judged.WithLabelValues(service, release, verdict).Inc() },
 		AttemptFailed: func(f entry.FailedAttempt) {
 			broken.WithLabelValues(f.Service, strconv.FormatBool(f.Began)).Inc()
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -113,7 +113,7 @@
 
 // began tells once that the request began to run.
 func (w *forwarding) began(at time.Time) {
-	if f := w.r.events.Began; f != nil && !w.hasBegun {
+	if f := w.r.events.RequestStarted; f != nil && !w.hasBegun {
 		w.hasBegun = true
 		f(w.q.Customer.Name, at)
 	}
--- a/entry/events.go
+++ b/entry/events.go
@@ -32,8 +32,8 @@
 	// BadReleaseFound is a release that this instance found to be bad, with what
 	// it and those that report to it saw.
 	BadReleaseFound func(r rollout.Release, seen rollout.Tally, f rollout.Finding)
-	// Began is a request of the customer that began to run.
-	Began func(customer string, at time.Time)
+	// RequestStarted is a request of the customer that began to run.
+	RequestStarted func(customer string, at time.Time)
 	// Judged is what an attempt counts as for its service's release.
 	Judged func(service, release, verdict string)
 }
