--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -18,7 +18,7 @@
 	broken := n.metrics.Counter("attempts_failed_total", "Attempts at backend servers that came to nothing, by service and whether an answer had begun.", "service", "began")
 	return &entry.Events{
 		RequestStarted:  n.began(),
-		Judged: func(service, release, verdict string) { judged.WithLabelValues(service, release, verdict).Inc() },
+		AttemptJudged: func(service, release, verdict string) { judged.WithLabelValues(service, release, verdict).Inc() },
 		AttemptFailed: func(f entry.FailedAttempt) {
 			broken.WithLabelValues(f.Service, strconv.FormatBool(f.Began)).Inc()
 			n.event("attempt_failed", "request", f.Request, "content", f.Content, "replica", f.Replica, "began", f.Began, "events", f.Events, "retry_in", retryIn(f.Err, n.clock()), "error", f.Err)
--- a/entry/events.go
+++ b/entry/events.go
@@ -34,13 +34,13 @@
 	BadReleaseFound func(r rollout.Release, seen rollout.Tally, f rollout.Finding)
 	// RequestStarted is a request of the customer that began to run.
 	RequestStarted func(customer string, at time.Time)
-	// Judged is what an attempt counts as for its service's release.
-	Judged func(service, release, verdict string)
+	// AttemptJudged is what an attempt counts as for its service's release.
+	AttemptJudged func(service, release, verdict string)
 }
 
 func (e *Events) judged(service, release, verdict string) {
-	if e.Judged != nil {
-		e.Judged(service, release, verdict)
+	if e.AttemptJudged != nil {
+		e.AttemptJudged(service, release, verdict)
 	}
 }
 
