--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -13,10 +13,10 @@
 )
 
 // events logs what the router tells of, and passes bad releases on.
-func (n *node) events() *entry.Events {
+func (n *node) events() *entry.Hooks {
 	judged := n.metrics.Counter("release_answers_total", "Attempts by release and what they count as when releases are judged.", "service", "release", "verdict")
 	broken := n.metrics.Counter("attempts_failed_total", "Attempts at backend servers that came to nothing, by service and whether an answer had begun.", "service", "began")
-	return &entry.Events{
+	return &entry.Hooks{
 		RequestStarted:  n.began(),
 		AttemptJudged: func(service, release, verdict string) { judged.WithLabelValues(service, release, verdict).Inc() },
 		AttemptFailed: func(f entry.FailedAttempt) {
--- a/entry/events.go
+++ b/entry/events.go
@@ -19,9 +19,9 @@
 	Err    error
 }
 
-// Events is told of what an operator may want to see. Its functions may be
+// Hooks is told of what an operator may want to see. Its functions may be
 // nil and must not block.
-type Events struct {
+type Hooks struct {
 	// AttemptFailed is a failed attempt of a request at a backend server.
 	AttemptFailed func(FailedAttempt)
 	// RatingFailed is an answer that the rating service did not rate.
@@ -38,31 +38,31 @@
 	AttemptJudged func(service, release, verdict string)
 }
 
-func (e *Events) judged(service, release, verdict string) {
+func (e *Hooks) judged(service, release, verdict string) {
 	if e.AttemptJudged != nil {
 		e.AttemptJudged(service, release, verdict)
 	}
 }
 
-func (e *Events) badRelease(r rollout.Release, seen rollout.Tally, f rollout.Finding) {
+func (e *Hooks) badRelease(r rollout.Release, seen rollout.Tally, f rollout.Finding) {
 	if e.BadReleaseFound != nil {
 		e.BadReleaseFound(r, seen, f)
 	}
 }
 
-func (e *Events) attempt(f FailedAttempt) {
+func (e *Hooks) attempt(f FailedAttempt) {
 	if e.AttemptFailed != nil {
 		e.AttemptFailed(f)
 	}
 }
 
-func (e *Events) unrated(request string, err error) {
+func (e *Hooks) unrated(request string, err error) {
 	if e.RatingFailed != nil {
 		e.RatingFailed(request, err)
 	}
 }
 
-func (e *Events) unrecorded(c claim.Claim, err error) {
+func (e *Hooks) unrecorded(c claim.Claim, err error) {
 	if e.ClaimNotRecorded != nil {
 		e.ClaimNotRecorded(c, err)
 	}
--- a/entry/releases.go
+++ b/entry/releases.go
@@ -124,7 +124,7 @@
 }
 
 // weigh counts one answer.
-func (s *releases) weigh(rel rollout.Release, v saw, now time.Time, on *Events) {
+func (s *releases) weigh(rel rollout.Release, v saw, now time.Time, on *Hooks) {
 	s.update(rel, on, func(t *trial) bool {
 		t.own = v.in(t.own, rel.Target)
 		t.own.Life = s.life
@@ -135,13 +135,13 @@
 }
 
 // report takes another instance's tally in.
-func (s *releases) report(rel rollout.Release, origin string, t rollout.Tally, now time.Time, on *Events) {
+func (s *releases) report(rel rollout.Release, origin string, t rollout.Tally, now time.Time, on *Hooks) {
 	s.update(rel, on, func(x *trial) bool { return x.judge.Report(origin, t, now) })
 }
 
 // update changes the release's trial and tells on if the release shows to be
 // bad by it, which f reports.
-func (s *releases) update(rel rollout.Release, on *Events, f func(*trial) bool) {
+func (s *releases) update(rel rollout.Release, on *Hooks, f func(*trial) bool) {
 	s.mu.Lock()
 	t := s.of(rel)
 	if t == nil {
--- a/entry/router.go
+++ b/entry/router.go
@@ -49,7 +49,7 @@
 	limiters map[string]*admission.Limiter
 	budget   *admission.RetryBudget
 	learner  *cascade.Learner
-	events   *Events
+	events   *Hooks
 
 	dataCentre string
 	// regions are the data centres' regions.
@@ -121,14 +121,14 @@
 	// Rand seeds the choice of replicas.
 	Rand rand.Source
 	// Events may be nil.
-	Events *Events
+	Events *Hooks
 }
 
 // NewRouter returns a router.
 func NewRouter(p Ports) *Router {
 	e := p.Events
 	if e == nil {
-		e = &Events{}
+		e = &Hooks{}
 	}
 	if p.Quota == nil {
 		p.Quota = unbounded{}
--- a/process/entry.go
+++ b/process/entry.go
@@ -83,8 +83,8 @@
 	return e
 }
 
-func (e *Entry) events() *entry.Events {
-	return &entry.Events{
+func (e *Entry) events() *entry.Hooks {
+	return &entry.Hooks{
 		AttemptFailed: func(f entry.FailedAttempt) {
 			e.log.WithFields(logging.Fields("request", f.Request, "replica", f.Replica, "error", f.Err)).Warn("attempt_failed")
 		},
