--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -174,7 +174,7 @@
 func (n *node) routerPorts() entry.Ports {
 	u := platform.NewUpstream(n.pool, n.clock, n.quota, n.unknownHeader).WithNotices(n.notices)
 	return entry.Ports{
-		View: n.view, Clock: n.clock, Self: n.s.ID, DataCentre: n.s.DataCentre, Regions: n.s.Regions, Placer: n.placer, Rand: rand.NewPCG(rand.Uint64(), rand.Uint64()), Events: n.events(),
+		View: n.view, Clock: n.clock, Self: n.s.ID, DataCentre: n.s.DataCentre, Regions: n.s.Regions, Placer: n.placer, Rand: rand.NewPCG(rand.Uint64(), rand.Uint64()), Hooks: n.events(),
 		Upstream: u, Prober: u, Quarantine: n.quarantine, AcceptConfidence: n.s.AcceptConfidence,
 		Quota: n.quota, Notices: n.notices, ColdBound: quota.ColdBound{Overage: n.s.ColdOverage, Slack: n.s.ColdSlack},
 		FleetSize: n.relay.FleetSize, Repeats: admission.Repeats{Part: repeatPartMargin * n.s.RepeatPart, Burst: repeatBurstMargin * n.s.RepeatBurst},
--- a/entry/router.go
+++ b/entry/router.go
@@ -120,13 +120,13 @@
 	Regions map[string]string
 	// Rand seeds the choice of replicas.
 	Rand rand.Source
-	// Events may be nil.
-	Events *Hooks
+	// Hooks may be nil.
+	Hooks *Hooks
 }
 
 // NewRouter returns a router.
 func NewRouter(p Ports) *Router {
-	e := p.Events
+	e := p.Hooks
 	if e == nil {
 		e = &Hooks{}
 	}
--- a/process/entry.go
+++ b/process/entry.go
@@ -72,7 +72,7 @@
 	e.router = entry.NewRouter(entry.Ports{
 		View: e.view, Engines: backend.NewEngines(h).WithLimits(e.quota).WithNotices(e.notices), Services: backend.NewServices(h).WithLimits(e.quota).WithNotices(e.notices), Claims: k,
 		Rater: platform.New(h, "", s.Rating), Biller: e.biller, Clock: time.Now, Self: s.ID,
-		Rand: rand.NewPCG(rand.Uint64(), rand.Uint64()), Events: e.events(),
+		Rand: rand.NewPCG(rand.Uint64(), rand.Uint64()), Hooks: e.events(),
 		Quarantine: e.quarantine, Prober: backend.Prober{}, Quota: e.quota, Notices: e.notices,
 	})
 	e.link = NewLink(k, e.view, e.router, e.biller, e.incarnation, func(event string, f ...any) {
