--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -21,7 +21,7 @@
 		AttemptJudged: func(service, release, verdict string) { judged.WithLabelValues(service, release, verdict).Inc() },
 		AttemptFailed: func(f entry.FailedAttempt) {
 			broken.WithLabelValues(f.Service, strconv.FormatBool(f.Began)).Inc()
-			n.event("attempt_failed", "request", f.Request, "content", f.Content, "replica", f.Replica, "began", f.Began, "events", f.Events, "retry_in", retryIn(f.Err, n.clock()), "error", f.Err)
+			n.event("attempt_failed", "request", f.Request, "content", f.Fingerprint, "replica", f.Replica, "began", f.Began, "events", f.Events, "retry_in", retryIn(f.Err, n.clock()), "error", f.Err)
 		},
 		BadReleaseFound: func(r rollout.Release, t rollout.Tally, f rollout.Finding) {
 			n.event("release_bad", append(seen(r, t, f), "cause", f.Cause)...)
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -111,7 +111,7 @@
 	if failed && !errors.Is(err, errPaid) || bad {
 		w.f.Content = w.q.Fingerprint().String()
 		r.events.attempt(FailedAttempt{
-			Request: w.q.ID, Service: w.f.Service, Replica: a.replica.ID, Content: w.f.Content,
+			Request: w.q.ID, Service: w.f.Service, Replica: a.replica.ID, Fingerprint: w.f.Content,
 			Began: a.began, Events: a.events, Err: orFailure(err, w.f.Status),
 		})
 	}
--- a/entry/events.go
+++ b/entry/events.go
@@ -11,8 +11,8 @@
 	Request string
 	Service string
 	Replica string
-	// Content is the same for requests that ask the same, empty where that is not known.
-	Content string
+	// Fingerprint is the same for requests that ask the same, empty where that is not known.
+	Fingerprint string
 	// Began says that the replica had begun to answer, after which Events were passed on.
 	Began  bool
 	Events int
