--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -20,8 +20,8 @@
 		RequestStarted:  n.began(),
 		AttemptJudged: func(service, release, verdict string) { judged.WithLabelValues(service, release, verdict).Inc() },
 		AttemptFailed: func(f entry.FailedAttempt) {
-			broken.WithLabelValues(f.Service, strconv.FormatBool(f.Began)).Inc()
-			n.event("attempt_failed", "request", f.Request, "content", f.Fingerprint, "replica", f.Replica, "began", f.Began, "events", f.Events, "retry_in", retryIn(f.Err, n.clock()), "error", f.Err)
+			broken.WithLabelValues(f.Service, strconv.FormatBool(f.AnswerStarted)).Inc()
+			n.event("attempt_failed", "request", f.Request, "content", f.Fingerprint, "replica", f.Replica, "began", f.AnswerStarted, "events", f.Events, "retry_in", retryIn(f.Err, n.clock()), "error", f.Err)
 		},
 		BadReleaseFound: func(r rollout.Release, t rollout.Tally, f rollout.Finding) {
 			n.event("release_bad", append(seen(r, t, f), "cause", f.Cause)...)
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -112,7 +112,7 @@
 		w.f.Content = w.q.Fingerprint().String()
 		r.events.attempt(FailedAttempt{
 			Request: w.q.ID, Service: w.f.Service, Replica: a.replica.ID, Fingerprint: w.f.Content,
-			Began: a.began, Events: a.events, Err: orFailure(err, w.f.Status),
+			AnswerStarted: a.began, Events: a.events, Err: orFailure(err, w.f.Status),
 		})
 	}
 	came := a.cameTo(err)
--- a/entry/events.go
+++ b/entry/events.go
@@ -13,8 +13,8 @@
 	Replica string
 	// Fingerprint is the same for requests that ask the same, empty where that is not known.
 	Fingerprint string
-	// Began says that the replica had begun to answer, after which Events were passed on.
-	Began  bool
+	// AnswerStarted says that the replica had begun to answer, after which Events were passed on.
+	AnswerStarted  bool
 	Events int
 	Err    error
 }
