--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -177,7 +177,7 @@
 		View: n.view, Clock: n.clock, Self: n.s.ID, DataCentre: n.s.DataCentre, Regions: n.s.Regions, Placer: n.placer, Rand: rand.NewPCG(rand.Uint64(), rand.Uint64()), Hooks: n.events(),
 		Upstream: u, Prober: u, Quarantine: n.quarantine, AcceptConfidence: n.s.AcceptConfidence,
 		Quota: n.quota, Notices: n.notices, ColdBound: quota.ColdBound{Overage: n.s.ColdOverage, Slack: n.s.ColdSlack},
-		FleetSize: n.relay.FleetSize, Repeats: admission.Repeats{Part: repeatPartMargin * n.s.RepeatPart, Burst: repeatBurstMargin * n.s.RepeatBurst},
+		FleetSize: n.relay.FleetSize, Retries: admission.Repeats{Part: repeatPartMargin * n.s.RepeatPart, Burst: repeatBurstMargin * n.s.RepeatBurst},
 	}
 }
 
--- a/entry/budget_test.go
+++ b/entry/budget_test.go
@@ -13,7 +13,7 @@
 func TestRepeatsSufficeForDoubtfulAnswers(t *testing.T) {
 	const instances, requests = 85, 60
 	now := time.Unix(1_700_000_000, 0)
-	r := NewRouter(Ports{View: NewCurrentView(), Clock: func() time.Time { return now }, Repeats: admission.Repeats{Part: 0.87, Burst: 147}, FleetSize: func() int { return instances }})
+	r := NewRouter(Ports{View: NewCurrentView(), Clock: func() time.Time { return now }, Retries: admission.Repeats{Part: 0.87, Burst: 147}, FleetSize: func() int { return instances }})
 	for i := range requests {
 		now = now.Add(10 * time.Second / requests)
 		r.received("s")
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -173,7 +173,7 @@
 		rel["s"] = rollout.NewRelease("s", "v1", 1, time.Minute).Next().Next()
 	}
 	v.Put(NewView(nil, w.all, nil, nil).WithRoutes(route.New(1, nil, nil, nil, route.Limits{}), rel))
-	p := Ports{View: v, Clock: w.clock, Rand: rand.NewPCG(1, 1), Upstream: w, Repeats: admission.Repeats{Burst: 1000}, AcceptConfidence: 60, Notices: w.book}
+	p := Ports{View: v, Clock: w.clock, Rand: rand.NewPCG(1, 1), Upstream: w, Retries: admission.Repeats{Burst: 1000}, AcceptConfidence: 60, Notices: w.book}
 	if rapid.Bool().Draw(w.t, "placer") {
 		p.Placer = w
 	}
@@ -292,7 +292,7 @@
 	u := sure{map[string]int{}}
 	v := NewCurrentView()
 	v.Put(NewView(nil, []pool.Replica{{ID: "a", Kind: pool.Service, Service: "s"}, {ID: "b", Kind: pool.Service, Service: "s"}, {ID: "c", Kind: pool.Service, Service: "s"}}, nil, nil))
-	r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Repeats: admission.Repeats{Burst: 9}, Notices: b})
+	r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}, Notices: b})
 	send := func() (string, *Failure) {
 		q := &Opaque{ID: "q", Table: route.New(1, nil, nil, nil, route.Limits{}), Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 1}, Arrived: now, Deadline: now.Add(time.Hour), TimeoutAt: now.Add(time.Hour)}
 		f, err := r.Forward(t.Context(), q, &clientSink{})
@@ -365,7 +365,7 @@
 		}
 		v := NewCurrentView()
 		v.Put(NewView(nil, l, nil, nil))
-		r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Repeats: admission.Repeats{Burst: 9}, FleetSize: func() int { return 1 }, Notices: u.book})
+		r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}, FleetSize: func() int { return 1 }, Notices: u.book})
 		q := &Opaque{ID: "q", Table: route.New(1, nil, nil, nil, route.Limits{}), Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 3}, Arrived: now, Deadline: now.Add(time.Hour), TimeoutAt: now.Add(time.Hour)}
 		_, err := r.Forward(t.Context(), q, &clientSink{})
 		var f *Failure
--- a/entry/router.go
+++ b/entry/router.go
@@ -94,7 +94,7 @@
 	// Upstream sends opaque requests; Repeats bounds how often they go to
 	// another replica.
 	Upstream Upstream
-	Repeats  admission.Repeats
+	Retries  admission.Repeats
 	// Quarantine and Prober may be nil; then nothing is known of contents that bring
 	// replicas down.
 	Quarantine Quarantine
@@ -140,7 +140,7 @@
 		limiters: map[string]*admission.Limiter{}, budget: admission.NewRetryBudget(),
 		learner: cascade.NewLearner(), events: e,
 		upstream: p.Upstream, underway: newUnderway(), quarantine: p.Quarantine, prober: p.Prober, placer: p.Placer, speeds: timing.NewSpeeds(), holds: timing.NewHolds(), leads: newLeads(), answers: newAnswerSizes(), delays: timing.NewDelays(), paces: newPaces(),
-		releases: newReleases(p.Clock()), windows: map[string]*admission.Window{}, repeats: p.Repeats, fleetSize: p.FleetSize,
+		releases: newReleases(p.Clock()), windows: map[string]*admission.Window{}, repeats: p.Retries, fleetSize: p.FleetSize,
 		acceptConfidence: p.AcceptConfidence, coldBound: p.ColdBound, quota: p.Quota, notices: p.Notices,
 	}
 }
