--- a/adapter/caller/chat.go
+++ b/adapter/caller/chat.go
@@ -75,7 +75,7 @@
 	if t := s.view.Get().Active.Ring().Mint(r.Session); t != "" {
 		h.Set(HeaderSession, t)
 	}
-	if r.Moved {
+	if r.SessionMoved {
 		h.Set(HeaderMoved, "version-withdrawn")
 	}
 	if r.BelowTarget {
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -79,7 +79,7 @@
 func (r *Router) finish(q Request, c *cascadeRun, x version.ID, below bool) Result {
 	v := r.view.Get()
 	r.bill(v, q, x, c.spent)
-	return Result{RequestID: q.ID, Version: x, Revision: v.Active.Revision(), Session: c.session, Moved: c.moved, BelowTarget: below}
+	return Result{RequestID: q.ID, Version: x, Revision: v.Active.Revision(), Session: c.session, SessionMoved: c.moved, BelowTarget: below}
 }
 
 // step runs one step of the plan. ok says that its answer is good enough.
--- a/entry/request.go
+++ b/entry/request.go
@@ -43,8 +43,8 @@
 	Version   version.ID
 	Revision  uint64
 	Session   session.Session
-	// Moved says that the session's version was withdrawn and replaced.
-	Moved bool
+	// SessionMoved says that the session's version was withdrawn and replaced.
+	SessionMoved bool
 	// BelowTarget says that no answer reached the policy's quality, and that
 	// this is the best one that was had in time.
 	BelowTarget bool
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -152,7 +152,7 @@
 	}
 	sink := func(b []byte) error {
 		if *sent == 0 {
-			f := Result{RequestID: q.ID, Version: x, Revision: v.Active.Revision(), Session: n, Moved: c.moved || moved}
+			f := Result{RequestID: q.ID, Version: x, Revision: v.Active.Revision(), Session: n, SessionMoved: c.moved || moved}
 			if err := head(f); err != nil {
 				return callerGone(err)
 			}
