--- a/entry/request.go
+++ b/entry/request.go
@@ -57,7 +57,7 @@
 	Service  string
 	Call     string
 	Body     []byte
-	Type     string
+	ContentType     string
 	Key      string
 	Once     bool
 	Deadline time.Time
