--- a/adapter/caller/service.go
+++ b/adapter/caller/service.go
@@ -30,7 +30,7 @@
 	}
 	r, err := s.router.Call(context.Background(), entry.ServiceRequest{
 		ID: k.id, Caller: k.caller, Service: n, Call: f, Body: append([]byte(nil), c.PostBody()...),
-		ContentType: string(c.Request.Header.ContentType()), Key: key,
+		ContentType: string(c.Request.Header.ContentType()), IdempotencyKey: key,
 		Once: string(c.Request.Header.Peek(HeaderOnce)) == "true", Deadline: k.deadline,
 	})
 	if err != nil {
--- a/entry/request.go
+++ b/entry/request.go
@@ -58,7 +58,7 @@
 	Call     string
 	Body     []byte
 	ContentType     string
-	Key      string
+	IdempotencyKey      string
 	Once     bool
 	Deadline time.Time
 }
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -188,7 +188,7 @@
 		b := &backendsFake{script: kinds.Draw(t, "script")}
 		f := &rest{}
 		r, v := newTestRouter(t, b, f)
-		_, err := r.Call(t.Context(), ServiceRequest{ID: "id", Caller: customerOf(v, "gold"), Service: "desk", Call: "confirm", Key: "k", Deadline: time.Now().Add(time.Minute)})
+		_, err := r.Call(t.Context(), ServiceRequest{ID: "id", Caller: customerOf(v, "gold"), Service: "desk", Call: "confirm", IdempotencyKey: "k", Deadline: time.Now().Add(time.Minute)})
 		if len(b.ran) > 1 {
 			t.Fatalf("sent %d times after %v", len(b.ran), b.script)
 		}
@@ -215,7 +215,7 @@
 	} {
 		b := &backendsFake{}
 		r, v := newTestRouter(t, b, &rest{claims: errors.New("store is out")})
-		_, err := r.Call(t.Context(), ServiceRequest{ID: "id", Caller: customerOf(v, "gold"), Service: c.service, Call: "confirm", Key: c.key, Deadline: time.Now().Add(time.Minute)})
+		_, err := r.Call(t.Context(), ServiceRequest{ID: "id", Caller: customerOf(v, "gold"), Service: c.service, Call: "confirm", IdempotencyKey: c.key, Deadline: time.Now().Add(time.Minute)})
 		var f *Failure
 		if errors.As(err, &f) != (c.code != "") || f != nil && (f.Code != c.code || f.Outcome != outcome.NotRun) || len(b.ran) != c.ran {
 			t.Errorf("%s with key %q: ran %d times, %v; want %d and %q", c.service, c.key, len(b.ran), err, c.ran, c.code)
@@ -229,7 +229,7 @@
 	b := &backendsFake{}
 	f := &rest{}
 	r, v := newTestRouter(t, b, f)
-	_, err := r.Call(t.Context(), ServiceRequest{ID: "id", Caller: customerOf(v, "gold"), Service: "desk", Call: "confirm", Key: "k", Deadline: time.Now().Add(-time.Second)})
+	_, err := r.Call(t.Context(), ServiceRequest{ID: "id", Caller: customerOf(v, "gold"), Service: "desk", Call: "confirm", IdempotencyKey: "k", Deadline: time.Now().Add(-time.Second)})
 	if err == nil || len(b.ran) != 0 || failed(err).Outcome != outcome.NotRun {
 		t.Errorf("ran %d times: %v", len(b.ran), err)
 	}
--- a/entry/service.go
+++ b/entry/service.go
@@ -33,7 +33,7 @@
 	if !q.Once {
 		return r.callService(x, q)
 	}
-	if q.Key == "" {
+	if q.IdempotencyKey == "" {
 		return ServiceResult{}, notRun(IdempotencyKeyRequired, q.Service+"/"+q.Call+" may not be repeated: give an Idempotency-Key")
 	}
 	return r.callOnce(x, q, s.ChecksKey)
@@ -42,7 +42,7 @@
 // callOnce claims the key, sends once and records what became of it.
 func (r *Router) callOnce(ctx context.Context, q ServiceRequest, checked bool) (ServiceResult, error) {
 	k := q.Caller.Team + "/" + q.Caller.Customer.Name
-	c := claim.New(k, q.Key, uuid.NewString(), r.self, q.Deadline)
+	c := claim.New(k, q.IdempotencyKey, uuid.NewString(), r.self, q.Deadline)
 	d, f, err := r.claims.Claim(ctx, c)
 	if err != nil {
 		return r.unclaimed(ctx, q, checked, err)
@@ -158,14 +158,14 @@
 		return ServiceAnswer{}, outcome.New(outcome.NotRun, "deadline", b.ID, errors.New("the deadline passed before the request was sent"))
 	}
 	return r.services.Call(ctx, b, ServiceCall{
-		Call: q.Call, Body: q.Body, Type: q.ContentType, Key: q.Key, Deadline: q.Deadline, Once: q.Once,
+		Call: q.Call, Body: q.Body, Type: q.ContentType, Key: q.IdempotencyKey, Deadline: q.Deadline, Once: q.Once,
 	})
 }
 
 func (r *Router) billCall(q ServiceRequest) {
 	id := q.ID
-	if q.Key != "" {
-		id = q.Key
+	if q.IdempotencyKey != "" {
+		id = q.IdempotencyKey
 	}
 	l := bill.Line{Team: q.Caller.Team, Customer: q.Caller.Customer.Name, Version: version.New(q.Service, q.Call)}
 	r.biller.Bill(id, l, bill.Amount{Requests: 1})
--- a/faults/client_test.go
+++ b/faults/client_test.go
@@ -197,7 +197,7 @@
 		}
 		k := config.Caller{Team: "t"}
 		k.Customer, _ = v.Active.Document().Part("t").Source.Catalog.Customer(customer(s.n))
-		return r.Call(y, entry.ServiceRequest{ID: s.id, Caller: k, Service: "memory", Call: call, Body: []byte(s.id), Key: key, Deadline: time.Now().Add(allowance)})
+		return r.Call(y, entry.ServiceRequest{ID: s.id, Caller: k, Service: "memory", Call: call, Body: []byte(s.id), IdempotencyKey: key, Deadline: time.Now().Add(allowance)})
 	})
 	if err != nil {
 		return err
