--- a/adapter/backend/service.go
+++ b/adapter/backend/service.go
@@ -45,7 +45,7 @@
 	defer fasthttp.ReleaseResponse(p)
 	q.Header.SetMethod(fasthttp.MethodPost)
 	q.SetRequestURI("http://" + r.Addr + "/" + c.Call)
-	q.Header.SetContentType(c.Type)
+	q.Header.SetContentType(c.ContentType)
 	q.Header.Set(HeaderDeadline, strconv.FormatInt(c.Deadline.UnixMilli(), 10))
 	if c.Key != "" {
 		q.Header.Set(HeaderKey, c.Key)
--- a/entry/ports.go
+++ b/entry/ports.go
@@ -42,7 +42,7 @@
 type ServiceCall struct {
 	Call     string
 	Body     []byte
-	Type     string
+	ContentType     string
 	Key      string
 	Deadline time.Time
 	// Once asks for a connection on which nothing can be left unknown that
