--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -126,7 +126,7 @@
 	t.Cleanup(l.Close)
 	c := backend.NewServices(httpconn.New())
 	r := &pool.Replica{ID: "s", Addr: l.Addr}
-	k := entry.ServiceCall{Call: "confirm", Key: "k1", Body: []byte("rye"), ContentType: "text/plain", Deadline: time.Now().Add(time.Minute), Once: true}
+	k := entry.ServiceCall{Call: "confirm", IdempotencyKey: "k1", Body: []byte("rye"), ContentType: "text/plain", Deadline: time.Now().Add(time.Minute), Once: true}
 	a, err := c.Call(t.Context(), r, k)
 	if err != nil || !strings.Contains(string(a.Body), "rye") || s.Runs()["confirm/k1"] != 1 {
 		t.Fatalf("%s, %v, runs %v", a.Body, err, s.Runs())
--- a/adapter/backend/service.go
+++ b/adapter/backend/service.go
@@ -47,8 +47,8 @@
 	q.SetRequestURI("http://" + r.Addr + "/" + c.Call)
 	q.Header.SetContentType(c.ContentType)
 	q.Header.Set(HeaderDeadline, strconv.FormatInt(c.Deadline.UnixMilli(), 10))
-	if c.Key != "" {
-		q.Header.Set(HeaderKey, c.Key)
+	if c.IdempotencyKey != "" {
+		q.Header.Set(HeaderKey, c.IdempotencyKey)
 	}
 	q.SetBodyRaw(c.Body)
 	do := s.http.Do
@@ -59,7 +59,7 @@
 	if err := do(ctx, r.Addr, q, p); err != nil {
 		return entry.ServiceAnswer{}, withContext(ctx, err)
 	}
-	s.hear(r, c.Key, p, sentAt)
+	s.hear(r, c.IdempotencyKey, p, sentAt)
 	if p.StatusCode() >= fasthttp.StatusInternalServerError || refusal(p) {
 		return entry.ServiceAnswer{}, checkStatus(r, p, 0, 0)
 	}
--- a/entry/ports.go
+++ b/entry/ports.go
@@ -43,7 +43,7 @@
 	Call     string
 	Body     []byte
 	ContentType     string
-	Key      string
+	IdempotencyKey      string
 	Deadline time.Time
 	// Once asks for a connection on which nothing can be left unknown that
 	// need not be.
--- a/entry/service.go
+++ b/entry/service.go
@@ -158,7 +158,7 @@
 		return ServiceAnswer{}, outcome.New(outcome.NotRun, "deadline", b.ID, errors.New("the deadline passed before the request was sent"))
 	}
 	return r.services.Call(ctx, b, ServiceCall{
-		Call: q.Call, Body: q.Body, ContentType: q.ContentType, Key: q.IdempotencyKey, Deadline: q.Deadline, Once: q.Once,
+		Call: q.Call, Body: q.Body, ContentType: q.ContentType, IdempotencyKey: q.IdempotencyKey, Deadline: q.Deadline, Once: q.Once,
 	})
 }
 
