--- a/adapter/backend/service.go
+++ b/adapter/backend/service.go
@@ -65,7 +65,7 @@
 	}
 	return entry.ServiceAnswer{
 		Status: p.StatusCode(),
-		Type:   string(p.Header.ContentType()),
+		ContentType:   string(p.Header.ContentType()),
 		Body:   append([]byte(nil), p.Body()...),
 	}, nil
 }
--- a/adapter/caller/service.go
+++ b/adapter/caller/service.go
@@ -41,7 +41,7 @@
 		c.Response.Header.Set(HeaderReplayed, "true")
 	}
 	c.SetStatusCode(r.Answer.Status)
-	c.SetContentType(r.Answer.Type)
+	c.SetContentType(r.Answer.ContentType)
 	c.SetBody(r.Answer.Body)
 	return nil
 }
--- a/entry/ports.go
+++ b/entry/ports.go
@@ -53,7 +53,7 @@
 // ServiceAnswer is a plain service's answer.
 type ServiceAnswer struct {
 	Status int
-	Type   string
+	ContentType   string
 	Body   []byte
 }
 
--- a/entry/service.go
+++ b/entry/service.go
@@ -71,7 +71,7 @@
 	switch d {
 	case claim.Replay:
 		v := r.view.Get()
-		return ServiceResult{Answer: ServiceAnswer{Status: f.Status, Body: f.Answer, Type: jsonType}, Replayed: true, Revision: v.Active.Revision()}, nil
+		return ServiceResult{Answer: ServiceAnswer{Status: f.Status, Body: f.Answer, ContentType: jsonType}, Replayed: true, Revision: v.Active.Revision()}, nil
 	case claim.RanBefore:
 		return ServiceResult{}, &Failure{Code: AlreadyRan, Outcome: outcome.Ran, Message: "the request ran before; its answer is not kept"}
 	case claim.Expired:
