--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -36,7 +36,7 @@
 }
 
 func attempt(resume int) entry.Attempt {
-	return entry.Attempt{ID: "id-1", Version: small, Deadline: time.Now().Add(time.Minute), Resume: resume,
+	return entry.Attempt{ID: "id-1", Version: small, Deadline: time.Now().Add(time.Minute), ResumeChunks: resume,
 		Body: []byte(`{"model":"auto","temperature":0.5,"messages":[{"role":"user","content":"<mark> hello"}]}`)}
 }
 
--- a/adapter/backend/engine.go
+++ b/adapter/backend/engine.go
@@ -244,8 +244,8 @@
 	q.Header.Set(HeaderAttempt, a.ID)
 	q.Header.Set(HeaderPriority, strconv.Itoa(a.Priority))
 	q.Header.Set(HeaderDeadline, strconv.FormatInt(a.Deadline.UnixMilli(), 10))
-	if a.Resume > 0 {
-		q.Header.Set(HeaderResume, strconv.Itoa(a.Resume))
+	if a.ResumeChunks > 0 {
+		q.Header.Set(HeaderResume, strconv.Itoa(a.ResumeChunks))
 	}
 	q.SetBodyRaw(b)
 	return q, p, nil
--- a/entry/ports.go
+++ b/entry/ports.go
@@ -18,8 +18,8 @@
 	Body     []byte
 	Deadline time.Time
 	Priority int
-	// Resume is how many chunks of a stream the caller has already.
-	Resume int
+	// ResumeChunks is how many chunks of a stream the caller has already.
+	ResumeChunks int
 }
 
 // Answer is a whole answer of a model engine.
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -168,7 +168,7 @@
 	err = r.attempts(ctx, q, x, func(b *pool.Replica) (err error) {
 		began = r.clock()
 		t := newAttempt(q, x)
-		t.Resume = *sent
+		t.ResumeChunks = *sent
 		a, err = r.engines.Stream(ctx, b, t, sink)
 		return err
 	})
--- a/standin/world/backend.go
+++ b/standin/world/backend.go
@@ -267,7 +267,7 @@
 		time.Sleep(lateBy)
 	}
 	t := b.tokens(a, m)
-	for n := a.Resume; n < len(t); n++ {
+	for n := a.ResumeChunks; n < len(t); n++ {
 		time.Sleep(perChunk)
 		if d == Slow {
 			time.Sleep(slowChunk)
