--- a/entry/forward.go
+++ b/entry/forward.go
@@ -61,7 +61,7 @@
 func (r *Router) Forward(ctx context.Context, q *Opaque, out ForwardSink) (*Forwarded, error) {
 	x, cancel := context.WithTimeout(ctx, q.until().Sub(r.clock()))
 	defer cancel()
-	w := &forwarding{r: r, q: q, out: out, after: q.After, model: -1, askedBy: -1, watch: watch{quarantine: r.quarantine, content: q.Fingerprint}}
+	w := &forwarding{r: r, q: q, out: out, after: q.LastEventID, model: -1, askedBy: -1, watch: watch{quarantine: r.quarantine, content: q.Fingerprint}}
 	w.f = &Forwarded{Request: q, Service: q.Route.Service(q.ID), Confidence: -1}
 	if len(q.Route.Models) > 0 && (q.Prompt.Model == prompt.AnyModel || q.Prompt.Model == "") {
 		w.model = 0
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -29,8 +29,8 @@
 	Prompt prompt.Prompt
 	// Session is empty if the client gave none.
 	Session string
-	// After is the last event that the client has of a stream it resumes.
-	After    string
+	// LastEventID is the last event that the client has of a stream it resumes.
+	LastEventID    string
 	Arrived  time.Time
 	Deadline time.Time
 	// TimeoutAt is when the route's time ends; the earlier of it and
