--- a/entry/forward.go
+++ b/entry/forward.go
@@ -187,7 +187,7 @@
 		return errHopeless
 	}
 	b := p.replica
-	d := Dispatch{Request: w.q, After: w.after, Deadline: w.q.until(), Priority: w.q.priority()}
+	d := Dispatch{Request: w.q, LastEventID: w.after, Deadline: w.q.until(), Priority: w.q.priority()}
 	if w.model >= 0 {
 		d.Model = w.q.Route.Models[w.model]
 	}
--- a/entry/forward_test.go
+++ b/entry/forward_test.go
@@ -194,7 +194,7 @@
 // Send implements Upstream.
 func (s *forwardScript) Send(ctx context.Context, _ *pool.Replica, d Dispatch) (Reply, error) {
 	s.sends = append(s.sends, "m"+d.Model)
-	s.after = append(s.after, d.After)
+	s.after = append(s.after, d.LastEventID)
 	if len(s.sends) > len(s.replies) {
 		s.t.Errorf("attempt %d was not expected", len(s.sends))
 		return nil, outcome.New(outcome.NotRun, "refused", "r", errors.New("no more in the script"))
--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -13,8 +13,8 @@
 	Request *Opaque
 	// Model is the size chosen for it; empty leaves the client's.
 	Model string
-	// After is the last event that the client has of the stream.
-	After    string
+	// LastEventID is the last event that the client has of the stream.
+	LastEventID    string
 	Deadline time.Time
 	Priority int
 }
