--- a/entry/escalate.go
+++ b/entry/escalate.go
@@ -142,7 +142,7 @@
 	if p.ready == 0 || w.q.Route.Target <= 0 {
 		return true
 	}
-	left := w.q.Arrived.Add(w.q.Route.Target).Sub(w.r.clock())
+	left := w.q.ArrivedAt.Add(w.q.Route.Target).Sub(w.r.clock())
 	gain := min(1, max(0, (w.r.acceptConfidence-confidence)/(w.r.acceptConfidence-surelyWrong)))
 	part := doubtfulPart + gain*(wrongPart-doubtfulPart)
 	return w.r.delays.Expect(w.f.Service, p.ready) <= time.Duration(part*float64(left))
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -31,7 +31,7 @@
 	Session string
 	// LastEventID is the last event that the client has of a stream it resumes.
 	LastEventID    string
-	Arrived  time.Time
+	ArrivedAt  time.Time
 	Deadline time.Time
 	// TimeoutAt is when the route's time ends; the earlier of it and
 	// Deadline binds.
--- a/entry/place.go
+++ b/entry/place.go
@@ -96,7 +96,7 @@
 	if w.q.Route.Target <= 0 {
 		return 0
 	}
-	left := w.q.Arrived.Add(w.q.Route.Target).Sub(w.r.clock())
+	left := w.q.ArrivedAt.Add(w.q.Route.Target).Sub(w.r.clock())
 	return max(1, left.Seconds()*1000)
 }
 
