--- a/entry/distance_test.go
+++ b/entry/distance_test.go
@@ -14,7 +14,7 @@
 func TestAwayCountsBytes(t *testing.T) {
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: time.Now, Rand: rand.NewPCG(1, 1)})
 	away := func(name string, body int) float64 {
-		return (&forwarding{r: r, q: &Opaque{Route: &route.Route{Name: name}, Body: make([]byte, body)}}).away()
+		return (&forwarding{r: r, q: &OpaqueRequest{Route: &route.Route{Name: name}, Body: make([]byte, body)}}).away()
 	}
 	small, large := away("a", 1_000), away("a", 18_000)
 	if d := large - small; d < 17*awayPerKB-1 || d > 17*awayPerKB+1 {
@@ -44,7 +44,7 @@
 // Each shared part of the estimate is known by its model and its deepest id.
 func TestEstimateNamesParts(t *testing.T) {
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: time.Now, Rand: rand.NewPCG(1, 1)})
-	q := &Opaque{Route: &route.Route{}, Prompt: prompt.Prompt{Model: "m", In: 350, Parts: []prompt.Part{{ID: "a", Tokens: 100}, {ID: "b", Tokens: 200}, {ID: "own", Tokens: 50}}}}
+	q := &OpaqueRequest{Route: &route.Route{}, Prompt: prompt.Prompt{Model: "m", In: 350, Parts: []prompt.Part{{ID: "a", Tokens: 100}, {ID: "b", Tokens: 200}, {ID: "own", Tokens: 50}}}}
 	e := (&forwarding{r: r, q: q, f: &Forwarded{Service: "s"}, model: -1}).estimate()
 	if e.key != "m/b" || len(e.shared) != 2 || e.shared[0].Key != "m/a" || e.shared[1].Key != "m/b" {
 		t.Errorf("key %q, parts %+v, want m/b of m/a and m/b", e.key, e.shared)
--- a/entry/ended_test.go
+++ b/entry/ended_test.go
@@ -36,7 +36,7 @@
 	r := NewRouter(Ports{View: v, Clock: time.Now, Rand: rand.NewPCG(1, 1), Upstream: endedUpstream{}, Prober: endedUpstream{}, Retries: admission.Repeats{Burst: 99}})
 	x := &route.Route{Kind: route.Once, MaxAttempts: 1, Split: []route.Part{{Service: "s"}}}
 	for i := range 40 {
-		q := &Opaque{ID: fmt.Sprint("q", i), Table: v.Get().Table, Route: x, ArrivedAt: time.Now(), Deadline: time.Now().Add(time.Second), TimeoutAt: time.Now().Add(time.Second)}
+		q := &OpaqueRequest{ID: fmt.Sprint("q", i), Table: v.Get().Table, Route: x, ArrivedAt: time.Now(), Deadline: time.Now().Add(time.Second), TimeoutAt: time.Now().Add(time.Second)}
 		if _, err := r.Forward(t.Context(), q, &clientSink{}); err == nil {
 			t.Fatal("a request was answered")
 		}
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -25,7 +25,7 @@
 // forwarding is one opaque request on its way.
 type forwarding struct {
 	r   *Router
-	q   *Opaque
+	q   *OpaqueRequest
 	out ForwardSink
 	f   *Forwarded
 
@@ -58,7 +58,7 @@
 // Forward routes a request to a replica of its service and passes the answer
 // on. The error is a *Failure; if the sink had its head by then, the answer
 // must be broken off.
-func (r *Router) Forward(ctx context.Context, q *Opaque, out ForwardSink) (*Forwarded, error) {
+func (r *Router) Forward(ctx context.Context, q *OpaqueRequest, out ForwardSink) (*Forwarded, error) {
 	x, cancel := context.WithTimeout(ctx, q.until().Sub(r.clock()))
 	defer cancel()
 	w := &forwarding{r: r, q: q, out: out, after: q.LastEventID, model: -1, askedBy: -1, watch: watch{quarantine: r.quarantine, content: q.Fingerprint}}
--- a/entry/hopeless_test.go
+++ b/entry/hopeless_test.go
@@ -13,7 +13,7 @@
 func TestHopelessRequestsComeBackSpread(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1)})
-	q := &Opaque{Route: &route.Route{}, Deadline: now.Add(5 * time.Second), TimeoutAt: now.Add(5 * time.Second)}
+	q := &OpaqueRequest{Route: &route.Route{}, Deadline: now.Add(5 * time.Second), TimeoutAt: now.Add(5 * time.Second)}
 	seen := map[time.Time]bool{}
 	for range 20 {
 		w := &forwarding{r: r, q: q, f: &Forwarded{Service: "s"}}
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -12,9 +12,9 @@
 	"fieldvale/route"
 )
 
-// Opaque is a request whose body only its backend service understands. It is
+// OpaqueRequest is a request whose body only its backend service understands. It is
 // routed by the operator's table and passed on unchanged.
-type Opaque struct {
+type OpaqueRequest struct {
 	// ID is the client's own id of this attempt; it is passed on.
 	ID       string
 	Table    *route.Table
@@ -43,7 +43,7 @@
 
 // Fingerprint names the content, whatever the attempt's id. It is worked out when it is
 // first asked for: most requests need none. It is not safe for concurrent use.
-func (q *Opaque) Fingerprint() quarantine.Fingerprint {
+func (q *OpaqueRequest) Fingerprint() quarantine.Fingerprint {
 	if q.fingerprint == (quarantine.Fingerprint{}) {
 		q.fingerprint = quarantine.Content{Caller: q.Customer.Name, Method: q.Method, Host: q.Route.Host, Target: q.Target, Body: q.Body}.Fingerprint()
 	}
@@ -51,7 +51,7 @@
 }
 
 // until is when the request has to be answered.
-func (q *Opaque) until() time.Time {
+func (q *OpaqueRequest) until() time.Time {
 	if q.TimeoutAt.Before(q.Deadline) {
 		return q.TimeoutAt
 	}
@@ -60,7 +60,7 @@
 
 // sessionKey is what ties the request to others: its session, or nothing but
 // itself.
-func (q *Opaque) sessionKey() string {
+func (q *OpaqueRequest) sessionKey() string {
 	if q.Session != "" {
 		return q.Session
 	}
@@ -68,7 +68,7 @@
 }
 
 // priority is the customer's rank if it has one, else the route's.
-func (q *Opaque) priority() int {
+func (q *OpaqueRequest) priority() int {
 	if q.Customer.Ranked {
 		return q.Customer.Priority
 	}
@@ -97,7 +97,7 @@
 
 // Forwarded is what became of an opaque request, for logs and metrics.
 type Forwarded struct {
-	Request *Opaque
+	Request *OpaqueRequest
 	Service string
 	Replica string
 	Release string
--- a/entry/regions_test.go
+++ b/entry/regions_test.go
@@ -21,7 +21,7 @@
 		{"north", "south", ""},
 		{"west", "", ""},
 	} {
-		w := &forwarding{r: r, q: &Opaque{Route: &route.Route{Regions: strings.Fields(c.route)}, Customer: route.Customer{Regions: strings.Fields(c.customer)}}}
+		w := &forwarding{r: r, q: &OpaqueRequest{Route: &route.Route{Regions: strings.Fields(c.route)}, Customer: route.Customer{Regions: strings.Fields(c.customer)}}}
 		var got []string
 		for _, x := range w.inRegions(all) {
 			got = append(got, x.ID)
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -100,7 +100,7 @@
 		defer cancel()
 		x, leave := context.WithCancel(ctx)
 		defer time.AfterFunc(patience, leave).Stop()
-		q := &Opaque{ID: id, Session: id, Route: r, ArrivedAt: time.Now(), Deadline: time.Now().Add(time.Minute), TimeoutAt: time.Now().Add(time.Minute)}
+		q := &OpaqueRequest{ID: id, Session: id, Route: r, ArrivedAt: time.Now(), Deadline: time.Now().Add(time.Minute), TimeoutAt: time.Now().Add(time.Minute)}
 		_, err := n.Forward(x, q, &clientSink{})
 		if err != nil && errors.Is(err, io.EOF) {
 			f.t.Error(err)
--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -10,7 +10,7 @@
 
 // Dispatch is one attempt of an opaque request at a replica.
 type Dispatch struct {
-	Request *Opaque
+	Request *OpaqueRequest
 	// Model is the size chosen for it; empty leaves the client's.
 	Model string
 	// LastEventID is the last event that the client has of the stream.
