--- a/entry/escalate.go
+++ b/entry/escalate.go
@@ -50,11 +50,11 @@
 	}
 	if w.watch.onTrial {
 		// An answer that is cut says nothing of what the content does to replicas.
-		w.f.Doubt = doubtTrial
+		w.f.Escalation = doubtTrial
 		return nil
 	}
-	w.f.Doubt = w.escalate(ctx, c)
-	if w.f.Doubt != doubtMoved {
+	w.f.Escalation = w.escalate(ctx, c)
+	if w.f.Escalation != doubtMoved {
 		return nil
 	}
 	a.served, a.escalated = true, true
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -106,8 +106,8 @@
 	Confidence float64
 	// Dropped are the answers that gave way to a larger model's.
 	Dropped []Dropped
-	// Doubt says what became of the last answer that its model doubted.
-	Doubt string
+	// Escalation says what became of the last answer that its model doubted.
+	Escalation string
 	// Limited is how often a replica was left out because it names a limit or is cold, or may
 	// be, and gets no more now; PassedOver are the best of them.
 	Limited    int
