--- a/entry/bounded.go
+++ b/entry/bounded.go
@@ -164,7 +164,7 @@
 // passOver notes the replicas that had no place, and has the client come back when there is
 // one, or when the first of them is warm.
 func (w *forwarding) passOver(l []*pool.Replica, v quota.Verdict) {
-	w.f.Limited += len(l)
+	w.f.SkippedCount += len(l)
 	w.f.PassedOver = append(w.f.PassedOver, PassedOver{Replica: l[0].ID, Why: v.Why, By: v.By})
 	w.retryBy(v.RetryAt)
 	now := w.r.clock()
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -108,9 +108,9 @@
 	Dropped []Dropped
 	// Escalation says what became of the last answer that its model doubted.
 	Escalation string
-	// Limited is how often a replica was left out because it names a limit or is cold, or may
+	// SkippedCount is how often a replica was left out because it names a limit or is cold, or may
 	// be, and gets no more now; PassedOver are the best of them.
-	Limited    int
+	SkippedCount    int
 	PassedOver []PassedOver
 	// Content is the request's fingerprint if an attempt failed or something is known
 	// against it, else empty; Verdict is the last word on whether it may be sent.
