--- a/entry/bounded_test.go
+++ b/entry/bounded_test.go
@@ -199,7 +199,7 @@
 			if p := w.place(t.Context(), l); p != nil {
 				got = p.replica.ID
 			}
-			for _, x := range w.f.PassedOver {
+			for _, x := range w.f.Skipped {
 				passed += x.Replica
 			}
 			if q.IsNone() && (got != c.want || passed != c.passed) {
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -212,9 +212,9 @@
 	if !ok {
 		return w.place(ctx, l)
 	}
-	passed := len(w.f.PassedOver)
+	passed := len(w.f.Skipped)
 	p := w.place(ctx, w.ofRelease(l, rel))
-	if p == nil && (len(w.f.PassedOver) > passed || w.f.LeftOut != "") && w.mayStay(rel) {
+	if p == nil && (len(w.f.Skipped) > passed || w.f.LeftOut != "") && w.mayStay(rel) {
 		return w.place(ctx, ofOld(l, rel))
 	}
 	return p
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -111,7 +111,7 @@
 	// SkippedCount is how often a replica was left out because it names a limit or is cold, or may
 	// be, and gets no more now; PassedOver are the best of them.
 	SkippedCount    int
-	PassedOver []PassedOver
+	Skipped []PassedOver
 	// Content is the request's fingerprint if an attempt failed or something is known
 	// against it, else empty; Verdict is the last word on whether it may be sent.
 	Content string
