--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -87,13 +87,13 @@
 // PassedOver is a replica that had no place for the request.
 type PassedOver struct {
 	Replica string
-	Why     quota.Why
+	Reason     quota.Why
 	// By is the instance that said so.
 	By string
 }
 
 // String returns the replica with the reason, for the log.
-func (p PassedOver) String() string { return fmt.Sprintf("%s:%s:%s", p.Replica, p.Why, p.By) }
+func (p PassedOver) String() string { return fmt.Sprintf("%s:%s:%s", p.Replica, p.Reason, p.By) }
 
 // Forwarded is what became of an opaque request, for logs and metrics.
 type Forwarded struct {
