--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -88,12 +88,12 @@
 type PassedOver struct {
 	Replica string
 	Reason     quota.Why
-	// By is the instance that said so.
-	By string
+	// DecidedBy is the instance that said so.
+	DecidedBy string
 }
 
 // String returns the replica with the reason, for the log.
-func (p PassedOver) String() string { return fmt.Sprintf("%s:%s:%s", p.Replica, p.Reason, p.By) }
+func (p PassedOver) String() string { return fmt.Sprintf("%s:%s:%s", p.Replica, p.Reason, p.DecidedBy) }
 
 // Forwarded is what became of an opaque request, for logs and metrics.
 type Forwarded struct {
