--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -84,8 +84,8 @@
 // String returns the model and its confidence, for the log.
 func (d Dropped) String() string { return fmt.Sprintf("%s:%.0f", d.Model, d.Confidence) }
 
-// PassedOver is a replica that had no place for the request.
-type PassedOver struct {
+// SkippedReplica is a replica that had no place for the request.
+type SkippedReplica struct {
 	Replica string
 	Reason     quota.Why
 	// DecidedBy is the instance that said so.
@@ -93,7 +93,7 @@
 }
 
 // String returns the replica with the reason, for the log.
-func (p PassedOver) String() string { return fmt.Sprintf("%s:%s:%s", p.Replica, p.Reason, p.DecidedBy) }
+func (p SkippedReplica) String() string { return fmt.Sprintf("%s:%s:%s", p.Replica, p.Reason, p.DecidedBy) }
 
 // Forwarded is what became of an opaque request, for logs and metrics.
 type Forwarded struct {
@@ -111,7 +111,7 @@
 	// SkippedCount is how often a replica was left out because it names a limit or is cold, or may
 	// be, and gets no more now; PassedOver are the best of them.
 	SkippedCount    int
-	Skipped []PassedOver
+	Skipped []SkippedReplica
 	// Content is the request's fingerprint if an attempt failed or something is known
 	// against it, else empty; Verdict is the last word on whether it may be sent.
 	Content string
