--- a/entry/escalate.go
+++ b/entry/escalate.go
@@ -58,7 +58,7 @@
 		return nil
 	}
 	a.served, a.escalated = true, true
-	w.f.Dropped = append(w.f.Dropped, Dropped{Model: w.f.Model, Confidence: c})
+	w.f.Dropped = append(w.f.Dropped, DroppedAnswer{Model: w.f.Model, Confidence: c})
 	return errPaid
 }
 
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -75,14 +75,14 @@
 	return q.Route.Priority
 }
 
-// Dropped is an answer that was not passed on.
-type Dropped struct {
+// DroppedAnswer is an answer that was not passed on.
+type DroppedAnswer struct {
 	Model      string
 	Confidence float64
 }
 
 // String returns the model and its confidence, for the log.
-func (d Dropped) String() string { return fmt.Sprintf("%s:%.0f", d.Model, d.Confidence) }
+func (d DroppedAnswer) String() string { return fmt.Sprintf("%s:%.0f", d.Model, d.Confidence) }
 
 // SkippedReplica is a replica that had no place for the request.
 type SkippedReplica struct {
@@ -105,7 +105,7 @@
 	// Confidence is of the last answer; below 0 there was none.
 	Confidence float64
 	// Dropped are the answers that gave way to a larger model's.
-	Dropped []Dropped
+	Dropped []DroppedAnswer
 	// Escalation says what became of the last answer that its model doubted.
 	Escalation string
 	// SkippedCount is how often a replica was left out because it names a limit or is cold, or may
