--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -109,9 +109,9 @@
 	}
 	r.backends.doneOpaque(a.replica.ID, bad, isUnreached(err), r.clock())
 	if failed && !errors.Is(err, errPaid) || bad {
-		w.f.Content = w.q.Fingerprint().String()
+		w.f.Fingerprint = w.q.Fingerprint().String()
 		r.events.attempt(FailedAttempt{
-			Request: w.q.ID, Service: w.f.Service, Replica: a.replica.ID, Fingerprint: w.f.Content,
+			Request: w.q.ID, Service: w.f.Service, Replica: a.replica.ID, Fingerprint: w.f.Fingerprint,
 			AnswerStarted: a.began, Events: a.events, Err: orFailure(err, w.f.Status),
 		})
 	}
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -112,9 +112,9 @@
 	// be, and gets no more now; PassedOver are the best of them.
 	SkippedCount    int
 	Skipped []SkippedReplica
-	// Content is the request's fingerprint if an attempt failed or something is known
+	// Fingerprint is the request's fingerprint if an attempt failed or something is known
 	// against it, else empty; Verdict is the last word on whether it may be sent.
-	Content string
+	Fingerprint string
 	Verdict quarantine.Verdict
 	// Tried are the replicas that it was sent to, in order.
 	Tried []string
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -94,7 +94,7 @@
 func (w *forwarding) allowed(ctx context.Context) error {
 	err := w.watch.allowed(ctx)
 	if w.watch.watched {
-		w.f.Content, w.f.Verdict = w.q.Fingerprint().String(), w.watch.verdict
+		w.f.Fingerprint, w.f.Verdict = w.q.Fingerprint().String(), w.watch.verdict
 	}
 	if err != nil {
 		w.retryAt = w.watch.verdict.RetryAt
