--- a/entry/forward.go
+++ b/entry/forward.go
@@ -207,14 +207,14 @@
 func (w *forwarding) take(ctx context.Context) *placed {
 	v := w.r.view.Get()
 	l := w.inRegions(v.byService[w.f.Service])
-	w.f.LeftOut = w.r.notices.LeftOut(pool.IDs(l), w.r.clock())
+	w.f.Excluded = w.r.notices.LeftOut(pool.IDs(l), w.r.clock())
 	rel, ok := v.Releases[w.f.Service]
 	if !ok {
 		return w.place(ctx, l)
 	}
 	passed := len(w.f.Skipped)
 	p := w.place(ctx, w.ofRelease(l, rel))
-	if p == nil && (len(w.f.Skipped) > passed || w.f.LeftOut != "") && w.mayStay(rel) {
+	if p == nil && (len(w.f.Skipped) > passed || w.f.Excluded != "") && w.mayStay(rel) {
 		return w.place(ctx, ofOld(l, rel))
 	}
 	return p
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -118,8 +118,8 @@
 	Verdict quarantine.Verdict
 	// Tried are the replicas that it was sent to, in order.
 	Tried []string
-	// LeftOut counts the replicas that had said that they leave or rest at the last choice.
-	LeftOut string
+	// Excluded counts the replicas that had said that they leave or rest at the last choice.
+	Excluded string
 	Sends   int
 	Runs    int
 	Events  int
