--- a/entry/forward.go
+++ b/entry/forward.go
@@ -75,7 +75,7 @@
 		return w.f, nil
 	}
 	f := w.failed(ctx, err)
-	w.f.Run, w.f.Code, w.f.Cause = f.Outcome, f.Code, f.Cause
+	w.f.Outcome, w.f.Code, w.f.Cause = f.Outcome, f.Code, f.Cause
 	return w.f, f
 }
 
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -124,7 +124,7 @@
 	Runs    int
 	Events  int
 	Status  int
-	Run     outcome.Kind
+	Outcome     outcome.Kind
 	Code    Code
 	Cause   error
 	// Stopped says why no further attempt was made after a failed one.
