--- a/entry/forward.go
+++ b/entry/forward.go
@@ -150,7 +150,7 @@
 // ends notes why no further attempt is made, if that is so.
 func (w *forwarding) ends(over bool, why string) bool {
 	if over {
-		w.f.Stopped = why
+		w.f.StopReason = why
 	}
 	return over
 }
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -127,8 +127,8 @@
 	Outcome     outcome.Kind
 	Code    Code
 	Cause   error
-	// Stopped says why no further attempt was made after a failed one.
-	Stopped string
+	// StopReason says why no further attempt was made after a failed one.
+	StopReason string
 	FirstAt time.Time
 	EndedAt time.Time
 }
--- a/entry/release_test.go
+++ b/entry/release_test.go
@@ -89,8 +89,8 @@
 			cancel()
 		}()
 		q := &OpaqueRequest{ID: "q", Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: time.Now(), Deadline: time.Now().Add(time.Hour), TimeoutAt: time.Now().Add(time.Hour)}
-		if f, err := r.Forward(ctx, q, &clientSink{}); err == nil || f.Stopped != "the client left" {
-			t.Fatalf("%v, stopped %q", err, f.Stopped)
+		if f, err := r.Forward(ctx, q, &clientSink{}); err == nil || f.StopReason != "the client left" {
+			t.Fatalf("%v, stopped %q", err, f.StopReason)
 		}
 	}
 	if l := r.Tallies(); len(l) != 0 {
--- a/entry/underway_test.go
+++ b/entry/underway_test.go
@@ -51,8 +51,8 @@
 	select {
 	case err := <-done:
 		var e *Failure
-		if !errors.As(err, &e) || e.Code != DeadlineExceeded || f.Stopped != "out of time" {
-			t.Errorf("ended with %v, %q, want that the deadline passed", err, f.Stopped)
+		if !errors.As(err, &e) || e.Code != DeadlineExceeded || f.StopReason != "out of time" {
+			t.Errorf("ended with %v, %q, want that the deadline passed", err, f.StopReason)
 		}
 	case <-time.After(20 * time.Second):
 		t.Fatal("the request waits on although its time is over")
