--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -82,8 +82,8 @@
 		if f.SkippedCount > 0 {
 			l.WithLabelValues(f.Service).Add(float64(f.SkippedCount))
 		}
-		if !f.FirstAt.IsZero() {
-			d.WithLabelValues(f.Service).Observe(f.FirstAt.Sub(q.ArrivedAt).Seconds())
+		if !f.FirstByteAt.IsZero() {
+			d.WithLabelValues(f.Service).Observe(f.FirstByteAt.Sub(q.ArrivedAt).Seconds())
 		}
 		n.quarantined(f)
 		age, _ := n.lease.Age(n.clock())
@@ -93,7 +93,7 @@
 		n.event("routed", "request", q.ID, "content", f.Fingerprint, "route", q.Route.Name, "customer", q.Customer.Name, "session", q.Session, "config", q.Table.Version, "config_age", age,
 			"service", f.Service, "replica", f.Replica, "tried", f.Tried, "left_out", f.Excluded, "release", f.Release, "model", f.Model, "confidence", f.Confidence, "dropped", f.Dropped, "doubt", f.Escalation,
 			"prompt", q.Prompt.In, "most", q.Prompt.MaxOut, "limited", f.SkippedCount, "passed_over", f.Skipped, "sends", f.Sends, "runs", f.Runs, "events", f.Events, "status", f.Status, "code", code, "run", f.Outcome, "cause", causeText(f.Cause), "stopped", f.StopReason,
-			"first", since(f.FirstAt, q.ArrivedAt), "took", f.EndedAt.Sub(q.ArrivedAt), "allowed", q.Deadline.Sub(q.ArrivedAt))
+			"first", since(f.FirstByteAt, q.ArrivedAt), "took", f.EndedAt.Sub(q.ArrivedAt), "allowed", q.Deadline.Sub(q.ArrivedAt))
 	}
 }
 
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -64,7 +64,7 @@
 		return outcome.New(outcome.Unknown, "read", a.replica.ID, err)
 	}
 	w := a.w
-	w.f.FirstAt = w.r.clock()
+	w.f.FirstByteAt = w.r.clock()
 	w.began(a.sent)
 	w.f.Status = reply.Head().Status
 	w.started = true
@@ -105,8 +105,8 @@
 func (a *attempt) heard() {
 	a.read, a.readAt = true, a.w.r.clock()
 	a.w.began(a.readAt)
-	if a.w.f.FirstAt.IsZero() {
-		a.w.f.FirstAt = a.readAt
+	if a.w.f.FirstByteAt.IsZero() {
+		a.w.f.FirstByteAt = a.readAt
 	}
 	a.w.read(a.placed, a.sent)
 }
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -129,6 +129,6 @@
 	Cause   error
 	// StopReason says why no further attempt was made after a failed one.
 	StopReason string
-	FirstAt time.Time
+	FirstByteAt time.Time
 	EndedAt time.Time
 }
