--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -68,11 +68,11 @@
 }
 
 // answered logs and counts each routed request.
-func (n *node) answered() func(*entry.Forwarded) {
+func (n *node) answered() func(*entry.ForwardResult) {
 	c := n.metrics.Counter("routed_total", "Routed requests by service and result.", "service", "code")
 	l := n.metrics.Counter("replicas_limited_total", "Replicas that were left out for a request because they name a limit, or are cold, or may be, and got no more then, by service.", "service")
 	d := n.metrics.Histogram("routed_first_seconds", "Time to the answer or to the first event.", "service")
-	return func(f *entry.Forwarded) {
+	return func(f *entry.ForwardResult) {
 		q := f.Request
 		code := string(f.Code)
 		if code == "" {
--- a/cmd/fieldvale-node/quarantine.go
+++ b/cmd/fieldvale-node/quarantine.go
@@ -39,7 +39,7 @@
 }
 
 // quarantined logs why a request was sent on trial only, or not at all.
-func (n *node) quarantined(f *entry.Forwarded) {
+func (n *node) quarantined(f *entry.ForwardResult) {
 	v := f.Verdict
 	if v.Decision == quarantine.Free {
 		return
--- a/entry/bounded_test.go
+++ b/entry/bounded_test.go
@@ -75,7 +75,7 @@
 	t := route.New(1, nil, map[string]route.Service{"s": {ColdFor: 3 * time.Second, ColdPerSecond: 10}}, nil, route.Limits{})
 	l := []*pool.Replica{{ID: "warm"}, {ID: "cold", ColdUntil: now.Add(2 * time.Second)}, {ID: "lost"}, {ID: "cut"}}
 	for _, x := range l {
-		w := &forwarding{r: r, q: &OpaqueRequest{Table: t, Route: &route.Route{}}, f: &Forwarded{Service: "s"}}
+		w := &forwarding{r: r, q: &OpaqueRequest{Table: t, Route: &route.Route{}}, f: &ForwardResult{Service: "s"}}
 		r.backends.put(x, 1, now)
 		a := &attempt{w: w, placed: &placed{replica: x}, replica: x, ran: x.ID == "cut"}
 		var err error
@@ -125,7 +125,7 @@
 		if c.limited != "" {
 			g.limited[c.limited] = true
 		}
-		w := &forwarding{r: r, q: &OpaqueRequest{Table: table}, f: &Forwarded{Service: c.service}}
+		w := &forwarding{r: r, q: &OpaqueRequest{Table: table}, f: &ForwardResult{Service: c.service}}
 		if x := w.parts(l); x != c.want {
 			t.Errorf("%s: %q, want %q", c.name, x, c.want)
 		}
@@ -146,7 +146,7 @@
 		{"warm", "cold", 1, 0},
 		{"warm", "", 2, 2 * time.Second},
 	} {
-		w := &forwarding{r: r, model: -1, askedBy: -1, q: &OpaqueRequest{ID: "q", Table: table, Route: &route.Route{}}, f: &Forwarded{Service: "s"}, tried: strings.Fields(c.tried)}
+		w := &forwarding{r: r, model: -1, askedBy: -1, q: &OpaqueRequest{ID: "q", Table: table, Route: &route.Route{}}, f: &ForwardResult{Service: "s"}, tried: strings.Fields(c.tried)}
 		x := w.place(t.Context(), l[:2])
 		got := ""
 		if x != nil {
@@ -194,7 +194,7 @@
 			// The others have more to do.
 			r.backends.put(l[1], 500, *now)
 			r.backends.put(l[2], 900, *now)
-			w := &forwarding{r: r, model: -1, askedBy: -1, q: &OpaqueRequest{ID: "q", Table: table, Route: &route.Route{}, Prompt: q}, f: &Forwarded{Service: "other"}}
+			w := &forwarding{r: r, model: -1, askedBy: -1, q: &OpaqueRequest{ID: "q", Table: table, Route: &route.Route{}, Prompt: q}, f: &ForwardResult{Service: "other"}}
 			got, passed := "", ""
 			if p := w.place(t.Context(), l); p != nil {
 				got = p.replica.ID
@@ -221,7 +221,7 @@
 	g := &grantingQuota{grants: 2, limited: map[string]bool{"a": true}}
 	r, table, _, _ := boundedRouter(g, nil)
 	g.back = nil
-	w := &forwarding{r: r, model: -1, askedBy: -1, q: &OpaqueRequest{ID: "q", Table: table, Route: &route.Route{}}, f: &Forwarded{Service: "s"}}
+	w := &forwarding{r: r, model: -1, askedBy: -1, q: &OpaqueRequest{ID: "q", Table: table, Route: &route.Route{}}, f: &ForwardResult{Service: "s"}}
 	p := w.place(t.Context(), []*pool.Replica{{ID: "a"}})
 	w.giveBack(p)
 	p = w.place(t.Context(), []*pool.Replica{{ID: "a"}})
@@ -258,7 +258,7 @@
 			if c.session != "" {
 				q.Session = fmt.Sprint(c.session, i)
 			}
-			w := &forwarding{r: r, model: -1, askedBy: -1, q: q, f: &Forwarded{Service: "s"}}
+			w := &forwarding{r: r, model: -1, askedBy: -1, q: q, f: &ForwardResult{Service: "s"}}
 			id := ""
 			if p := w.take(t.Context()); p != nil {
 				id = p.replica.ID
--- a/entry/distance_test.go
+++ b/entry/distance_test.go
@@ -45,7 +45,7 @@
 func TestEstimateNamesParts(t *testing.T) {
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: time.Now, Rand: rand.NewPCG(1, 1)})
 	q := &OpaqueRequest{Route: &route.Route{}, Prompt: prompt.Prompt{Model: "m", In: 350, Parts: []prompt.Part{{ID: "a", Tokens: 100}, {ID: "b", Tokens: 200}, {ID: "own", Tokens: 50}}}}
-	e := (&forwarding{r: r, q: q, f: &Forwarded{Service: "s"}, model: -1}).estimate()
+	e := (&forwarding{r: r, q: q, f: &ForwardResult{Service: "s"}, model: -1}).estimate()
 	if e.key != "m/b" || len(e.shared) != 2 || e.shared[0].Key != "m/a" || e.shared[1].Key != "m/b" {
 		t.Errorf("key %q, parts %+v, want m/b of m/a and m/b", e.key, e.shared)
 	}
--- a/entry/ended_test.go
+++ b/entry/ended_test.go
@@ -73,7 +73,7 @@
 			v.Put(NewView(nil, []pool.Replica{b}, nil, nil))
 		}
 		r := NewRouter(Ports{View: v, Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Prober: endedUpstream{}})
-		a := &attempt{w: &forwarding{r: r, f: &Forwarded{Service: "s"}}, replica: &b, sent: c.sent}
+		a := &attempt{w: &forwarding{r: r, f: &ForwardResult{Service: "s"}}, replica: &b, sent: c.sent}
 		if got := a.replicaEnded(); got != c.want {
 			t.Errorf("%s: ended %t, want %t", c.name, got, c.want)
 		}
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -27,7 +27,7 @@
 	r   *Router
 	q   *OpaqueRequest
 	out ForwardSink
-	f   *Forwarded
+	f   *ForwardResult
 
 	tried    []string
 	refusals int
@@ -58,11 +58,11 @@
 // Forward routes a request to a replica of its service and passes the answer
 // on. The error is a *Failure; if the sink had its head by then, the answer
 // must be broken off.
-func (r *Router) Forward(ctx context.Context, q *OpaqueRequest, out ForwardSink) (*Forwarded, error) {
+func (r *Router) Forward(ctx context.Context, q *OpaqueRequest, out ForwardSink) (*ForwardResult, error) {
 	x, cancel := context.WithTimeout(ctx, q.until().Sub(r.clock()))
 	defer cancel()
 	w := &forwarding{r: r, q: q, out: out, after: q.LastEventID, model: -1, askedBy: -1, watch: watch{quarantine: r.quarantine, content: q.Fingerprint}}
-	w.f = &Forwarded{Request: q, Service: q.Route.Service(q.ID), Confidence: -1}
+	w.f = &ForwardResult{Request: q, Service: q.Route.Service(q.ID), Confidence: -1}
 	if len(q.Route.Models) > 0 && (q.Prompt.Model == prompt.AnyModel || q.Prompt.Model == "") {
 		w.model = 0
 	}
--- a/entry/hopeless_test.go
+++ b/entry/hopeless_test.go
@@ -16,7 +16,7 @@
 	q := &OpaqueRequest{Route: &route.Route{}, Deadline: now.Add(5 * time.Second), TimeoutAt: now.Add(5 * time.Second)}
 	seen := map[time.Time]bool{}
 	for range 20 {
-		w := &forwarding{r: r, q: q, f: &Forwarded{Service: "s"}}
+		w := &forwarding{r: r, q: q, f: &ForwardResult{Service: "s"}}
 		if !w.hopeless(&placed{ready: 7000}) {
 			t.Fatal("a first event after 7 s of 5 s is not hopeless")
 		}
--- a/entry/leads_test.go
+++ b/entry/leads_test.go
@@ -54,7 +54,7 @@
 // before counts.
 func TestLeadOfOneRequest(t *testing.T) {
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: time.Now, Rand: rand.NewPCG(1, 1)})
-	w := &forwarding{r: r, q: &OpaqueRequest{Route: &route.Route{Models: []string{"s", "m", "l"}}}, f: &Forwarded{Service: "x", Confidence: 50}, model: 2, askedBy: 0}
+	w := &forwarding{r: r, q: &OpaqueRequest{Route: &route.Route{Models: []string{"s", "m", "l"}}}, f: &ForwardResult{Service: "x", Confidence: 50}, model: 2, askedBy: 0}
 	w.learnLead(100)
 	if g := r.leads.of("x/l"); g != firstLead {
 		t.Errorf("the largest model's lead over the smallest counted as one over the middle: %.1f", g)
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -95,8 +95,8 @@
 // String returns the replica with the reason, for the log.
 func (p SkippedReplica) String() string { return fmt.Sprintf("%s:%s:%s", p.Replica, p.Reason, p.DecidedBy) }
 
-// Forwarded is what became of an opaque request, for logs and metrics.
-type Forwarded struct {
+// ForwardResult is what became of an opaque request, for logs and metrics.
+type ForwardResult struct {
 	Request *OpaqueRequest
 	Service string
 	Replica string
--- a/entry/underway_test.go
+++ b/entry/underway_test.go
@@ -39,7 +39,7 @@
 	end := now().Add(time.Minute)
 	q := &OpaqueRequest{ID: "q", Table: v.Get().Table, Route: &route.Route{Kind: route.Repeatable, MaxAttempts: 2, Split: []route.Part{{Service: "s"}}}, ArrivedAt: now(), Deadline: end, TimeoutAt: end}
 	done := make(chan error, 1)
-	var f *Forwarded
+	var f *ForwardResult
 	go func() {
 		var err error
 		f, err = r.Forward(t.Context(), q, &clientSink{})
