--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -76,7 +76,7 @@
 	records chan state.Record
 	// seen is what was last logged of each service's release; only the
 	// goroutine of timed duties uses it.
-	seen map[string]entry.Trial
+	seen map[string]entry.ReleaseTrial
 	// earlier is this instance's announcement as the first look at the list showed it.
 	earlier chan store.Announced
 	// cloud does the duties that one instance at a time has; nil where there are none.
@@ -112,7 +112,7 @@
 func newNodeBy(c *clock.Clock, s settings.Node, path string, l log.Interface) *node {
 	n := &node{
 		s: s, path: path, log: l, clock: c.Now, machine: c, metrics: metrics.New(), view: entry.NewCurrentView(),
-		records: make(chan state.Record), seen: map[string]entry.Trial{}, earlier: make(chan store.Announced, 1), alone: make(chan struct{}, 1), pool: exchange.New(c.Now), stopping: make(chan struct{}),
+		records: make(chan state.Record), seen: map[string]entry.ReleaseTrial{}, earlier: make(chan store.Announced, 1), alone: make(chan struct{}, 1), pool: exchange.New(c.Now), stopping: make(chan struct{}),
 	}
 	n.lease = lease.New(time.Duration(honourPart*float64(s.HonourFor)), s.ApplyWithin, keyRule(s), n.clock())
 	n.placer = placement.NewNode(s.ID, startID(), tagged{n, tagPlacement}, n.clock, n.event)
--- a/entry/releases.go
+++ b/entry/releases.go
@@ -306,17 +306,17 @@
 	r.releases.report(rel, origin, t.Tally, r.clock(), r.events)
 }
 
-// Trial is what this instance makes of a release under way, by its own answers
+// ReleaseTrial is what this instance makes of a release under way, by its own answers
 // and those that others told it of.
-type Trial struct {
+type ReleaseTrial struct {
 	Release rollout.Release
 	Seen    rollout.Tally
 	Finding rollout.Finding
 }
 
 // Trials returns the trials of the releases under way.
-func (r *Router) Trials() []Trial {
-	var l []Trial
+func (r *Router) Trials() []ReleaseTrial {
+	var l []ReleaseTrial
 	s := r.releases
 	for _, rel := range r.view.Get().Releases {
 		if rel.State != rollout.Running {
@@ -324,7 +324,7 @@
 		}
 		s.mu.Lock()
 		if t := s.of(rel); t != nil {
-			l = append(l, Trial{Release: rel, Seen: t.judge.Total(), Finding: t.judge.Finding()})
+			l = append(l, ReleaseTrial{Release: rel, Seen: t.judge.Total(), Finding: t.judge.Finding()})
 		}
 		s.mu.Unlock()
 	}
