--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -58,7 +58,7 @@
 // see logs what this instance makes of releases under way, where it has
 // changed since the last line.
 func (n *node) see() {
-	for _, t := range n.router.Trials() {
+	for _, t := range n.router.ReleaseTrials() {
 		if n.seen[t.Release.Service] == t {
 			continue
 		}
--- a/entry/releases.go
+++ b/entry/releases.go
@@ -314,8 +314,8 @@
 	Finding rollout.Finding
 }
 
-// Trials returns the trials of the releases under way.
-func (r *Router) Trials() []ReleaseTrial {
+// ReleaseTrials returns the trials of the releases under way.
+func (r *Router) ReleaseTrials() []ReleaseTrial {
 	var l []ReleaseTrial
 	s := r.releases
 	for _, rel := range r.view.Get().Releases {
