--- a/cmd/fieldvale-node/duties.go
+++ b/cmd/fieldvale-node/duties.go
@@ -68,7 +68,7 @@
 
 // tellReleases tells what was seen of releases under way.
 func (n *node) tellReleases() {
-	n.tell(n.router.Tallies())
+	n.tell(n.router.CollectTallies())
 	n.tellBad()
 	n.tellDoubt()
 }
--- a/entry/ended_test.go
+++ b/entry/ended_test.go
@@ -43,7 +43,7 @@
 		r.backends.of("new.1").breaker = admission.Breaker{}
 	}
 	var broken uint64
-	for _, y := range r.Tallies() {
+	for _, y := range r.CollectTallies() {
 		n, _ := y.Tally.All()
 		broken += n.Broken
 	}
--- a/entry/release_test.go
+++ b/entry/release_test.go
@@ -93,7 +93,7 @@
 			t.Fatalf("%v, stopped %q", err, f.StopReason)
 		}
 	}
-	if l := r.Tallies(); len(l) != 0 {
+	if l := r.CollectTallies(); len(l) != 0 {
 		t.Errorf("the release has %+v", l)
 	}
 	if !r.backends.of("new").breaker.Allows(time.Now()) {
--- a/entry/releases.go
+++ b/entry/releases.go
@@ -163,9 +163,9 @@
 	Tally   rollout.Tally
 }
 
-// Tallies returns what this instance saw of releases that has changed since it
+// CollectTallies returns what this instance saw of releases that has changed since it
 // was last asked.
-func (r *Router) Tallies() []ReleaseTally {
+func (r *Router) CollectTallies() []ReleaseTally {
 	return r.tallies(func(t *trial) bool { return t.changed })
 }
 
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -136,7 +136,7 @@
 // tell passes what each instance saw to all others.
 func (f *trialFleet) tell() {
 	for i, r := range f.routers {
-		for _, t := range r.Tallies() {
+		for _, t := range r.CollectTallies() {
 			for j, o := range f.routers {
 				if j != i {
 					o.ReportTally(fmt.Sprint("n", i), t)
@@ -234,7 +234,7 @@
 		f.routers = seen
 		a := trialRoutes(1)
 		f.run("before", a, 60, 20*time.Second, time.Minute)
-		for _, x := range seen[0].Tallies() {
+		for _, x := range seen[0].CollectTallies() {
 			judge.ReportTally("n1", x)
 		}
 		time.Sleep(time.Second)
@@ -242,7 +242,7 @@
 		rate = 0.5
 		for i := range 6 {
 			f.run(fmt.Sprint("after", i, "-"), a, 60, 500*time.Millisecond, time.Minute)
-			for _, x := range f.routers[0].Tallies() {
+			for _, x := range f.routers[0].CollectTallies() {
 				judge.ReportTally("n1", x)
 			}
 		}
