--- a/cmd/fieldvale-node/duties.go
+++ b/cmd/fieldvale-node/duties.go
@@ -62,7 +62,7 @@
 	n.quarantine.Tick()
 	n.quota.Tick()
 	n.notices.Sweep(pool.IDs(n.view.Get().Replicas))
-	n.tell(n.router.UrgentTallies())
+	n.tell(n.router.CollectUrgentTallies())
 	n.advance()
 }
 
--- a/entry/releases.go
+++ b/entry/releases.go
@@ -169,8 +169,8 @@
 	return r.tallies(func(t *trial) bool { return t.changed })
 }
 
-// UrgentTallies is like Tallies for releases of which bad answers came since.
-func (r *Router) UrgentTallies() []ReleaseTally {
+// CollectUrgentTallies is like Tallies for releases of which bad answers came since.
+func (r *Router) CollectUrgentTallies() []ReleaseTally {
 	return r.tallies(func(t *trial) bool { return t.urgent })
 }
 
