--- a/cmd/fieldvale-node/tally.go
+++ b/cmd/fieldvale-node/tally.go
@@ -103,7 +103,7 @@
 		n.router.ReportDoubt(v.Service, v.Order)
 		return
 	}
-	if n.router.ReportBad(v.Service, v.Order) {
+	if n.router.RecordPeerBadRelease(v.Service, v.Order) {
 		n.event("release_bad_told", "service", v.Service, "order", v.Order, "by", v.From)
 	}
 }
--- a/entry/releases.go
+++ b/entry/releases.go
@@ -203,9 +203,9 @@
 	return l
 }
 
-// ReportBad takes in that another instance found a release under way to be bad.
+// RecordPeerBadRelease takes in that another instance found a release under way to be bad.
 // It reports whether that is news here.
-func (r *Router) ReportBad(service string, order int64) bool {
+func (r *Router) RecordPeerBadRelease(service string, order int64) bool {
 	return r.told(service, order, func(t *trial) { t.told = true })
 }
 
