--- a/cmd/fieldvale-node/tally.go
+++ b/cmd/fieldvale-node/tally.go
@@ -100,7 +100,7 @@
 		return
 	}
 	if v.Doubt {
-		n.router.ReportDoubt(v.Service, v.Order)
+		n.router.RecordPeerDoubt(v.Service, v.Order)
 		return
 	}
 	if n.router.RecordPeerBadRelease(v.Service, v.Order) {
--- a/entry/releases.go
+++ b/entry/releases.go
@@ -255,9 +255,9 @@
 // release. One that hears few has too few answers to be in doubt by.
 func (r *Router) hearsMost(t *trial) bool { return 2*t.judge.Finding().Origins > r.fleet() }
 
-// ReportDoubt takes in that another instance, which judges the release, is in doubt
+// RecordPeerDoubt takes in that another instance, which judges the release, is in doubt
 // of it.
-func (r *Router) ReportDoubt(service string, order int64) {
+func (r *Router) RecordPeerDoubt(service string, order int64) {
 	r.told(service, order, func(t *trial) { t.doubted = r.clock() })
 }
 
