--- a/cmd/fieldvale-node/tally.go
+++ b/cmd/fieldvale-node/tally.go
@@ -89,7 +89,7 @@
 		n.event("datagram_unreadable", "from", from, "error", err)
 		return
 	}
-	n.router.ReportTally(origin, t)
+	n.router.RecordPeerTally(origin, t)
 }
 
 // receiveVerdict takes in that another instance found a release bad, or is in doubt.
--- a/entry/releases.go
+++ b/entry/releases.go
@@ -297,8 +297,8 @@
 	return l
 }
 
-// ReportTally takes in what another instance saw of a release under way.
-func (r *Router) ReportTally(origin string, t ReleaseTally) {
+// RecordPeerTally takes in what another instance saw of a release under way.
+func (r *Router) RecordPeerTally(origin string, t ReleaseTally) {
 	rel, ok := r.view.Get().Releases[t.Service]
 	if !ok || rel.Order != t.Order || rel.State != rollout.Running {
 		return
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -139,7 +139,7 @@
 		for _, t := range r.CollectTallies() {
 			for j, o := range f.routers {
 				if j != i {
-					o.ReportTally(fmt.Sprint("n", i), t)
+					o.RecordPeerTally(fmt.Sprint("n", i), t)
 				}
 			}
 		}
@@ -235,7 +235,7 @@
 		a := trialRoutes(1)
 		f.run("before", a, 60, 20*time.Second, time.Minute)
 		for _, x := range seen[0].CollectTallies() {
-			judge.ReportTally("n1", x)
+			judge.RecordPeerTally("n1", x)
 		}
 		time.Sleep(time.Second)
 		f.routers = []*Router{f.router(1)}
@@ -243,7 +243,7 @@
 		for i := range 6 {
 			f.run(fmt.Sprint("after", i, "-"), a, 60, 500*time.Millisecond, time.Minute)
 			for _, x := range f.routers[0].CollectTallies() {
-				judge.ReportTally("n1", x)
+				judge.RecordPeerTally("n1", x)
 			}
 		}
 		if len(judge.BadReleases()) == 0 {
