--- a/entry/releases.go
+++ b/entry/releases.go
@@ -213,10 +213,10 @@
 // asked after smaller ones, and failures are tried again.
 const sendsPerRequest = 1.5
 
-// Sends estimates how many requests a second the service's replicas get, by what
+// SendRate estimates how many requests a second the service's replicas get, by what
 // instances told of a release that has run for so long; where few have, by this
 // instance's own requests, of which it may have few or many.
-func (r *Router) Sends(rel rollout.Release, ran time.Duration) float64 {
+func (r *Router) SendRate(rel rollout.Release, ran time.Duration) float64 {
 	s := r.releases
 	s.mu.Lock()
 	var n uint64
