--- a/cmd/fieldvale-node/duties.go
+++ b/cmd/fieldvale-node/duties.go
@@ -81,7 +81,7 @@
 	n.resumedAfter = n.machine.Suspended()
 	if d := n.resumedAfter - was; d > 0 {
 		n.event("resumed", "suspended_for", d)
-		n.router.Resumed()
+		n.router.AfterSuspension()
 	}
 }
 
--- a/entry/underway.go
+++ b/entry/underway.go
@@ -27,9 +27,9 @@
 	delete(u.m, w)
 }
 
-// Resumed is to be called after the machine was suspended: requests whose time ran out
+// AfterSuspension is to be called after the machine was suspended: requests whose time ran out
 // meanwhile end now, the others when it is over.
-func (r *Router) Resumed() {
+func (r *Router) AfterSuspension() {
 	now := r.clock()
 	r.underway.mu.Lock()
 	defer r.underway.mu.Unlock()
--- a/entry/underway_test.go
+++ b/entry/underway_test.go
@@ -47,7 +47,7 @@
 	}()
 	<-u.sent
 	suspended.Store(int64(2 * time.Minute))
-	r.Resumed()
+	r.AfterSuspension()
 	select {
 	case err := <-done:
 		var e *Failure
