--- a/cmd/fieldvale-node/cloud.go
+++ b/cmd/fieldvale-node/cloud.go
@@ -152,7 +152,7 @@
 
 // runningHere is how many requests run at this instance, by service.
 func (c *cloud) runningHere() map[string]int {
-	by := c.n.router.Running()
+	by := c.n.router.InFlight()
 	n := map[string]int{}
 	for _, r := range c.n.view.Get().Replicas {
 		if k := by[r.ID]; k > 0 {
--- a/entry/router.go
+++ b/entry/router.go
@@ -158,8 +158,8 @@
 // Evidence returns the counts of good and bad outcomes by version.
 func (r *Router) Evidence() map[version.ID]rollout.Evidence { return r.evidence.all() }
 
-// Running returns this entry's requests by replica.
-func (r *Router) Running() map[string]int { return r.backends.running() }
+// InFlight returns this entry's requests by replica.
+func (r *Router) InFlight() map[string]int { return r.backends.running() }
 
 // Limits returns the limits in force by version or service.
 func (r *Router) Limits() map[string]int {
--- a/process/link.go
+++ b/process/link.go
@@ -68,7 +68,7 @@
 	defer cancel()
 	u, err := l.control.Sync(x, control.Report{
 		Incarnation: l.incarnation, Revision: l.revision(), View: l.seen.View, Control: l.seen.Control,
-		Ledger: l.biller.Ledger(), AloneUpto: l.biller.AloneUpto(), Evidence: l.router.Evidence(), Running: l.router.Running(), Stopping: stopping,
+		Ledger: l.biller.Ledger(), AloneUpto: l.biller.AloneUpto(), Evidence: l.router.Evidence(), Running: l.router.InFlight(), Stopping: stopping,
 	})
 	if err != nil {
 		if !l.failing {
