--- a/entry/router.go
+++ b/entry/router.go
@@ -161,8 +161,8 @@
 // InFlight returns this entry's requests by replica.
 func (r *Router) InFlight() map[string]int { return r.backends.running() }
 
-// Limits returns the limits in force by version or service.
-func (r *Router) Limits() map[string]int {
+// ConcurrencyLimits returns the limits in force by version or service.
+func (r *Router) ConcurrencyLimits() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := map[string]int{}
