--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -98,7 +98,7 @@
 	stale    *prometheus.CounterVec
 	socket   *datagram.Socket
 	relay    *relay.Node
-	changes  *relay.Log
+	changes  *relay.ChangeLog
 	stopping chan struct{}
 }
 
--- a/relay/log.go
+++ b/relay/log.go
@@ -23,9 +23,9 @@
 	maxLogBytes = 3 << 20
 )
 
-// Log is what an instance knows of the store: all that it holds, and its recent
+// ChangeLog is what an instance knows of the store: all that it holds, and its recent
 // changes. It is safe for concurrent use.
-type Log struct {
+type ChangeLog struct {
 	mu    sync.Mutex
 	items []store.Item
 	// floor is the revision from which on items are complete; below 0 there
@@ -52,14 +52,14 @@
 }
 
 // NewLog returns a log that knows nothing.
-func NewLog() *Log {
-	return &Log{floor: -1, hops: unknownHops, changed: make(chan struct{}), content: packedContent(nil, 0)}
+func NewLog() *ChangeLog {
+	return &ChangeLog{floor: -1, hops: unknownHops, changed: make(chan struct{}), content: packedContent(nil, 0)}
 }
 
 // Reset takes all items that the store holds. What is new among them, and what
 // is gone, counts as changed at the revision: followers need not read the
 // store whole when it has forgotten its history. After an error the log knows nothing.
-func (l *Log) Reset(items []store.Item, revision int64) error {
+func (l *ChangeLog) Reset(items []store.Item, revision int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	was, err := l.content.items()
@@ -89,7 +89,7 @@
 
 // contentOf returns the items as content: as they came, where another instance has packed
 // them.
-func (l *Log) contentOf(items []store.Item, revision int64) (content, error) {
+func (l *ChangeLog) contentOf(items []store.Item, revision int64) (content, error) {
 	f := l.fetched
 	l.fetched = fetched{}
 	if f.packed != nil && f.revision == revision {
@@ -99,7 +99,7 @@
 }
 
 // fetch notes a whole that came packed from another instance.
-func (l *Log) fetch(packed []byte, revision int64) {
+func (l *ChangeLog) fetch(packed []byte, revision int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fetched = fetched{packed, revision}
@@ -107,7 +107,7 @@
 
 // Add appends changes up to the revision. Of each key the newest item is
 // kept: a follower has no use for those before. After an error the log knows nothing.
-func (l *Log) Add(items []store.Item, revision int64) error {
+func (l *ChangeLog) Add(items []store.Item, revision int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err := l.content.put(items); err != nil {
@@ -118,14 +118,14 @@
 }
 
 // forget has the log know nothing, as it can't be told from what it holds.
-func (l *Log) forget(err error) error {
+func (l *ChangeLog) forget(err error) error {
 	l.content, l.items, l.floor = packedContent(nil, 0), nil, -1
 	l.wake()
 	return errors.Wrap(err, "relay.Log")
 }
 
 // append puts items that changed up to the revision behind the others.
-func (l *Log) append(items []store.Item, revision int64) {
+func (l *ChangeLog) append(items []store.Item, revision int64) {
 	changed := map[string]bool{}
 	for _, i := range items {
 		changed[i.Key] = true
@@ -143,7 +143,7 @@
 }
 
 // trim drops the oldest items beyond the bounds.
-func (l *Log) trim() {
+func (l *ChangeLog) trim() {
 	n, size := len(l.items), 0
 	most := max(leastLog, l.content.len())
 	for n > 0 && len(l.items)-n < most && size+len(l.items[n-1].Value) <= maxLogBytes {
@@ -157,7 +157,7 @@
 }
 
 // Confirm says that nothing newer than what was added existed at asOf.
-func (l *Log) Confirm(asOf time.Time) {
+func (l *ChangeLog) Confirm(asOf time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.confirmed.IsZero() {
@@ -169,7 +169,7 @@
 }
 
 // SetLost says whether the instance is out of touch with what it follows.
-func (l *Log) SetLost(lost bool) {
+func (l *ChangeLog) SetLost(lost bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lost = lost
@@ -177,7 +177,7 @@
 }
 
 // SetHops says how many instances what is known has come through.
-func (l *Log) SetHops(hops int) {
+func (l *ChangeLog) SetHops(hops int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.hops == hops {
@@ -188,13 +188,13 @@
 }
 
 // Hops returns how many instances what is known has come through.
-func (l *Log) Hops() int {
+func (l *ChangeLog) Hops() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.hops
 }
 
-func (l *Log) wake() {
+func (l *ChangeLog) wake() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
@@ -202,7 +202,7 @@
 // since returns what changed after the revision, how old that knowledge is at
 // now, and whether the log can tell, which it can't if it came through more
 // than maxHops instances. changed is closed at the next change.
-func (l *Log) since(after int64, maxHops int, now time.Time) (c store.Changes, changed <-chan struct{}, s status) {
+func (l *ChangeLog) since(after int64, maxHops int, now time.Time) (c store.Changes, changed <-chan struct{}, s status) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.Revision = l.revision
@@ -229,7 +229,7 @@
 }
 
 // all returns all that is known; ok is false if that is nothing yet.
-func (l *Log) all() (w whole, ok bool) {
+func (l *ChangeLog) all() (w whole, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.floor < 0 || l.confirmed.IsZero() {
@@ -242,21 +242,21 @@
 
 // newest returns the newest revision known, and when it was last known to be that; ok
 // is false if nothing is known yet.
-func (l *Log) newest() (revision int64, confirmed time.Time, ok bool) {
+func (l *ChangeLog) newest() (revision int64, confirmed time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.revision, l.confirmed, l.floor >= 0 && !l.confirmed.IsZero()
 }
 
 // next is closed at the next change.
-func (l *Log) next() <-chan struct{} {
+func (l *ChangeLog) next() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
 // isLost reports whether the instance is out of touch with what it follows.
-func (l *Log) isLost() bool {
+func (l *ChangeLog) isLost() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lost
--- a/relay/node.go
+++ b/relay/node.go
@@ -19,7 +19,7 @@
 // Ports are what a node works with.
 type Ports struct {
 	// Log is what it tells others.
-	Log      *Log
+	Log      *ChangeLog
 	Store    store.Feed
 	Net      Transport
 	Transfer Transfer
@@ -36,7 +36,7 @@
 // Node follows other instances and is followed.
 type Node struct {
 	self     peer.Member
-	log      *Log
+	log      *ChangeLog
 	store    store.Feed
 	net      Transport
 	transfer Transfer
--- a/relay/packs.go
+++ b/relay/packs.go
@@ -87,7 +87,7 @@
 
 // all returns the message with the whole that the log holds, or that was fetched just
 // now.
-func (p *packs) all(l *Log, now time.Time) ([]byte, error) {
+func (p *packs) all(l *ChangeLog, now time.Time) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	w, ok := p.whole, p.whole.items != nil
@@ -109,7 +109,7 @@
 }
 
 // packWhole packs all that the log holds.
-func packWhole(l *Log, now time.Time) (packedWhole, error) {
+func packWhole(l *ChangeLog, now time.Time) (packedWhole, error) {
 	x, ok := l.all()
 	if !ok {
 		return packedWhole{}, ErrNoState
--- a/relay/tee.go
+++ b/relay/tee.go
@@ -9,7 +9,7 @@
 // Tee hands what a mirror learns to a listener and keeps it in a log for
 // followers.
 type Tee struct {
-	Log *Log
+	Log *ChangeLog
 	On  mirror.Listener
 	// Event logs what went wrong.
 	Event func(event string, fields ...any)
--- a/relay/tee_test.go
+++ b/relay/tee_test.go
@@ -10,7 +10,7 @@
 
 // orderly is a listener that looks what the log has when it is told of a change.
 type orderly struct {
-	log  *Log
+	log  *ChangeLog
 	seen int64
 }
 
