--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -119,7 +119,7 @@
 	n.store = platform.NewStore(exchange.New(c.Now), s.Store, c.Now).WithEnded(n.storeCalls())
 	n.traffic = n.newTraffic()
 	n.held = make(chan heldChange, mostHeldWaiting)
-	n.changes = relay.NewLog()
+	n.changes = relay.NewChangeLog()
 	n.relay = relay.NewNode(n.self(), startID(), relay.Ports{
 		Log: n.changes, Store: n.store, Net: tagged{n, tagRelay}, Transfer: countedTransfer{handover.NewClient(n.clock), n.traffic}, List: n.list, Join: n.join, Clock: n.clock, Event: n.event,
 	}, relay.TimesFor(s.ApplyWithin))
--- a/relay/log.go
+++ b/relay/log.go
@@ -51,8 +51,8 @@
 	revision int64
 }
 
-// NewLog returns a log that knows nothing.
-func NewLog() *ChangeLog {
+// NewChangeLog returns a log that knows nothing.
+func NewChangeLog() *ChangeLog {
 	return &ChangeLog{floor: -1, hops: unknownHops, changed: make(chan struct{}), content: packedContent(nil, 0)}
 }
 
--- a/relay/log_test.go
+++ b/relay/log_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestLogTellsWhatAWholeReadShows(t *testing.T) {
-	l := NewLog()
+	l := NewChangeLog()
 	l.Reset([]store.Item{{Key: "a", Revision: 1}, {Key: "b", Revision: 2}}, 3)
 	l.Add([]store.Item{{Key: "c", Revision: 4}}, 4)
 	l.SetHops(0)
@@ -31,7 +31,7 @@
 
 // The log keeps a bounded size, whatever is written.
 func TestLogIsBounded(t *testing.T) {
-	l := NewLog()
+	l := NewChangeLog()
 	l.Reset(nil, 0)
 	for i := range int64(2000) {
 		l.Add([]store.Item{{Key: "config", Value: make([]byte, 400_000), Revision: 2*i + 1}, {Key: fmt.Sprint(i), Value: make([]byte, 10_000), Revision: 2*i + 2}}, 2*i+2)
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	for _, isFetched := range []bool{false, true} {
-		l := NewLog()
+		l := NewChangeLog()
 		if isFetched {
 			l.fetch(packed, replicas)
 		}
--- a/relay/tee_test.go
+++ b/relay/tee_test.go
@@ -21,7 +21,7 @@
 
 // Packing stands between no configuration and its confirmation: keys were refused meanwhile.
 func TestWholeIsPackedBeforeItsConfigurationIsInForce(t *testing.T) {
-	l := NewLog()
+	l := NewChangeLog()
 	o := &orderly{log: l}
 	k := Tee{Log: l, On: o, Event: func(string, ...any) {}}
 	k.Changed(mirror.Update{Items: []store.Item{{Key: "a", Revision: 7}}, Whole: true, Revision: 7})
--- a/relay/whole_test.go
+++ b/relay/whole_test.go
@@ -202,7 +202,7 @@
 
 // node runs one instance.
 func (f *startingFleet) node(ctx context.Context, m peer.Member) {
-	l, on := NewLog(), &listener{}
+	l, on := NewChangeLog(), &listener{}
 	n := NewNode(m, 1, Ports{
 		Log: l, Store: wayOf{f.store, m.ID}, Net: way{f.net, m.Addr}, Transfer: way{f.net, m.Addr}, List: wayOf{f.store, m.ID}.list,
 		Join: func() { go f.store.join(ctx, m) }, Clock: time.Now, Event: func(string, ...any) {},
@@ -465,7 +465,7 @@
 		{"no state", []byte("\x00{}"), false},
 		{"other bytes", []byte(random(100)), false},
 	} {
-		l := NewLog()
+		l := NewChangeLog()
 		l.Reset([]store.Item{{Key: "a", Revision: 7}}, 8)
 		l.Confirm(time.Now())
 		n := NewNode(peer.Member{ID: "n"}, 1, Ports{Log: l, Transfer: transferOf(c.b), Clock: time.Now, Event: func(string, ...any) {}}, times)
@@ -498,7 +498,7 @@
 		t.Fatal(err)
 	}
 	now := time.Unix(1_700_000_000, 0)
-	n := NewNode(peer.Member{ID: "n"}, 1, Ports{Log: NewLog(), Transfer: slowTransfer{b, 3 * time.Second, &now}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
+	n := NewNode(peer.Member{ID: "n"}, 1, Ports{Log: NewChangeLog(), Transfer: slowTransfer{b, 3 * time.Second, &now}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
 	if _, err := n.fetch(t.Context(), "x", -1); err != nil {
 		t.Fatal(err)
 	}
