--- a/relay/forgotten_test.go
+++ b/relay/forgotten_test.go
@@ -99,7 +99,7 @@
 			t.Fatal(err)
 		}
 		l.Confirm(now)
-		n := NewNode(peer.Member{ID: "n"}, 1, Ports{Log: l, Transfer: slowTransfer{b, 0, &now}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
+		n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: l, Transfer: slowTransfer{b, 0, &now}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
 		if g := n.wholeStatus(c.asked); g != c.want {
 			t.Errorf("one that knows %d is told %d, want %d", c.asked, g, c.want)
 		}
@@ -112,7 +112,7 @@
 // Where all others have been silent, these are asked again.
 func TestSilentOnesAreAskedWhereNobodyElseIsLeft(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	n := NewNode(peer.Member{ID: "a"}, 1, Ports{Log: NewChangeLog(), Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
+	n := NewNode(peer.Member{ID: "a"}, 1, Ports{ChangeLog: NewChangeLog(), Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
 	m := []peer.Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	n.SetMembers(m)
 	for _, x := range m[1:] {
@@ -151,7 +151,7 @@
 func TestAFullLinkIsAskedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asked := 0
-		n := NewNode(peer.Member{ID: "n"}, 1, Ports{Log: NewChangeLog(), Clock: time.Now, Event: func(string, ...any) {}}, times)
+		n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: NewChangeLog(), Clock: time.Now, Event: func(string, ...any) {}}, times)
 		n.net = fullLink{n, &asked}
 		c, s := n.follow(t.Context(), []peer.Member{{ID: "a", Addr: "a"}, {ID: "b", Addr: "b"}}, 1)
 		if s != known || len(c.Items) != 1 || n.sourceLost {
@@ -175,7 +175,7 @@
 func TestAnAnswerSaysThatTheLinkIsFull(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	var sent []answer
-	n := NewNode(peer.Member{ID: "n"}, 1, Ports{Log: NewChangeLog(), Net: sentAnswers{&sent}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
+	n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: NewChangeLog(), Net: sentAnswers{&sent}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
 	n.linkFree = now.Add(time.Hour)
 	n.reply("b", question{After: 1}, store.Changes{Items: []store.Item{{Key: "a", Revision: 2}}, Revision: 2}, known)
 	if len(sent) != 1 || sent[0].Status != busy || sent[0].Revision != 2 {
--- a/relay/node.go
+++ b/relay/node.go
@@ -18,8 +18,8 @@
 
 // Ports are what a node works with.
 type Ports struct {
-	// Log is what it tells others.
-	Log      *ChangeLog
+	// ChangeLog is what it tells others.
+	ChangeLog      *ChangeLog
 	Store    store.Feed
 	Net      Transport
 	Transfer Transfer
@@ -89,7 +89,7 @@
 // NewNode returns the instance self.
 func NewNode(self peer.Member, start uint64, p Ports, t Times) *Node {
 	return &Node{
-		self: self, log: p.Log, store: p.Store, net: p.Net, transfer: p.Transfer, list: p.List, join: p.Join, clock: p.Clock, event: p.Event, times: t,
+		self: self, log: p.ChangeLog, store: p.Store, net: p.Net, transfer: p.Transfer, list: p.List, join: p.Join, clock: p.Clock, event: p.Event, times: t,
 		waiting: reply.New[answer](start), packs: newPacks(), transfers: make(chan struct{}, transfersAtOnce),
 		avoid: map[string]time.Time{}, silent: map[string]bool{}, followers: newFollowers(followerQuestions * t.Follow),
 	}
