--- a/relay/node.go
+++ b/relay/node.go
@@ -23,9 +23,9 @@
 	Store    store.Feed
 	Net      Transport
 	Transfer Transfer
-	// List reads the list of the fleet's instances at the store; stale allows an answer
+	// ListMembers reads the list of the fleet's instances at the store; stale allows an answer
 	// that is some seconds old, which costs less. nil leaves it to SetMembers.
-	List func(ctx context.Context, stale bool) ([]peer.Member, error)
+	ListMembers func(ctx context.Context, stale bool) ([]peer.Member, error)
 	// Join has this instance put itself on the list, as nobody is there or all that are
 	// seem to have ended. It may be nil.
 	Join  func()
@@ -89,7 +89,7 @@
 // NewNode returns the instance self.
 func NewNode(self peer.Member, start uint64, p Ports, t Times) *Node {
 	return &Node{
-		self: self, log: p.ChangeLog, store: p.Store, net: p.Net, transfer: p.Transfer, list: p.List, join: p.Join, clock: p.Clock, event: p.Event, times: t,
+		self: self, log: p.ChangeLog, store: p.Store, net: p.Net, transfer: p.Transfer, list: p.ListMembers, join: p.Join, clock: p.Clock, event: p.Event, times: t,
 		waiting: reply.New[answer](start), packs: newPacks(), transfers: make(chan struct{}, transfersAtOnce),
 		avoid: map[string]time.Time{}, silent: map[string]bool{}, followers: newFollowers(followerQuestions * t.Follow),
 	}
--- a/relay/whole_test.go
+++ b/relay/whole_test.go
@@ -204,7 +204,7 @@
 func (f *startingFleet) node(ctx context.Context, m peer.Member) {
 	l, on := NewChangeLog(), &listener{}
 	n := NewNode(m, 1, Ports{
-		ChangeLog: l, Store: wayOf{f.store, m.ID}, Net: way{f.net, m.Addr}, Transfer: way{f.net, m.Addr}, List: wayOf{f.store, m.ID}.list,
+		ChangeLog: l, Store: wayOf{f.store, m.ID}, Net: way{f.net, m.Addr}, Transfer: way{f.net, m.Addr}, ListMembers: wayOf{f.store, m.ID}.list,
 		Join: func() { go f.store.join(ctx, m) }, Clock: time.Now, Event: func(string, ...any) {},
 	}, TimesFor(5*time.Second))
 	f.net.mu.Lock()
