--- a/relay/whole_test.go
+++ b/relay/whole_test.go
@@ -205,7 +205,7 @@
 	l, on := NewChangeLog(), &listener{}
 	n := NewNode(m, 1, Ports{
 		ChangeLog: l, Store: wayOf{f.store, m.ID}, Net: way{f.net, m.Addr}, Transfer: way{f.net, m.Addr}, ListMembers: wayOf{f.store, m.ID}.list,
-		Join: func() { go f.store.join(ctx, m) }, Clock: time.Now, Event: func(string, ...any) {},
+		Register: func() { go f.store.join(ctx, m) }, Clock: time.Now, Event: func(string, ...any) {},
 	}, TimesFor(5*time.Second))
 	f.net.mu.Lock()
 	f.net.nodes[m.Addr] = n
