--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -121,7 +121,7 @@
 	n.held = make(chan heldChange, mostHeldWaiting)
 	n.changes = relay.NewChangeLog()
 	n.relay = relay.NewNode(n.self(), startID(), relay.Ports{
-		ChangeLog: n.changes, Store: n.store, Net: tagged{n, tagRelay}, Transfer: countedTransfer{handover.NewClient(n.clock), n.traffic}, ListMembers: n.list, Register: n.join, Clock: n.clock, Event: n.event,
+		ChangeLog: n.changes, Store: n.store, Net: tagged{n, tagRelay}, Fetcher: countedTransfer{handover.NewClient(n.clock), n.traffic}, ListMembers: n.list, Register: n.join, Clock: n.clock, Event: n.event,
 	}, relay.TimesFor(s.ApplyWithin))
 	n.quarantine = quarantine.NewNode(startID(), n.quarantinePorts())
 	n.gaugeQuarantine()
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -349,7 +349,7 @@
 		l, on := NewChangeLog(), &listener{}
 		ctx, cancel := context.WithCancel(ctx)
 		f.ended[x.ID] = cancel
-		r := NewNode(x, 1, Ports{ChangeLog: l, Store: gate{shared, f.away[x.ID]}, Net: way{f.net, x.ID}, Transfer: way{f.net, x.ID}, Clock: time.Now, Event: func(e string, l ...any) { f.trace(x.ID, e, l) }}, times)
+		r := NewNode(x, 1, Ports{ChangeLog: l, Store: gate{shared, f.away[x.ID]}, Net: way{f.net, x.ID}, Fetcher: way{f.net, x.ID}, Clock: time.Now, Event: func(e string, l ...any) { f.trace(x.ID, e, l) }}, times)
 		r.SetMembers(m[:listed])
 		f.net.mu.Lock()
 		f.net.nodes[x.ID] = r
--- a/relay/forgotten_test.go
+++ b/relay/forgotten_test.go
@@ -99,7 +99,7 @@
 			t.Fatal(err)
 		}
 		l.Confirm(now)
-		n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: l, Transfer: slowTransfer{b, 0, &now}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
+		n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: l, Fetcher: slowTransfer{b, 0, &now}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
 		if g := n.wholeStatus(c.asked); g != c.want {
 			t.Errorf("one that knows %d is told %d, want %d", c.asked, g, c.want)
 		}
--- a/relay/node.go
+++ b/relay/node.go
@@ -22,7 +22,7 @@
 	ChangeLog      *ChangeLog
 	Store    store.Feed
 	Net      Transport
-	Transfer Transfer
+	Fetcher Transfer
 	// ListMembers reads the list of the fleet's instances at the store; stale allows an answer
 	// that is some seconds old, which costs less. nil leaves it to SetMembers.
 	ListMembers func(ctx context.Context, stale bool) ([]peer.Member, error)
@@ -89,7 +89,7 @@
 // NewNode returns the instance self.
 func NewNode(self peer.Member, start uint64, p Ports, t Times) *Node {
 	return &Node{
-		self: self, log: p.ChangeLog, store: p.Store, net: p.Net, transfer: p.Transfer, list: p.ListMembers, join: p.Register, clock: p.Clock, event: p.Event, times: t,
+		self: self, log: p.ChangeLog, store: p.Store, net: p.Net, transfer: p.Fetcher, list: p.ListMembers, join: p.Register, clock: p.Clock, event: p.Event, times: t,
 		waiting: reply.New[answer](start), packs: newPacks(), transfers: make(chan struct{}, transfersAtOnce),
 		avoid: map[string]time.Time{}, silent: map[string]bool{}, followers: newFollowers(followerQuestions * t.Follow),
 	}
--- a/relay/whole_test.go
+++ b/relay/whole_test.go
@@ -204,7 +204,7 @@
 func (f *startingFleet) node(ctx context.Context, m peer.Member) {
 	l, on := NewChangeLog(), &listener{}
 	n := NewNode(m, 1, Ports{
-		ChangeLog: l, Store: wayOf{f.store, m.ID}, Net: way{f.net, m.Addr}, Transfer: way{f.net, m.Addr}, ListMembers: wayOf{f.store, m.ID}.list,
+		ChangeLog: l, Store: wayOf{f.store, m.ID}, Net: way{f.net, m.Addr}, Fetcher: way{f.net, m.Addr}, ListMembers: wayOf{f.store, m.ID}.list,
 		Register: func() { go f.store.join(ctx, m) }, Clock: time.Now, Event: func(string, ...any) {},
 	}, TimesFor(5*time.Second))
 	f.net.mu.Lock()
@@ -468,7 +468,7 @@
 		l := NewChangeLog()
 		l.Reset([]store.Item{{Key: "a", Revision: 7}}, 8)
 		l.Confirm(time.Now())
-		n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: l, Transfer: transferOf(c.b), Clock: time.Now, Event: func(string, ...any) {}}, times)
+		n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: l, Fetcher: transferOf(c.b), Clock: time.Now, Event: func(string, ...any) {}}, times)
 		if a, err := n.fetch(t.Context(), "x", -1); (err == nil) != c.ok {
 			t.Errorf("%s: %d items, %v", c.name, len(a.Items), err)
 		}
@@ -498,7 +498,7 @@
 		t.Fatal(err)
 	}
 	now := time.Unix(1_700_000_000, 0)
-	n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: NewChangeLog(), Transfer: slowTransfer{b, 3 * time.Second, &now}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
+	n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: NewChangeLog(), Fetcher: slowTransfer{b, 3 * time.Second, &now}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
 	if _, err := n.fetch(t.Context(), "x", -1); err != nil {
 		t.Fatal(err)
 	}
