--- a/cmd/fieldvale-node/traffic.go
+++ b/cmd/fieldvale-node/traffic.go
@@ -40,13 +40,13 @@
 
 // countedTransfer counts what is fetched.
 type countedTransfer struct {
-	relay.Transfer
+	relay.Fetcher
 	traffic traffic
 }
 
 // Fetch implements relay.Transfer.
 func (c countedTransfer) Fetch(ctx context.Context, addr string, after int64) ([]byte, error) {
-	b, err := c.Transfer.Fetch(ctx, addr, after)
+	b, err := c.Fetcher.Fetch(ctx, addr, after)
 	c.traffic.count(dutyState, received, len(b))
 	return b, err
 }
--- a/relay/node.go
+++ b/relay/node.go
@@ -22,7 +22,7 @@
 	ChangeLog      *ChangeLog
 	Store    store.Feed
 	Net      Transport
-	Fetcher Transfer
+	Fetcher Fetcher
 	// ListMembers reads the list of the fleet's instances at the store; stale allows an answer
 	// that is some seconds old, which costs less. nil leaves it to SetMembers.
 	ListMembers func(ctx context.Context, stale bool) ([]peer.Member, error)
@@ -39,7 +39,7 @@
 	log      *ChangeLog
 	store    store.Feed
 	net      Transport
-	transfer Transfer
+	transfer Fetcher
 	list     func(ctx context.Context, stale bool) ([]peer.Member, error)
 	join     func()
 	clock    func() time.Time
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -46,9 +46,9 @@
 // nothing is the revision of one that knows nothing yet.
 const nothing = -1
 
-// Transfer fetches what another instance passes on over a connection: the changes after
+// Fetcher fetches what another instance passes on over a connection: the changes after
 // a revision or, where it has forgotten them, the whole; below 0 asks for the whole.
-type Transfer interface {
+type Fetcher interface {
 	Fetch(ctx context.Context, addr string, after int64) ([]byte, error)
 }
 
