--- a/cmd/fieldvale-node/follow.go
+++ b/cmd/fieldvale-node/follow.go
@@ -72,6 +72,6 @@
 	if n.cloud != nil {
 		d = n.cloud
 	}
-	on := relay.Tee{ChangeLog: n.changes, On: platform.NewListener(n.state, n.quarantine, d, n.clock, n.event), Event: n.event}
+	on := relay.Tee{ChangeLog: n.changes, Listener: platform.NewListener(n.state, n.quarantine, d, n.clock, n.event), Event: n.event}
 	return mirror.New(n.relay, platform.Prefix, relay.TimesFor(n.s.ApplyWithin).Watch, n.clock, on)
 }
--- a/relay/tee.go
+++ b/relay/tee.go
@@ -10,7 +10,7 @@
 // followers.
 type Tee struct {
 	ChangeLog *ChangeLog
-	On  mirror.Listener
+	Listener  mirror.Listener
 	// Event logs what went wrong.
 	Event func(event string, fields ...any)
 }
@@ -27,23 +27,23 @@
 	if err := keep(u.Items, u.Revision); err != nil {
 		t.Event("changes_unkept", "revision", u.Revision, "items", len(u.Items), "error", err)
 	}
-	t.On.Changed(u)
+	t.Listener.Changed(u)
 }
 
 // Confirmed implements mirror.Listener.
 func (t Tee) Confirmed(asOf time.Time) {
 	t.ChangeLog.Confirm(asOf)
-	t.On.Confirmed(asOf)
+	t.Listener.Confirmed(asOf)
 }
 
 // Lost implements mirror.Listener.
 func (t Tee) Lost(err error) {
 	t.ChangeLog.SetLost(true)
-	t.On.Lost(err)
+	t.Listener.Lost(err)
 }
 
 // Regained implements mirror.Listener.
 func (t Tee) Regained() {
 	t.ChangeLog.SetLost(false)
-	t.On.Regained()
+	t.Listener.Regained()
 }
