--- a/relay/node.go
+++ b/relay/node.go
@@ -44,7 +44,7 @@
 	join     func()
 	clock    func() time.Time
 	event    func(event string, fields ...any)
-	times    Times
+	times    Timing
 	// waiting are the questions to other instances.
 	waiting *reply.Waiters[answer]
 	pieces  pieces
@@ -87,7 +87,7 @@
 var _ store.Feed = (*Node)(nil)
 
 // NewNode returns the instance self.
-func NewNode(self peer.Member, start uint64, p Ports, t Times) *Node {
+func NewNode(self peer.Member, start uint64, p Ports, t Timing) *Node {
 	return &Node{
 		self: self, log: p.ChangeLog, store: p.Store, net: p.Net, transfer: p.Fetcher, list: p.ListMembers, join: p.Register, clock: p.Clock, event: p.Event, times: t,
 		waiting: reply.New[answer](start), packs: newPacks(), transfers: make(chan struct{}, transfersAtOnce),
--- a/relay/times.go
+++ b/relay/times.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Times are how fresh knowledge has to be.
-type Times struct {
+// Timing are how fresh knowledge has to be.
+type Timing struct {
 	// Watch is how long one call of the store waits for a change, Follow how
 	// long a question to another instance does.
 	Watch  time.Duration
@@ -20,6 +20,6 @@
 // TimesFor returns the times with which a change is in force within the bound
 // also at an instance whose source loses the store without notice: it asks
 // the store itself once MaxAge and one question are over.
-func TimesFor(within time.Duration) Times {
-	return Times{Watch: within * 3 / 10, Follow: within * 15 / 100, MaxAge: within * 65 / 100, Gather: within / 10}
+func TimesFor(within time.Duration) Timing {
+	return Timing{Watch: within * 3 / 10, Follow: within * 15 / 100, MaxAge: within * 65 / 100, Gather: within / 10}
 }
