--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -122,7 +122,7 @@
 	n.changes = relay.NewChangeLog()
 	n.relay = relay.NewNode(n.self(), startID(), relay.Ports{
 		ChangeLog: n.changes, Store: n.store, Net: tagged{n, tagRelay}, Fetcher: countedTransfer{handover.NewClient(n.clock), n.traffic}, ListMembers: n.list, Register: n.join, Clock: n.clock, Event: n.event,
-	}, relay.TimesFor(s.ApplyWithin))
+	}, relay.TimingFor(s.ApplyWithin))
 	n.quarantine = quarantine.NewNode(startID(), n.quarantinePorts())
 	n.gaugeQuarantine()
 	n.quota = quota.NewNode(startID(), n.quotaPorts())
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -373,7 +373,7 @@
 	}
 }
 
-var times = TimesFor(2 * time.Second)
+var times = TimingFor(2 * time.Second)
 
 // withFleet runs n instances over one store for some seconds, lets play go on
 // from there, and ends them.
--- a/relay/times.go
+++ b/relay/times.go
@@ -17,9 +17,9 @@
 	Gather time.Duration
 }
 
-// TimesFor returns the times with which a change is in force within the bound
+// TimingFor returns the times with which a change is in force within the bound
 // also at an instance whose source loses the store without notice: it asks
 // the store itself once MaxAge and one question are over.
-func TimesFor(within time.Duration) Timing {
+func TimingFor(within time.Duration) Timing {
 	return Timing{Watch: within * 3 / 10, Follow: within * 15 / 100, MaxAge: within * 65 / 100, Gather: within / 10}
 }
--- a/relay/whole_test.go
+++ b/relay/whole_test.go
@@ -206,7 +206,7 @@
 	n := NewNode(m, 1, Ports{
 		ChangeLog: l, Store: wayOf{f.store, m.ID}, Net: way{f.net, m.Addr}, Fetcher: way{f.net, m.Addr}, ListMembers: wayOf{f.store, m.ID}.list,
 		Register: func() { go f.store.join(ctx, m) }, Clock: time.Now, Event: func(string, ...any) {},
-	}, TimesFor(5*time.Second))
+	}, TimingFor(5*time.Second))
 	f.net.mu.Lock()
 	f.net.nodes[m.Addr] = n
 	f.net.links[m.Addr] = m.LinkMbps * 1e6 / 8
