--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -356,7 +356,7 @@
 		f.net.mu.Unlock()
 		f.on[x.ID] = on
 		g.Go(func() {
-			_ = mirror.New(r, "", times.Watch, time.Now, Tee{ChangeLog: l, Listener: on, Event: func(string, ...any) {}}).Run(ctx)
+			_ = mirror.New(r, "", times.StoreWait, time.Now, Tee{ChangeLog: l, Listener: on, Event: func(string, ...any) {}}).Run(ctx)
 		})
 	}
 	for _, x := range m {
--- a/relay/forgotten_test.go
+++ b/relay/forgotten_test.go
@@ -70,7 +70,7 @@
 		out[m.ID] = true
 	}
 	for id, on := range f.on {
-		if got, confirmed, _ := on.state(); !out[id] && (got < revision || time.Since(confirmed) > times.MaxAge+times.Watch) {
+		if got, confirmed, _ := on.state(); !out[id] && (got < revision || time.Since(confirmed) > times.MaxAge+times.StoreWait) {
 			t.Errorf("%s is at revision %d of %d, confirmed %s ago", id, got, revision, time.Since(confirmed))
 		}
 	}
--- a/relay/times.go
+++ b/relay/times.go
@@ -4,9 +4,9 @@
 
 // Timing are how fresh knowledge has to be.
 type Timing struct {
-	// Watch is how long one call of the store waits for a change, Follow how
+	// StoreWait is how long one call of the store waits for a change, Follow how
 	// long a question to another instance does.
-	Watch  time.Duration
+	StoreWait  time.Duration
 	Follow time.Duration
 	// MaxAge is the oldest knowledge that is taken from another instance. One
 	// that watches a sound store has none much older than Watch and Gather, and
@@ -21,5 +21,5 @@
 // also at an instance whose source loses the store without notice: it asks
 // the store itself once MaxAge and one question are over.
 func TimingFor(within time.Duration) Timing {
-	return Timing{Watch: within * 3 / 10, Follow: within * 15 / 100, MaxAge: within * 65 / 100, Gather: within / 10}
+	return Timing{StoreWait: within * 3 / 10, Follow: within * 15 / 100, MaxAge: within * 65 / 100, Gather: within / 10}
 }
--- a/relay/whole_test.go
+++ b/relay/whole_test.go
@@ -214,7 +214,7 @@
 	f.mu.Lock()
 	f.on[m.ID] = on
 	f.mu.Unlock()
-	_ = mirror.New(n, "", n.times.Watch, time.Now, Tee{ChangeLog: l, Listener: knowing{on, f, m.ID}}).Run(ctx)
+	_ = mirror.New(n, "", n.times.StoreWait, time.Now, Tee{ChangeLog: l, Listener: knowing{on, f, m.ID}}).Run(ctx)
 }
 
 // startPlay is a start of a whole fleet.
