--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -25,8 +25,8 @@
 type Update struct {
 	// Items has the newest item of each key.
 	Items []store.Item
-	// Whole says that Items are all keys there are.
-	Whole    bool
+	// Snapshot says that Items are all keys there are.
+	Snapshot    bool
 	Revision int64
 }
 
@@ -135,7 +135,7 @@
 		}
 	}
 	u := m.pages
-	u.Whole = true
+	u.Snapshot = true
 	m.pages = Update{}
 	m.revision = u.Revision
 	m.on.Changed(u)
@@ -166,7 +166,7 @@
 	}
 	m.revision = max(m.revision, c.Revision)
 	if c.Whole {
-		m.on.Changed(Update{Items: c.Items, Whole: true, Revision: c.Revision})
+		m.on.Changed(Update{Items: c.Items, Snapshot: true, Revision: c.Revision})
 	} else if len(c.Items) > 0 {
 		m.on.Changed(Update{Items: newest(c.Items), Revision: c.Revision})
 	}
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -147,7 +147,7 @@
 }
 
 func (t *touch) Changed(u mirror.Update) {
-	if !u.Whole {
+	if !u.Snapshot {
 		t.changes++
 	}
 }
--- a/relay/tee.go
+++ b/relay/tee.go
@@ -21,7 +21,7 @@
 // a configuration and its confirmation no key is honoured by it.
 func (t Tee) Changed(u mirror.Update) {
 	keep := t.ChangeLog.Add
-	if u.Whole {
+	if u.Snapshot {
 		keep = t.ChangeLog.Reset
 	}
 	if err := keep(u.Items, u.Revision); err != nil {
--- a/relay/tee_test.go
+++ b/relay/tee_test.go
@@ -24,7 +24,7 @@
 	l := NewChangeLog()
 	o := &orderly{log: l}
 	k := Tee{ChangeLog: l, Listener: o, Event: func(string, ...any) {}}
-	k.Changed(mirror.Update{Items: []store.Item{{Key: "a", Revision: 7}}, Whole: true, Revision: 7})
+	k.Changed(mirror.Update{Items: []store.Item{{Key: "a", Revision: 7}}, Snapshot: true, Revision: 7})
 	if o.seen != 7 {
 		t.Errorf("the log is at %d as the change is in force, want 7", o.seen)
 	}
--- a/relay/whole_test.go
+++ b/relay/whole_test.go
@@ -190,7 +190,7 @@
 
 func (k knowing) Changed(u mirror.Update) {
 	k.listener.Changed(u)
-	if keys := k.f.store.keys; !u.Whole || len(u.Items) < len(keys) {
+	if keys := k.f.store.keys; !u.Snapshot || len(u.Items) < len(keys) {
 		return
 	}
 	k.f.mu.Lock()
