--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -36,8 +36,8 @@
 	Changed(u Update)
 	// Confirmed says that nothing newer existed at the moment asOf.
 	Confirmed(asOf time.Time)
-	// Lost and Regained tell of the way to the store.
-	Lost(err error)
+	// Disconnected and Regained tell of the way to the store.
+	Disconnected(err error)
 	Regained()
 }
 
@@ -110,7 +110,7 @@
 	m.failed++
 	if m.failed == 1 {
 		m.retry = firstRetry
-		m.on.Lost(err)
+		m.on.Disconnected(err)
 	}
 	d := m.retry/2 + rand.N(m.retry)
 	m.retry = min(longestRetry, 2*m.retry)
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -55,7 +55,7 @@
 }
 
 func (c *confirmations) Changed(mirror.Update) {}
-func (c *confirmations) Lost(error)            {}
+func (c *confirmations) Disconnected(error)            {}
 func (c *confirmations) Regained()             {}
 
 func (c *confirmations) Confirmed(asOf time.Time) {
@@ -89,7 +89,7 @@
 
 func (u updates) Changed(x mirror.Update) { u.c <- x }
 func (u updates) Confirmed(time.Time)     {}
-func (u updates) Lost(error)              {}
+func (u updates) Disconnected(error)              {}
 func (u updates) Regained()               {}
 
 // A key that goes and comes back in one answer is there, one that comes and
@@ -152,7 +152,7 @@
 	}
 }
 func (t *touch) Confirmed(time.Time) {}
-func (t *touch) Lost(error)          { t.lost++ }
+func (t *touch) Disconnected(error)          { t.lost++ }
 func (t *touch) Regained()           { t.regained = append(t.regained, t.changes) }
 
 // Old news is no touch with the store.
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -250,7 +250,7 @@
 	}
 }
 
-func (l *listener) Lost(error) { l.set(true) }
+func (l *listener) Disconnected(error) { l.set(true) }
 
 func (l *listener) Regained() { l.set(false) }
 
--- a/relay/tee.go
+++ b/relay/tee.go
@@ -36,10 +36,10 @@
 	t.Listener.Confirmed(asOf)
 }
 
-// Lost implements mirror.Listener.
-func (t Tee) Lost(err error) {
+// Disconnected implements mirror.Listener.
+func (t Tee) Disconnected(err error) {
 	t.ChangeLog.SetLost(true)
-	t.Listener.Lost(err)
+	t.Listener.Disconnected(err)
 }
 
 // Regained implements mirror.Listener.
--- a/relay/tee_test.go
+++ b/relay/tee_test.go
@@ -16,7 +16,7 @@
 
 func (o *orderly) Changed(mirror.Update) { o.seen, _, _ = o.log.newest() }
 func (o *orderly) Confirmed(time.Time)   {}
-func (o *orderly) Lost(error)            {}
+func (o *orderly) Disconnected(error)            {}
 func (o *orderly) Regained()             {}
 
 // Packing stands between no configuration and its confirmation: keys were refused meanwhile.
