--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -38,7 +38,7 @@
 	Confirmed(asOf time.Time)
 	// Disconnected and Regained tell of the way to the store.
 	Disconnected(err error)
-	Regained()
+	Reconnected()
 }
 
 // Mirror follows the keys below one prefix.
@@ -83,7 +83,7 @@
 		}
 		if m.failed > 0 && m.inTouch() {
 			m.failed = 0
-			m.on.Regained()
+			m.on.Reconnected()
 		}
 	}
 	return nil
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -252,7 +252,7 @@
 
 func (l *listener) Disconnected(error) { l.set(true) }
 
-func (l *listener) Regained() { l.set(false) }
+func (l *listener) Reconnected() { l.set(false) }
 
 func (l *listener) set(b bool) {
 	l.mu.Lock()
--- a/relay/tee.go
+++ b/relay/tee.go
@@ -42,8 +42,8 @@
 	t.Listener.Disconnected(err)
 }
 
-// Regained implements mirror.Listener.
-func (t Tee) Regained() {
+// Reconnected implements mirror.Listener.
+func (t Tee) Reconnected() {
 	t.ChangeLog.SetLost(false)
-	t.Listener.Regained()
+	t.Listener.Reconnected()
 }
