--- a/state/state.go
+++ b/state/state.go
@@ -80,7 +80,7 @@
 	for _, name := range c.Unusable {
 		s.replicas.Drop(name)
 	}
-	for _, id := range c.Gone {
+	for _, id := range c.RemovedReplicas {
 		s.replicas.Remove(id, now)
 		s.log("replica_entry_gone", "replica", id)
 	}
