--- a/state/change.go
+++ b/state/change.go
@@ -12,9 +12,9 @@
 	// Table is nil if the configuration did not change.
 	Table    *route.Table
 	Replicas []pool.Replica
-	// RemovedReplicas are the names of replicas whose entries went, Unusable of those whose
+	// RemovedReplicas are the names of replicas whose entries went, UnusableReplicas of those whose
 	// entries another writer has put in place of theirs.
-	RemovedReplicas, Unusable []string
+	RemovedReplicas, UnusableReplicas []string
 	// Known, if not nil, are the names of all replicas there are.
 	Known   map[string]bool
 	Orders  []rollout.Release
--- a/state/state.go
+++ b/state/state.go
@@ -77,7 +77,7 @@
 		was, known := s.replicas.Put(r)
 		s.logReplica(r, was, known, now)
 	}
-	for _, name := range c.Unusable {
+	for _, name := range c.UnusableReplicas {
 		s.replicas.Drop(name)
 	}
 	for _, id := range c.RemovedReplicas {
