--- a/state/change.go
+++ b/state/change.go
@@ -15,8 +15,8 @@
 	// RemovedReplicas are the names of replicas whose entries went, UnusableReplicas of those whose
 	// entries another writer has put in place of theirs.
 	RemovedReplicas, UnusableReplicas []string
-	// Known, if not nil, are the names of all replicas there are.
-	Known   map[string]bool
+	// AllReplicas, if not nil, are the names of all replicas there are.
+	AllReplicas   map[string]bool
 	Orders  []rollout.Release
 	Records []Record
 	// Evacuated are data centres whose replicas are to get nothing more, Restored
--- a/state/replicas.go
+++ b/state/replicas.go
@@ -18,7 +18,7 @@
 // turn cold when it is over or shortly before it began, and say so late.
 func (s *State) applyEvacuations(c Change, now time.Time) {
 	over := c.Restored
-	if c.Known != nil {
+	if c.AllReplicas != nil {
 		over = slices.Collect(maps.Keys(s.evacuated))
 	}
 	for _, dc := range over {
--- a/state/state.go
+++ b/state/state.go
@@ -84,8 +84,8 @@
 		s.replicas.Remove(id, now)
 		s.log("replica_entry_gone", "replica", id)
 	}
-	if c.Known != nil {
-		s.replicas.Retain(c.Known, now)
+	if c.AllReplicas != nil {
+		s.replicas.Retain(c.AllReplicas, now)
 	}
 	s.settle(now)
 }
@@ -99,10 +99,10 @@
 
 // applyMembers takes the fleet's changes in.
 func (s *State) applyMembers(c Change, now time.Time) {
-	if len(c.Members)+len(c.Left) == 0 && c.Known == nil {
+	if len(c.Members)+len(c.Left) == 0 && c.AllReplicas == nil {
 		return
 	}
-	if c.Known != nil {
+	if c.AllReplicas != nil {
 		for id := range s.members {
 			s.lapse(id, now)
 		}
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -94,7 +94,7 @@
 	s.Apply(Change{Members: []peer.Member{b}})
 	s.Tick()
 	check("b is back", 1, a, b)
-	s.Apply(Change{Known: map[string]bool{}, Members: []peer.Member{c}})
+	s.Apply(Change{AllReplicas: map[string]bool{}, Members: []peer.Member{c}})
 	check("the list is read whole", 1, a, b, c)
 	now = now.Add(lapsedFor / 2)
 	s.Tick()
