--- a/state/change.go
+++ b/state/change.go
@@ -26,7 +26,7 @@
 	// Members are instances of the fleet that announce themselves, Left the
 	// ids of those whose announcement is over.
 	Members []peer.Member
-	Left    []string
+	LeftMembers    []string
 }
 
 // Record is what the store holds of a release.
--- a/state/state.go
+++ b/state/state.go
@@ -99,7 +99,7 @@
 
 // applyMembers takes the fleet's changes in.
 func (s *State) applyMembers(c Change, now time.Time) {
-	if len(c.Members)+len(c.Left) == 0 && c.AllReplicas == nil {
+	if len(c.Members)+len(c.LeftMembers) == 0 && c.AllReplicas == nil {
 		return
 	}
 	if c.AllReplicas != nil {
@@ -111,7 +111,7 @@
 		s.members[m.ID] = m
 		delete(s.lapsed, m.ID)
 	}
-	for _, id := range c.Left {
+	for _, id := range c.LeftMembers {
 		s.lapse(id, now)
 	}
 	s.onMembers(s.memberList())
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -88,7 +88,7 @@
 	}
 	s.Apply(Change{Members: []peer.Member{a, b}})
 	check("announced", 2, a, b)
-	s.Apply(Change{Left: []string{"a", "b"}})
+	s.Apply(Change{LeftMembers: []string{"a", "b"}})
 	check("lapsed", 0, a, b)
 	now = now.Add(lapsedFor / 2)
 	s.Apply(Change{Members: []peer.Member{b}})
