--- a/cmd/fieldvale-node/announce.go
+++ b/cmd/fieldvale-node/announce.go
@@ -99,7 +99,7 @@
 // joins draws whether an instance that is not listed joins the list, with the chance
 // for the instances listed and all that there are.
 func (n *node) joins(chance func(listed, fleet int) float64) bool {
-	return rand.Float64() < chance(n.state.Listed(), n.relay.FleetSize())
+	return rand.Float64() < chance(n.state.RegisteredCount(), n.relay.FleetSize())
 }
 
 // renew renews the announcement, or makes it anew if there is none or it lapsed.
@@ -116,7 +116,7 @@
 	if err != nil {
 		return store.Announced{}, err
 	}
-	n.event("listed", "listed_others", n.state.Listed())
+	n.event("listed", "listed_others", n.state.RegisteredCount())
 	return b, nil
 }
 
--- a/cmd/fieldvale-node/announce_test.go
+++ b/cmd/fieldvale-node/announce_test.go
@@ -48,9 +48,9 @@
 	for i := range roster.Enough / 3 {
 		s.store.RemoveInstance(fmt.Sprint("x", i))
 	}
-	s.eventually("it hears of those that left", func() bool { return s.node.state.Listed() == roster.Enough-roster.Enough/3 })
+	s.eventually("it hears of those that left", func() bool { return s.node.state.RegisteredCount() == roster.Enough-roster.Enough/3 })
 	if s.node.joins(roster.JoinsLater) || s.store.Calls(sitetest.PathLease) > leases {
-		t.Errorf("it joins a list of %d, after %d calls for leases", s.node.state.Listed(), s.store.Calls(sitetest.PathLease)-leases)
+		t.Errorf("it joins a list of %d, after %d calls for leases", s.node.state.RegisteredCount(), s.store.Calls(sitetest.PathLease)-leases)
 	}
 	for i := range roster.Enough {
 		s.store.RemoveInstance(fmt.Sprint("x", i))
--- a/state/state.go
+++ b/state/state.go
@@ -144,8 +144,8 @@
 	return any
 }
 
-// Listed returns how many members' announcements stand.
-func (s *State) Listed() int {
+// RegisteredCount returns how many members' announcements stand.
+func (s *State) RegisteredCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.members) - len(s.lapsed)
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -82,8 +82,8 @@
 	a, b, c := peer.Member{ID: "a"}, peer.Member{ID: "b"}, peer.Member{ID: "c"}
 	check := func(when string, listed int, want ...peer.Member) {
 		t.Helper()
-		if d := cmp.Diff(want, known); d != "" || s.Listed() != listed {
-			t.Errorf("%s: %d listed, want %d; %s", when, s.Listed(), listed, d)
+		if d := cmp.Diff(want, known); d != "" || s.RegisteredCount() != listed {
+			t.Errorf("%s: %d listed, want %d; %s", when, s.RegisteredCount(), listed, d)
 		}
 	}
 	s.Apply(Change{Members: []peer.Member{a, b}})
