--- a/state/replicas.go
+++ b/state/replicas.go
@@ -45,8 +45,8 @@
 	return 0
 }
 
-// Cold returns how many replicas count as cold.
-func (s *State) Cold() int {
+// ColdCount returns how many replicas count as cold.
+func (s *State) ColdCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n, now := 0, s.clock()
