--- a/cmd/fieldvale-node/cloud.go
+++ b/cmd/fieldvale-node/cloud.go
@@ -291,7 +291,7 @@
 		c.planners[s.Name] = p
 	}
 	p.Saw(c.running(s.Name, now), now)
-	steady := (rel.Order == 0 || rel.State != rollout.Running) && c.n.state.Evacuated() == 0
+	steady := (rel.Order == 0 || rel.State != rollout.Running) && c.n.state.EvacuatedCount() == 0
 	b := scaling.Bounds{Min: s.Scaling.Min, Max: s.Scaling.Max, Slots: s.Slots}
 	for zone, n := range p.Plan(c.zones(s.Name), b, steady, now) {
 		x, cancel := context.WithTimeout(ctx, cloudTimeout)
--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -132,7 +132,7 @@
 	n.state = state.New(n.view, n.lease, n.clock, n.event, n.setMembers)
 	n.gaugeKnowledge()
 	n.metrics.Gauge("replicas_cold", "Replicas that have just started, as this instance knows.", func() float64 { return float64(n.state.ColdCount()) })
-	n.metrics.Gauge("data_centres_evacuated", "Data centres whose replicas get nothing.", func() float64 { return float64(n.state.Evacuated()) })
+	n.metrics.Gauge("data_centres_evacuated", "Data centres whose replicas get nothing.", func() float64 { return float64(n.state.EvacuatedCount()) })
 	n.releases = platform.NewReleases(n.store)
 	n.cloud = newCloud(n)
 	n.router = entry.NewRouter(n.routerPorts())
--- a/state/replicas.go
+++ b/state/replicas.go
@@ -58,8 +58,8 @@
 	return n
 }
 
-// Evacuated returns how many data centres are to be emptied.
-func (s *State) Evacuated() int {
+// EvacuatedCount returns how many data centres are to be emptied.
+func (s *State) EvacuatedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.evacuated)
