--- a/state/comeback.go
+++ b/state/comeback.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// StaleRetry is when a client should come back to an instance that can't
+// StaleRetryAfter is when a client should come back to an instance that can't
 // honour keys; the platform sends it to another one by then. Soon is best for
 // callers, also when the store is away for all: with as long as the
 // configuration had not been confirmed, 824 of 41,066 requests failed and 971
 // were late, with this 609 and 689 (18 days of 7 instances before 21
 // replicas).
-const StaleRetry = 100 * time.Millisecond
+const StaleRetryAfter = 100 * time.Millisecond
 
 // lostRetry is when a client should come back to an instance that has started
 // and can't reach the store: outages last seconds, and each client has few tries.
@@ -27,7 +27,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.lost {
-		return StaleRetry
+		return StaleRetryAfter
 	}
 	return lostRetry*3/4 + rand.N(lostRetry/2)
 }
