--- a/state/comeback.go
+++ b/state/comeback.go
@@ -20,10 +20,10 @@
 // but twice as many came late (one day of 91 instances).
 const lostRetry = time.Second
 
-// StartRetry is when a client should come back to an instance that knows no
+// StartRetryAfter is when a client should come back to an instance that knows no
 // configuration yet: soon if it is about to, else later, and not all in one
 // moment.
-func (s *State) StartRetry() time.Duration {
+func (s *State) StartRetryAfter() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.lost {
