--- a/state/start.go
+++ b/state/start.go
@@ -28,10 +28,10 @@
 	return &start{confirmed: make(chan struct{}), lost: make(chan struct{})}
 }
 
-// AwaitStart waits until a first configuration is confirmed. It reports false
+// AwaitFirstConfig waits until a first configuration is confirmed. It reports false
 // at once if the store can't be reached, and else if none is in time for a
 // request that has until deadline.
-func (s *State) AwaitStart(ctx context.Context, deadline time.Time) bool {
+func (s *State) AwaitFirstConfig(ctx context.Context, deadline time.Time) bool {
 	s.mu.Lock()
 	confirmed, lost := s.start.confirmed, s.start.lost
 	s.mu.Unlock()
--- a/state/start_test.go
+++ b/state/start_test.go
@@ -42,7 +42,7 @@
 					time.AfterFunc(c.after, func() { c.event(s) })
 				}
 				began := time.Now()
-				got := s.AwaitStart(t.Context(), time.Now().Add(c.left))
+				got := s.AwaitFirstConfig(t.Context(), time.Now().Add(c.left))
 				if d := time.Since(began); got != c.want || d != c.took {
 					t.Errorf("%t after %s, want %t after %s", got, d, c.want, c.took)
 				}
