--- a/state/start_test.go
+++ b/state/start_test.go
@@ -59,4 +59,4 @@
 	s.Confirm(time.Now())
 }
 
-func lost(s *State) { s.StoreLost(errors.New("no answer")) }
+func lost(s *State) { s.StoreDisconnected(errors.New("no answer")) }
--- a/state/state.go
+++ b/state/state.go
@@ -212,8 +212,8 @@
 	s.confirmStart()
 }
 
-// StoreLost says that the store is not reached.
-func (s *State) StoreLost(err error) {
+// StoreDisconnected says that the store is not reached.
+func (s *State) StoreDisconnected(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.lost {
