--- a/state/start_test.go
+++ b/state/start_test.go
@@ -30,7 +30,7 @@
 		{"it is read, not confirmed", 8 * time.Second, 300 * time.Millisecond, read, false, startWait},
 		{"the store is lost", 8 * time.Second, 300 * time.Millisecond, lost, false, 300 * time.Millisecond},
 		{"the store is lost before", 8 * time.Second, 0, lost, false, 0},
-		{"the store was lost before and is back", 8 * time.Second, 0, func(s *State) { lost(s); s.StoreBack(); known(s) }, true, 0},
+		{"the store was lost before and is back", 8 * time.Second, 0, func(s *State) { lost(s); s.StoreReconnected(); known(s) }, true, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/state/state.go
+++ b/state/state.go
@@ -225,8 +225,8 @@
 	s.log("store_lost", "error", err, "confirmed_ago", a)
 }
 
-// StoreBack says that it is reached again.
-func (s *State) StoreBack() {
+// StoreReconnected says that it is reached again.
+func (s *State) StoreReconnected() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lost {
