--- a/cmd/fieldvale-node/releases.go
+++ b/cmd/fieldvale-node/releases.go
@@ -32,7 +32,7 @@
 			n.due(c)
 		}
 	}
-	for _, c := range n.state.Due(n.clock(), n.turn) {
+	for _, c := range n.state.DueRecords(n.clock(), n.turn) {
 		if !bad[c.Release.Service] {
 			n.due(n.tried(c))
 		}
--- a/state/releases.go
+++ b/state/releases.go
@@ -110,10 +110,10 @@
 // may record what is due, and what the release shows.
 type Turn func(rel rollout.Release) (wait time.Duration, s rollout.Standing)
 
-// Due returns the releases of which something is to be recorded by now: those
+// DueRecords returns the releases of which something is to be recorded by now: those
 // that no record tells of yet, those whose phase has lasted, each one phase
 // further, and those of which it is recorded too long ago how long they ran.
-func (s *State) Due(now time.Time, turn Turn) []Record {
+func (s *State) DueRecords(now time.Time, turn Turn) []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lost {
