--- a/cmd/fieldvale-node/releases.go
+++ b/cmd/fieldvale-node/releases.go
@@ -28,7 +28,7 @@
 	bad := map[string]bool{}
 	for _, r := range n.router.BadReleases() {
 		bad[r.Service] = true
-		if c, ok := n.state.Tripped(r); ok {
+		if c, ok := n.state.TripRecord(r); ok {
 			n.due(c)
 		}
 	}
--- a/state/releases.go
+++ b/state/releases.go
@@ -132,8 +132,8 @@
 	return l
 }
 
-// Tripped returns the record that stops the release, if it still runs.
-func (s *State) Tripped(rel rollout.Release) (Record, bool) {
+// TripRecord returns the record that stops the release, if it still runs.
+func (s *State) TripRecord(rel rollout.Release) (Record, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.releases[rel.Service]
