--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -146,7 +146,7 @@
 
 // keyRule is what the settings say of keys while the configuration can't be
 // confirmed.
-func keyRule(s settings.Node) lease.Rule {
+func keyRule(s settings.Node) lease.ExpiryRule {
 	if s.KeysLenient {
 		return lease.Lenient
 	}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// Rule says what becomes of keys when the last confirmation is too old.
-type Rule int
+// ExpiryRule says what becomes of keys when the last confirmation is too old.
+type ExpiryRule int
 
 const (
 	// Strict: none is honoured any more.
-	Strict Rule = iota
+	Strict ExpiryRule = iota
 	// Lenient: the newest configuration that is known goes on deciding.
 	Lenient
 )
 
 // String returns the rule's name in settings and logs.
-func (r Rule) String() string {
+func (r ExpiryRule) String() string {
 	if r == Lenient {
 		return "lenient"
 	}
@@ -33,7 +33,7 @@
 	length time.Duration
 	// denies is how old a confirmation may be for a denial.
 	denies time.Duration
-	rule   Rule
+	rule   ExpiryRule
 	start  time.Time
 	// confirmed is nanoseconds from start to the latest confirmed moment;
 	// below 0 there was none.
@@ -47,7 +47,7 @@
 // confirmation holds for keys, denies how long one holds for denials: the time within
 // which a change must be in force. now must carry Go's monotonic reading: a time of day
 // that jumps has no say.
-func New(length, denies time.Duration, r Rule, now time.Time) *Lease {
+func New(length, denies time.Duration, r ExpiryRule, now time.Time) *Lease {
 	l := &Lease{length: length, denies: denies, rule: r, start: now}
 	l.confirmed.Store(never)
 	return l
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -52,7 +52,7 @@
 // Denials hold for as long as a change may take to be in force, whatever the operator says of keys.
 func TestDenials(t *testing.T) {
 	start := time.Unix(1000, 0)
-	for _, r := range []lease.Rule{lease.Strict, lease.Lenient} {
+	for _, r := range []lease.ExpiryRule{lease.Strict, lease.Lenient} {
 		l := lease.New(4*time.Second, 2*time.Second, r, start)
 		if l.Denies(start) {
 			t.Errorf("%s: denied before the first confirmation", r)
