--- a/lease/lease.go
+++ b/lease/lease.go
@@ -75,9 +75,9 @@
 	return now.Sub(l.start) - time.Duration(n), true
 }
 
-// Holds reports whether keys may be honoured now. Under either rule none may
+// AllowsKeys reports whether keys may be honoured now. Under either rule none may
 // before the first confirmation: what an instance has then is nobody's word.
-func (l *Lease) Holds(now time.Time) bool {
+func (l *Lease) AllowsKeys(now time.Time) bool {
 	_, ok := l.Age(now)
 	return ok && (l.rule == Lenient || l.Fresh(now, 1))
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -10,15 +10,15 @@
 func TestLease(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 	l := lease.New(4*time.Second, 2*time.Second, lease.Strict, at(0))
-	if l.Holds(at(0)) {
+	if l.AllowsKeys(at(0)) {
 		t.Error("holds before any confirmation")
 	}
 	l.Confirm(at(1))
-	if !l.Holds(at(4.9)) || l.Holds(at(5)) {
+	if !l.AllowsKeys(at(4.9)) || l.AllowsKeys(at(5)) {
 		t.Error("a confirmation at 1 s must hold until 5 s, not longer")
 	}
 	l.Confirm(at(0.5))
-	if !l.Holds(at(4.9)) {
+	if !l.AllowsKeys(at(4.9)) {
 		t.Error("an older confirmation shortened the lease")
 	}
 	l.Confirm(at(6))
@@ -33,12 +33,12 @@
 func TestLenientLease(t *testing.T) {
 	start := time.Unix(1000, 0)
 	l := lease.New(4*time.Second, 2*time.Second, lease.Lenient, start)
-	if l.Holds(start) {
+	if l.AllowsKeys(start) {
 		t.Error("holds before any confirmation")
 	}
 	l.Confirm(start)
 	later := start.Add(time.Hour)
-	if !l.Holds(later) {
+	if !l.AllowsKeys(later) {
 		t.Error("does not hold an hour after the confirmation")
 	}
 	if l.Fresh(later, 1) {
--- a/state/state.go
+++ b/state/state.go
@@ -198,7 +198,7 @@
 	s.unconfirmed = !s.unconfirmed
 	a, _ := s.lease.Age(now)
 	if s.unconfirmed {
-		s.log("config_unconfirmed", "version", s.table.Version, "age", a, "keys_honoured", s.lease.Holds(now))
+		s.log("config_unconfirmed", "version", s.table.Version, "age", a, "keys_honoured", s.lease.AllowsKeys(now))
 		return
 	}
 	s.log("config_confirmed", "version", s.table.Version, "age", a)
