--- a/lease/lease.go
+++ b/lease/lease.go
@@ -82,9 +82,9 @@
 	return ok && (l.rule == Lenient || l.Fresh(now, 1))
 }
 
-// Denies reports whether a request may be denied now because the configuration does not allow it:
+// AllowsDenials reports whether a request may be denied now because the configuration does not allow it:
 // not where a newer one that must be in force may allow it, under either rule.
-func (l *Lease) Denies(now time.Time) bool {
+func (l *Lease) AllowsDenials(now time.Time) bool {
 	a, ok := l.Age(now)
 	return ok && a < min(l.denies, l.length)
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -54,7 +54,7 @@
 	start := time.Unix(1000, 0)
 	for _, r := range []lease.ExpiryRule{lease.Strict, lease.Lenient} {
 		l := lease.New(4*time.Second, 2*time.Second, r, start)
-		if l.Denies(start) {
+		if l.AllowsDenials(start) {
 			t.Errorf("%s: denied before the first confirmation", r)
 		}
 		l.Confirm(start)
@@ -62,7 +62,7 @@
 			after time.Duration
 			want  bool
 		}{{0, true}, {1999 * time.Millisecond, true}, {2 * time.Second, false}, {time.Hour, false}} {
-			if g := l.Denies(start.Add(c.after)); g != c.want {
+			if g := l.AllowsDenials(start.Add(c.after)); g != c.want {
 				t.Errorf("%s, %s after the confirmation: %t, want %t", r, c.after, g, c.want)
 			}
 		}
