--- a/cmd/fieldvale-node/quota.go
+++ b/cmd/fieldvale-node/quota.go
@@ -14,10 +14,10 @@
 }
 
 func (n *node) gaugeQuota() {
-	n.metrics.Gauge("replicas_limited", "Replicas that name a limit, as this instance knows.", func() float64 { return float64(len(n.quota.Limited())) })
+	n.metrics.Gauge("replicas_limited", "Replicas that name a limit, as this instance knows.", func() float64 { return float64(len(n.quota.LimitedReplicas())) })
 	n.metrics.Gauges("replica_limit_per_second", "What each replica that names a limit takes from all instances together, in requests a second.", "replica", func() map[string]float64 {
 		m := map[string]float64{}
-		for r, b := range n.quota.Limited() {
+		for r, b := range n.quota.LimitedReplicas() {
 			m[r] = b.PerSecond
 		}
 		return m
--- a/quota/fuzz_test.go
+++ b/quota/fuzz_test.go
@@ -20,7 +20,7 @@
 		n.Receive("x", b)
 		now = now.Add(100 * time.Millisecond)
 		n.Tick()
-		for r, x := range n.Limited() {
+		for r, x := range n.LimitedReplicas() {
 			if !(x.PerSecond >= 0 && x.PerSecond <= 1e6) {
 				t.Errorf("%s: %g a second", r, x.PerSecond)
 			}
--- a/quota/node.go
+++ b/quota/node.go
@@ -127,8 +127,8 @@
 // IsQuiet reports whether no replica has a limit or may be cold, as far as is known.
 func (n *Node) IsQuiet() bool { return n.beliefs.len() == 0 }
 
-// Limited returns what is believed of the replicas that are limited.
-func (n *Node) Limited() map[string]Belief { return n.beliefs.limited() }
+// LimitedReplicas returns what is believed of the replicas that are limited.
+func (n *Node) LimitedReplicas() map[string]Belief { return n.beliefs.limited() }
 
 // Used returns how many requests a second each limited replica got lately, for those that this
 // instance counts for.
