--- a/cmd/fieldvale-node/quota.go
+++ b/cmd/fieldvale-node/quota.go
@@ -22,7 +22,7 @@
 		}
 		return m
 	})
-	n.metrics.Gauges("replica_limit_used_per_second", "What each of them got in the last four seconds, at the instance that counts.", "replica", n.quota.Used)
+	n.metrics.Gauges("replica_limit_used_per_second", "What each of them got in the last four seconds, at the instance that counts.", "replica", n.quota.UsedRates)
 }
 
 // unknownHeader logs that an answer says something that is not understood.
--- a/quota/node.go
+++ b/quota/node.go
@@ -130,9 +130,9 @@
 // LimitedReplicas returns what is believed of the replicas that are limited.
 func (n *Node) LimitedReplicas() map[string]Belief { return n.beliefs.limited() }
 
-// Used returns how many requests a second each limited replica got lately, for those that this
+// UsedRates returns how many requests a second each limited replica got lately, for those that this
 // instance counts for.
-func (n *Node) Used() map[string]float64 {
+func (n *Node) UsedRates() map[string]float64 {
 	limited := n.beliefs.limited()
 	now := n.Clock()
 	n.mu.Lock()
