--- a/quota/cold_test.go
+++ b/quota/cold_test.go
@@ -152,7 +152,7 @@
 // start starts a node, or starts it again with nothing of before.
 func (f *prompt) start(id string, list []peer.Member, current bool) {
 	f.nodes[id] = quota.NewNode(rand.Uint64()>>16, quota.Ports{
-		Self: id, Net: promptWire{f, id}, Clock: time.Now, KnownWithin: 3 * time.Second, IsCurrent: func() bool { return current },
+		Self: id, Net: promptWire{f, id}, Clock: time.Now, MaxPropagationDelay: 3 * time.Second, IsCurrent: func() bool { return current },
 		FleetSize: func() int { return len(f.nodes) }, Rand: rand.Float64, Log: func(string, ...any) {},
 	})
 	f.nodes[id].SetMembers(list)
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -139,7 +139,7 @@
 	p.start += 1 << 20
 	f := p.fleet
 	n := quota.NewNode(p.start, quota.Ports{
-		Self: id, Net: wire{f, id}, Clock: time.Now, KnownWithin: 3 * time.Second, Rand: p.random,
+		Self: id, Net: wire{f, id}, Clock: time.Now, MaxPropagationDelay: 3 * time.Second, Rand: p.random,
 		FleetSize: func() int { return p.size }, Followers: func() []string { return p.followers(id) },
 		IsCurrent: func() bool { return !p.stale }, Log: func(e string, l ...any) { p.log(id, e, l) },
 	})
--- a/quota/node.go
+++ b/quota/node.go
@@ -29,7 +29,7 @@
 	// IsCurrent reports whether the list of instances was confirmed lately; a change of it is
 	// known everywhere within KnownWithin.
 	IsCurrent   func() bool
-	KnownWithin time.Duration
+	MaxPropagationDelay time.Duration
 	// Rand returns a number from 0 to 1, below that.
 	Rand func() float64
 	Log  func(event string, fields ...any)
@@ -70,7 +70,7 @@
 	return &Node{
 		Ports: p, beliefs: newBeliefs(), waiting: reply.New[wireAnswer](start), rankings: map[string][]peer.Member{}, charges: map[string]*charge{},
 		heardOf: map[string]time.Time{}, avoid: map[string]time.Time{}, resting: map[string]time.Time{}, shares: map[string]time.Time{},
-		settledAt: now.Add(p.KnownWithin + settleMargin), tickedAt: now, news: news{},
+		settledAt: now.Add(p.MaxPropagationDelay + settleMargin), tickedAt: now, news: news{},
 	}
 }
 
