--- a/cmd/fieldvale-node/quota.go
+++ b/cmd/fieldvale-node/quota.go
@@ -9,7 +9,7 @@
 func (n *node) quotaPorts() quota.Ports {
 	return quota.Ports{
 		Self: n.s.ID, Net: tagged{n, tagQuota}, Clock: n.clock, FleetSize: n.relay.FleetSize, Followers: n.relay.Followers,
-		IsCurrent: n.isCurrent, MaxPropagationDelay: n.s.ApplyWithin, Rand: rand.Float64, Log: n.event,
+		IsMembershipCurrent: n.isCurrent, MaxPropagationDelay: n.s.ApplyWithin, Rand: rand.Float64, Log: n.event,
 	}
 }
 
--- a/process/entry.go
+++ b/process/entry.go
@@ -63,7 +63,7 @@
 		l.WithFields(logging.Fields(f...)).Info(event)
 	}})
 	e.quota = quota.NewNode(0, quota.Ports{
-		Self: s.ID, Clock: time.Now, FleetSize: func() int { return max(1, len(e.view.Get().Members)) }, IsCurrent: func() bool { return true }, Rand: rand.Float64,
+		Self: s.ID, Clock: time.Now, FleetSize: func() int { return max(1, len(e.view.Get().Members)) }, IsMembershipCurrent: func() bool { return true }, Rand: rand.Float64,
 		Log: func(event string, f ...any) { l.WithFields(logging.Fields(f...)).Info(event) },
 	})
 	e.notices = notice.NewBook(time.Now, backendsDrain, func(event string, f ...any) {
--- a/quota/charge.go
+++ b/quota/charge.go
@@ -83,7 +83,7 @@
 		c.book = newBook()
 	}
 	c.mine = mine
-	return mine, mine && first && n.IsCurrent()
+	return mine, mine && first && n.IsMembershipCurrent()
 }
 
 func (n *Node) mayCount(service string, c *charge, now time.Time) (counts, first bool) {
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -141,7 +141,7 @@
 	n := quota.NewNode(p.start, quota.Ports{
 		Self: id, Net: wire{f, id}, Clock: time.Now, MaxPropagationDelay: 3 * time.Second, Rand: p.random,
 		FleetSize: func() int { return p.size }, Followers: func() []string { return p.followers(id) },
-		IsCurrent: func() bool { return !p.stale }, Log: func(e string, l ...any) { p.log(id, e, l) },
+		IsMembershipCurrent: func() bool { return !p.stale }, Log: func(e string, l ...any) { p.log(id, e, l) },
 	})
 	f.mu.Lock()
 	f.nodes[id] = n
--- a/quota/node.go
+++ b/quota/node.go
@@ -26,9 +26,9 @@
 	// Followers returns the addresses of the instances on no list that this one tells
 	// what it hears. It may be nil.
 	Followers func() []string
-	// IsCurrent reports whether the list of instances was confirmed lately; a change of it is
+	// IsMembershipCurrent reports whether the list of instances was confirmed lately; a change of it is
 	// known everywhere within KnownWithin.
-	IsCurrent   func() bool
+	IsMembershipCurrent   func() bool
 	MaxPropagationDelay time.Duration
 	// Rand returns a number from 0 to 1, below that.
 	Rand func() float64
