--- a/cmd/fieldvale-node/quota.go
+++ b/cmd/fieldvale-node/quota.go
@@ -6,8 +6,8 @@
 	"fieldvale/quota"
 )
 
-func (n *node) quotaPorts() quota.Ports {
-	return quota.Ports{
+func (n *node) quotaPorts() quota.Config {
+	return quota.Config{
 		Self: n.s.ID, Net: tagged{n, tagQuota}, Clock: n.clock, FleetSize: n.relay.FleetSize, Followers: n.relay.Followers,
 		IsMembershipCurrent: n.isCurrent, MaxPropagationDelay: n.s.ApplyWithin, Rand: rand.Float64, Log: n.event,
 	}
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -86,7 +86,7 @@
 					var routers []*Router
 					var quotas []*quota.Node
 					for i := range entries {
-						q := quota.NewNode(0, quota.Ports{Self: fmt.Sprint(i), Clock: clock, FleetSize: func() int { return entries }, IsMembershipCurrent: func() bool { return true }, Rand: rand.Float64, Log: func(string, ...any) {}})
+						q := quota.NewNode(0, quota.Config{Self: fmt.Sprint(i), Clock: clock, FleetSize: func() int { return entries }, IsMembershipCurrent: func() bool { return true }, Rand: rand.Float64, Log: func(string, ...any) {}})
 						quotas = append(quotas, q)
 						routers = append(routers, NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, uint64(i)), Services: n, Engines: n, Quota: q}))
 					}
--- a/process/entry.go
+++ b/process/entry.go
@@ -62,7 +62,7 @@
 	e.quarantine = quarantine.NewNode(0, quarantine.Ports{Self: s.ID, Clock: time.Now, Log: func(event string, f ...any) {
 		l.WithFields(logging.Fields(f...)).Info(event)
 	}})
-	e.quota = quota.NewNode(0, quota.Ports{
+	e.quota = quota.NewNode(0, quota.Config{
 		Self: s.ID, Clock: time.Now, FleetSize: func() int { return max(1, len(e.view.Get().Members)) }, IsMembershipCurrent: func() bool { return true }, Rand: rand.Float64,
 		Log: func(event string, f ...any) { l.WithFields(logging.Fields(f...)).Info(event) },
 	})
--- a/quota/cold_test.go
+++ b/quota/cold_test.go
@@ -31,7 +31,7 @@
 
 // alone is a node that is the whole fleet, and has settled.
 func alone(now *time.Time, isCurrent bool) *quota.Node {
-	n := quota.NewNode(0, quota.Ports{Self: "n", Net: silence{}, Clock: func() time.Time { return *now }, IsMembershipCurrent: func() bool { return isCurrent }, FleetSize: func() int { return 1 }, Rand: rand.Float64, Log: func(string, ...any) {}})
+	n := quota.NewNode(0, quota.Config{Self: "n", Net: silence{}, Clock: func() time.Time { return *now }, IsMembershipCurrent: func() bool { return isCurrent }, FleetSize: func() int { return 1 }, Rand: rand.Float64, Log: func(string, ...any) {}})
 	n.SetMembers([]peer.Member{{ID: "n", Addr: "n"}})
 	for range 50 {
 		*now = now.Add(100 * time.Millisecond)
@@ -151,7 +151,7 @@
 
 // start starts a node, or starts it again with nothing of before.
 func (f *prompt) start(id string, list []peer.Member, current bool) {
-	f.nodes[id] = quota.NewNode(rand.Uint64()>>16, quota.Ports{
+	f.nodes[id] = quota.NewNode(rand.Uint64()>>16, quota.Config{
 		Self: id, Net: promptWire{f, id}, Clock: time.Now, MaxPropagationDelay: 3 * time.Second, IsMembershipCurrent: func() bool { return current },
 		FleetSize: func() int { return len(f.nodes) }, Rand: rand.Float64, Log: func(string, ...any) {},
 	})
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -138,7 +138,7 @@
 func (p *playing) startNode(id string) {
 	p.start += 1 << 20
 	f := p.fleet
-	n := quota.NewNode(p.start, quota.Ports{
+	n := quota.NewNode(p.start, quota.Config{
 		Self: id, Net: wire{f, id}, Clock: time.Now, MaxPropagationDelay: 3 * time.Second, Rand: p.random,
 		FleetSize: func() int { return p.size }, Followers: func() []string { return p.followers(id) },
 		IsMembershipCurrent: func() bool { return !p.stale }, Log: func(e string, l ...any) { p.log(id, e, l) },
--- a/quota/node.go
+++ b/quota/node.go
@@ -13,8 +13,8 @@
 	Send(addr string, b []byte) error
 }
 
-// Ports are what a node works through.
-type Ports struct {
+// Config are what a node works through.
+type Config struct {
 	// Self is this instance's id.
 	Self string
 	// Net may be nil: then instances have no way to each other, and each allows itself its
@@ -37,7 +37,7 @@
 
 // Node is one instance's part in what replicas ask of all.
 type Node struct {
-	Ports
+	Config
 	beliefs *beliefs
 	waiting *reply.Waiters[wireAnswer]
 
@@ -65,10 +65,10 @@
 
 // NewNode returns an instance that knows of no limit and of no other instance yet. start
 // makes its questions differ from those of an earlier run.
-func NewNode(start uint64, p Ports) *Node {
+func NewNode(start uint64, p Config) *Node {
 	now := p.Clock()
 	return &Node{
-		Ports: p, beliefs: newBeliefs(), waiting: reply.New[wireAnswer](start), rankings: map[string][]peer.Member{}, charges: map[string]*charge{},
+		Config: p, beliefs: newBeliefs(), waiting: reply.New[wireAnswer](start), rankings: map[string][]peer.Member{}, charges: map[string]*charge{},
 		heardOf: map[string]time.Time{}, avoid: map[string]time.Time{}, resting: map[string]time.Time{}, shares: map[string]time.Time{},
 		settledAt: now.Add(p.MaxPropagationDelay + settleMargin), tickedAt: now, news: news{},
 	}
