--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -152,7 +152,7 @@
 type words []string
 
 func (w *words) Hear(_, replica string, x quota.Word) {
-	*w = append(*w, fmt.Sprint(replica, " ", x.IsNamed, " ", x.PerSecond))
+	*w = append(*w, fmt.Sprint(replica, " ", x.HasLimit, " ", x.PerSecond))
 }
 func (w *words) Unreadable(replica string, _ error) { *w = append(*w, replica+" unreadable") }
 
--- a/adapter/backend/limit.go
+++ b/adapter/backend/limit.go
@@ -81,7 +81,7 @@
 	switch {
 	case err != nil:
 		l.Unreadable(r.ID, err)
-	case w.IsNamed || !refusal(p):
+	case w.HasLimit || !refusal(p):
 		l.Hear(r.Service, r.ID, w)
 	}
 }
--- a/quota/belief.go
+++ b/quota/belief.go
@@ -53,7 +53,7 @@
 // With returns the belief with a word counted that the instance heard. Of two figures of
 // which none is surely the later one the smaller counts, until the next answer.
 func (b Belief) With(w Word, by string) Belief {
-	if !w.IsNamed {
+	if !w.HasLimit {
 		if w.SentAt.After(b.FreeFrom) {
 			b.FreeFrom = w.SentAt
 		}
@@ -79,7 +79,7 @@
 func (b Belief) words() []Word {
 	var l []Word
 	if !b.NamedAt.IsZero() {
-		l = append(l, Word{IsNamed: true, PerSecond: b.PerSecond, SentAt: b.AskedAt, HeardAt: b.NamedAt})
+		l = append(l, Word{HasLimit: true, PerSecond: b.PerSecond, SentAt: b.AskedAt, HeardAt: b.NamedAt})
 	}
 	if !b.FreeFrom.IsZero() {
 		l = append(l, Word{SentAt: b.FreeFrom, HeardAt: b.FreeFrom})
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -207,7 +207,7 @@
 		panic(err)
 	}
 	p.mu.Lock()
-	if w.IsNamed && p.named.IsZero() {
+	if w.HasLimit && p.named.IsZero() {
 		p.named = time.Now()
 	}
 	p.mu.Unlock()
--- a/quota/word.go
+++ b/quota/word.go
@@ -11,9 +11,9 @@
 
 // Word is what one answer of a replica says of its limit.
 type Word struct {
-	// IsNamed says that the answer names a limit, of PerSecond requests from all
+	// HasLimit says that the answer names a limit, of PerSecond requests from all
 	// instances together.
-	IsNamed   bool
+	HasLimit   bool
 	PerSecond float64
 	// SentAt is when the request was sent, HeardAt when the head of its answer came; the
 	// replica said it in between.
@@ -39,12 +39,12 @@
 				err = e
 				continue
 			}
-			if !w.IsNamed || x < w.PerSecond {
-				w.IsNamed, w.PerSecond = true, x
+			if !w.HasLimit || x < w.PerSecond {
+				w.HasLimit, w.PerSecond = true, x
 			}
 		}
 	}
-	if w.IsNamed {
+	if w.HasLimit {
 		return w, nil
 	}
 	return w, err
--- a/quota/word_test.go
+++ b/quota/word_test.go
@@ -37,7 +37,7 @@
 		switch {
 		case err != nil:
 			got = "unreadable"
-		case w.IsNamed:
+		case w.HasLimit:
 			got = fmt.Sprint(w.PerSecond)
 		}
 		if got != want {
@@ -53,7 +53,7 @@
 	}
 	f.Fuzz(func(t *testing.T, a, b string) {
 		w, err := quota.NewWord([]string{a, b}, noon, noon)
-		if w.IsNamed && (err != nil || !(w.PerSecond >= 0 && w.PerSecond <= 1e6)) {
+		if w.HasLimit && (err != nil || !(w.PerSecond >= 0 && w.PerSecond <= 1e6)) {
 			t.Errorf("%q %q: %+v, %v", a, b, w, err)
 		}
 	})
