--- a/quota/belief.go
+++ b/quota/belief.go
@@ -61,16 +61,16 @@
 	}
 	overlaps := b.IsLimited() && w.SentAt.Before(b.NamedAt)
 	switch {
-	case !w.HeardAt.After(b.AskedAt):
+	case !w.ReceivedAt.After(b.AskedAt):
 		return b
 	case overlaps && w.PerSecond > b.PerSecond:
 		return b
-	case overlaps && w.PerSecond == b.PerSecond && w.HeardAt.Before(b.NamedAt):
+	case overlaps && w.PerSecond == b.PerSecond && w.ReceivedAt.Before(b.NamedAt):
 		return b
 	}
 	b.PerSecond, b.AskedAt, b.By = w.PerSecond, w.SentAt, by
-	if w.HeardAt.After(b.NamedAt) {
-		b.NamedAt = w.HeardAt
+	if w.ReceivedAt.After(b.NamedAt) {
+		b.NamedAt = w.ReceivedAt
 	}
 	return b
 }
@@ -79,10 +79,10 @@
 func (b Belief) words() []Word {
 	var l []Word
 	if !b.NamedAt.IsZero() {
-		l = append(l, Word{HasLimit: true, PerSecond: b.PerSecond, SentAt: b.AskedAt, HeardAt: b.NamedAt})
+		l = append(l, Word{HasLimit: true, PerSecond: b.PerSecond, SentAt: b.AskedAt, ReceivedAt: b.NamedAt})
 	}
 	if !b.FreeFrom.IsZero() {
-		l = append(l, Word{SentAt: b.FreeFrom, HeardAt: b.FreeFrom})
+		l = append(l, Word{SentAt: b.FreeFrom, ReceivedAt: b.FreeFrom})
 	}
 	return l
 }
--- a/quota/word.go
+++ b/quota/word.go
@@ -15,9 +15,9 @@
 	// instances together.
 	HasLimit   bool
 	PerSecond float64
-	// SentAt is when the request was sent, HeardAt when the head of its answer came; the
+	// SentAt is when the request was sent, ReceivedAt when the head of its answer came; the
 	// replica said it in between.
-	SentAt, HeardAt time.Time
+	SentAt, ReceivedAt time.Time
 }
 
 // most bounds a figure, in requests a second: nothing gets more, and sums stay exact.
@@ -30,7 +30,7 @@
 // smallest counts. An error means that the answer says nothing, not even that the limit is
 // over.
 func NewWord(figures []string, sentAt, heardAt time.Time) (Word, error) {
-	w := Word{SentAt: sentAt, HeardAt: heardAt}
+	w := Word{SentAt: sentAt, ReceivedAt: heardAt}
 	var err error
 	for _, t := range figures {
 		for _, f := range strings.Split(t, ",") {
