--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -151,7 +151,7 @@
 // words are what was heard of limits.
 type words []string
 
-func (w *words) Hear(_, replica string, x quota.Word) {
+func (w *words) Hear(_, replica string, x quota.LimitReport) {
 	*w = append(*w, fmt.Sprint(replica, " ", x.HasLimit, " ", x.PerSecond))
 }
 func (w *words) Unreadable(replica string, _ error) { *w = append(*w, replica+" unreadable") }
--- a/quota/belief.go
+++ b/quota/belief.go
@@ -52,7 +52,7 @@
 
 // With returns the belief with a word counted that the instance heard. Of two figures of
 // which none is surely the later one the smaller counts, until the next answer.
-func (b Belief) With(w Word, by string) Belief {
+func (b Belief) With(w LimitReport, by string) Belief {
 	if !w.HasLimit {
 		if w.SentAt.After(b.FreeFrom) {
 			b.FreeFrom = w.SentAt
@@ -76,13 +76,13 @@
 }
 
 // words returns what the belief says to others.
-func (b Belief) words() []Word {
-	var l []Word
+func (b Belief) words() []LimitReport {
+	var l []LimitReport
 	if !b.NamedAt.IsZero() {
-		l = append(l, Word{HasLimit: true, PerSecond: b.PerSecond, SentAt: b.AskedAt, ReceivedAt: b.NamedAt})
+		l = append(l, LimitReport{HasLimit: true, PerSecond: b.PerSecond, SentAt: b.AskedAt, ReceivedAt: b.NamedAt})
 	}
 	if !b.FreeFrom.IsZero() {
-		l = append(l, Word{SentAt: b.FreeFrom, ReceivedAt: b.FreeFrom})
+		l = append(l, LimitReport{SentAt: b.FreeFrom, ReceivedAt: b.FreeFrom})
 	}
 	return l
 }
--- a/quota/word.go
+++ b/quota/word.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Word is what one answer of a replica says of its limit.
-type Word struct {
+// LimitReport is what one answer of a replica says of its limit.
+type LimitReport struct {
 	// HasLimit says that the answer names a limit, of PerSecond requests from all
 	// instances together.
 	HasLimit   bool
@@ -29,8 +29,8 @@
 // NewWord reads the figures that an answer names; none is a word as well. Of several the
 // smallest counts. An error means that the answer says nothing, not even that the limit is
 // over.
-func NewWord(figures []string, sentAt, heardAt time.Time) (Word, error) {
-	w := Word{SentAt: sentAt, ReceivedAt: heardAt}
+func NewWord(figures []string, sentAt, heardAt time.Time) (LimitReport, error) {
+	w := LimitReport{SentAt: sentAt, ReceivedAt: heardAt}
 	var err error
 	for _, t := range figures {
 		for _, f := range strings.Split(t, ",") {
