--- a/adapter/backend/limit.go
+++ b/adapter/backend/limit.go
@@ -77,7 +77,7 @@
 // hearLimit hands on what an answer says of its server's limit. One that turns the request
 // away can name a limit, but not end one.
 func hearLimit(l Limits, r *pool.Replica, p *fasthttp.Response, sentAt time.Time) {
-	w, err := quota.NewWord(values(p, HeaderLimit), sentAt, time.Now())
+	w, err := quota.ParseLimitReport(values(p, HeaderLimit), sentAt, time.Now())
 	switch {
 	case err != nil:
 		l.Unreadable(r.ID, err)
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -30,7 +30,7 @@
 	if l := n.limits[r.ID]; l != "" {
 		figures = []string{l}
 	}
-	w, err := quota.NewWord(figures, now, now)
+	w, err := quota.ParseLimitReport(figures, now, now)
 	if err != nil {
 		panic(err)
 	}
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -202,7 +202,7 @@
 	if !p.isUp(id) {
 		return
 	}
-	w, err := quota.NewWord(figures, sent, time.Now())
+	w, err := quota.ParseLimitReport(figures, sent, time.Now())
 	if err != nil {
 		panic(err)
 	}
--- a/quota/queue_test.go
+++ b/quota/queue_test.go
@@ -27,7 +27,7 @@
 		now := noon
 		n := alone(&now, true)
 		for _, r := range []string{"a", "b"} {
-			w, _ := quota.NewWord([]string{"1.5"}, now, now.Add(time.Millisecond))
+			w, _ := quota.ParseLimitReport([]string{"1.5"}, now, now.Add(time.Millisecond))
 			n.Hear("s", r, w)
 		}
 		served := map[int]int{}
@@ -94,7 +94,7 @@
 	n := alone(&now, true)
 	name := func(i int) string { return fmt.Sprint("r", i) }
 	for i := range replicas {
-		w, _ := quota.NewWord([]string{fmt.Sprint(figure)}, now, now.Add(time.Millisecond))
+		w, _ := quota.ParseLimitReport([]string{fmt.Sprint(figure)}, now, now.Add(time.Millisecond))
 		n.Hear("s", name(i), w)
 	}
 	r := rand.New(rand.NewPCG(1, 1))
--- a/quota/word.go
+++ b/quota/word.go
@@ -26,10 +26,10 @@
 // errUnreadable says that a figure is none.
 var errUnreadable = errors.New("not a number of requests a second")
 
-// NewWord reads the figures that an answer names; none is a word as well. Of several the
+// ParseLimitReport reads the figures that an answer names; none is a word as well. Of several the
 // smallest counts. An error means that the answer says nothing, not even that the limit is
 // over.
-func NewWord(figures []string, sentAt, heardAt time.Time) (LimitReport, error) {
+func ParseLimitReport(figures []string, sentAt, heardAt time.Time) (LimitReport, error) {
 	w := LimitReport{SentAt: sentAt, ReceivedAt: heardAt}
 	var err error
 	for _, t := range figures {
--- a/quota/word_test.go
+++ b/quota/word_test.go
@@ -32,7 +32,7 @@
 				l = append(l, x)
 			}
 		}
-		w, err := quota.NewWord(l, noon, noon)
+		w, err := quota.ParseLimitReport(l, noon, noon)
 		got := "none"
 		switch {
 		case err != nil:
@@ -52,7 +52,7 @@
 		f.Add(s, "2")
 	}
 	f.Fuzz(func(t *testing.T, a, b string) {
-		w, err := quota.NewWord([]string{a, b}, noon, noon)
+		w, err := quota.ParseLimitReport([]string{a, b}, noon, noon)
 		if w.HasLimit && (err != nil || !(w.PerSecond >= 0 && w.PerSecond <= 1e6)) {
 			t.Errorf("%q %q: %+v, %v", a, b, w, err)
 		}
@@ -86,7 +86,7 @@
 			if p[0] == "none" {
 				figures = nil
 			}
-			w, err := quota.NewWord(figures, at(p[1]), at(p[2]))
+			w, err := quota.ParseLimitReport(figures, at(p[1]), at(p[2]))
 			if err != nil {
 				t.Fatal(err)
 			}
