--- a/entry/bounded_test.go
+++ b/entry/bounded_test.go
@@ -159,7 +159,7 @@
 			t.Errorf("come back in %s, want %s", w.retryAt.Sub(*now), c.retry)
 		}
 	}
-	if a := g.asked[0]; a.Candidates[0].Bound.ColdPerSecond != 10 || !a.Candidates[0].IsCold || !a.IsLast {
+	if a := g.asked[0]; a.Candidates[0].Bound.ColdPerSecond != 10 || !a.Candidates[0].IsCold || !a.OnlyBounded {
 		t.Errorf("asked for %+v", a)
 	}
 }
--- a/quota/decide.go
+++ b/quota/decide.go
@@ -49,7 +49,7 @@
 		rate += b.rate()
 	}
 	rate = max(rate, c.rate)
-	if a.IsLast {
+	if a.OnlyBounded {
 		c.queue.asked[clampRank(a.Rank)].add(now)
 		if c.queue.isKept(a.Rank, rate, now) {
 			w.Why, w.Come = Wanted, c.queue.come(now.Add(bucket), rate).Sub(now).Milliseconds()
@@ -71,7 +71,7 @@
 		}
 		w.Waits = append(w.Waits, d.NotBefore.Sub(now).Milliseconds())
 	}
-	if a.IsLast && !first.IsZero() {
+	if a.OnlyBounded && !first.IsZero() {
 		w.Come = c.queue.come(first, rate).Sub(now).Milliseconds()
 	}
 	return w
@@ -80,7 +80,7 @@
 // grant counts a request that may go to the replica.
 func (c *charge) grant(a Ask, replica string, now time.Time) {
 	c.book.grant(replica, now)
-	if a.IsLast {
+	if a.OnlyBounded {
 		c.queue.granted[clampRank(a.Rank)].add(now)
 	}
 }
--- a/quota/take.go
+++ b/quota/take.go
@@ -26,8 +26,8 @@
 	Candidates []Candidate
 	// Rank is the request's, from 0 for the most urgent to 9.
 	Rank int
-	// IsLast says that no replica without a bound is left for it.
-	IsLast bool
+	// OnlyBounded says that no replica without a bound is left for it.
+	OnlyBounded bool
 }
 
 // Verdict is the answer.
