--- a/entry/bounded.go
+++ b/entry/bounded.go
@@ -153,7 +153,7 @@
 
 func (r *Router) askFor(service string, l []*pool.Replica, coldPerSecond float64, rank int, isLast bool) quota.Ask {
 	now := r.clock()
-	a := quota.Ask{Service: service, Rank: rank, OnlyBounded: isLast}
+	a := quota.Ask{Service: service, Priority: rank, OnlyBounded: isLast}
 	for _, x := range l {
 		isCold := coldPerSecond > 0 && x.IsCold(now)
 		a.Candidates = append(a.Candidates, quota.Candidate{Replica: x.ID, Bound: r.quota.Bound(x.ID, coldPerSecond, isCold), IsCold: isCold})
--- a/quota/decide.go
+++ b/quota/decide.go
@@ -50,8 +50,8 @@
 	}
 	rate = max(rate, c.rate)
 	if a.OnlyBounded {
-		c.queue.asked[clampRank(a.Rank)].add(now)
-		if c.queue.isKept(a.Rank, rate, now) {
+		c.queue.asked[clampRank(a.Priority)].add(now)
+		if c.queue.isKept(a.Priority, rate, now) {
 			w.Why, w.Come = Wanted, c.queue.come(now.Add(bucket), rate).Sub(now).Milliseconds()
 			return w
 		}
@@ -81,7 +81,7 @@
 func (c *charge) grant(a Ask, replica string, now time.Time) {
 	c.book.grant(replica, now)
 	if a.OnlyBounded {
-		c.queue.granted[clampRank(a.Rank)].add(now)
+		c.queue.granted[clampRank(a.Priority)].add(now)
 	}
 }
 
--- a/quota/take.go
+++ b/quota/take.go
@@ -24,8 +24,8 @@
 	Service string
 	// Candidates are the replicas that it might go to, the preferred first.
 	Candidates []Candidate
-	// Rank is the request's, from 0 for the most urgent to 9.
-	Rank int
+	// Priority is the request's, from 0 for the most urgent to 9.
+	Priority int
 	// OnlyBounded says that no replica without a bound is left for it.
 	OnlyBounded bool
 }
--- a/quota/wire.go
+++ b/quota/wire.go
@@ -117,7 +117,7 @@
 }
 
 func newWireAsk(a Ask, told map[string]Belief, now time.Time) *wireAsk {
-	w := &wireAsk{Service: a.Service, Rank: a.Rank, IsLast: a.OnlyBounded}
+	w := &wireAsk{Service: a.Service, Rank: a.Priority, IsLast: a.OnlyBounded}
 	for _, c := range a.Candidates {
 		w.Candidates = append(w.Candidates, wireCandidate{Belief: newWireBelief(c.Replica, told[c.Replica], now), ColdPerSecond: c.Bound.ColdPerSecond, IsCold: c.IsCold})
 	}
@@ -125,7 +125,7 @@
 }
 
 func (w *wireAsk) ask() Ask {
-	a := Ask{Service: w.Service, Rank: w.Rank, OnlyBounded: w.IsLast}
+	a := Ask{Service: w.Service, Priority: w.Rank, OnlyBounded: w.IsLast}
 	for _, c := range w.Candidates {
 		a.Candidates = append(a.Candidates, Candidate{Replica: c.Belief.Replica, Bound: Bound{ColdPerSecond: max(0, c.ColdPerSecond)}, IsCold: c.IsCold})
 	}
