--- a/entry/bounded.go
+++ b/entry/bounded.go
@@ -23,7 +23,7 @@
 	// IsResting reports whether the replica gets nothing now, as far as is known here.
 	IsResting(replica string) bool
 	// Take asks for the right to send the request to one of its candidates.
-	Take(ctx context.Context, a quota.Ask) quota.Verdict
+	Take(ctx context.Context, a quota.PermitRequest) quota.Verdict
 	// Return gives a right back that came to nothing.
 	Return(t quota.Ticket)
 	// Unreached says that a replica that may be cold again could not be connected to.
@@ -36,7 +36,7 @@
 func (unbounded) IsQuiet() bool                                 { return true }
 func (unbounded) Bound(string, float64, bool) quota.Bound       { return quota.Bound{} }
 func (unbounded) IsResting(string) bool                         { return false }
-func (unbounded) Take(context.Context, quota.Ask) quota.Verdict { return quota.Verdict{} }
+func (unbounded) Take(context.Context, quota.PermitRequest) quota.Verdict { return quota.Verdict{} }
 func (unbounded) Return(quota.Ticket)                           {}
 func (unbounded) Unreached(string, string)                      {}
 
@@ -147,13 +147,13 @@
 }
 
 // askFor returns the question for a place at one of the replicas.
-func (w *forwarding) askFor(l []*pool.Replica, isLast bool) quota.Ask {
+func (w *forwarding) askFor(l []*pool.Replica, isLast bool) quota.PermitRequest {
 	return w.r.askFor(w.f.Service, l, w.coldPerSecond(), w.q.priority(), isLast)
 }
 
-func (r *Router) askFor(service string, l []*pool.Replica, coldPerSecond float64, rank int, isLast bool) quota.Ask {
+func (r *Router) askFor(service string, l []*pool.Replica, coldPerSecond float64, rank int, isLast bool) quota.PermitRequest {
 	now := r.clock()
-	a := quota.Ask{Service: service, Priority: rank, OnlyBounded: isLast}
+	a := quota.PermitRequest{Service: service, Priority: rank, OnlyBounded: isLast}
 	for _, x := range l {
 		isCold := coldPerSecond > 0 && x.IsCold(now)
 		a.Candidates = append(a.Candidates, quota.Candidate{Replica: x.ID, Bound: r.quota.Bound(x.ID, coldPerSecond, isCold), IsCold: isCold})
--- a/entry/bounded_test.go
+++ b/entry/bounded_test.go
@@ -28,7 +28,7 @@
 	limited map[string]bool
 	resting map[string]bool
 	suspect map[string]bool
-	asked   []quota.Ask
+	asked   []quota.PermitRequest
 	back    []quota.Ticket
 	retryAt time.Time
 }
@@ -42,7 +42,7 @@
 	return b
 }
 func (g *grantingQuota) IsResting(r string) bool { return g.resting[r] }
-func (g *grantingQuota) Take(_ context.Context, a quota.Ask) quota.Verdict {
+func (g *grantingQuota) Take(_ context.Context, a quota.PermitRequest) quota.Verdict {
 	g.asked = append(g.asked, a)
 	if g.grants == 0 {
 		why := quota.Limited
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -150,7 +150,7 @@
 func (s scarce) Bound(id string, _ float64, _ bool) quota.Bound {
 	return quota.Bound{IsLimited: id[1]%2 == 0, PerSecond: 1}
 }
-func (s scarce) Take(_ context.Context, a quota.Ask) quota.Verdict {
+func (s scarce) Take(_ context.Context, a quota.PermitRequest) quota.Verdict {
 	s.w.others()
 	return quota.Verdict{Index: rapid.IntRange(-1, len(a.Candidates)-1).Draw(s.w.t, "right")}
 }
--- a/quota/cold_test.go
+++ b/quota/cold_test.go
@@ -47,8 +47,8 @@
 
 // coldAsk asks for a place at one replica that bears so many requests a second; says is
 // whether it says itself that it is cold.
-func coldAsk(perSecond float64, says bool) quota.Ask {
-	return quota.Ask{Service: "s", Candidates: []quota.Candidate{{Replica: "cold", Bound: quota.Bound{ColdPerSecond: perSecond}, IsCold: says}}}
+func coldAsk(perSecond float64, says bool) quota.PermitRequest {
+	return quota.PermitRequest{Service: "s", Candidates: []quota.Candidate{{Replica: "cold", Bound: quota.Bound{ColdPerSecond: perSecond}, IsCold: says}}}
 }
 
 // A cold replica gets no more in any second than who counts may let go; without the right of
@@ -217,7 +217,7 @@
 			}
 		}
 		id := addr(r.IntN(d.nodes))
-		a := quota.Ask{Service: group}
+		a := quota.PermitRequest{Service: group}
 		for _, x := range replicas {
 			a.Candidates = append(a.Candidates, quota.Candidate{Replica: x, Bound: quota.Bound{ColdPerSecond: bound.PerCounter(bears)}, IsCold: true})
 		}
--- a/quota/decide.go
+++ b/quota/decide.go
@@ -7,7 +7,7 @@
 
 // decide decides as the one who counts, by what the asker believes as well; false if this
 // instance does not count.
-func (n *Node) decide(a Ask, told map[string]Belief) (wireAnswer, bool) {
+func (n *Node) decide(a PermitRequest, told map[string]Belief) (wireAnswer, bool) {
 	now := n.Clock()
 	for r, b := range told {
 		n.learnOf(r, b.withService(a.Service))
@@ -25,7 +25,7 @@
 // boundsOf returns the bounds of the candidates, as this instance believes. One that says that
 // it is cold gets nothing from an instance that may not be the only one who counts: above what it
 // bears it falls over.
-func (n *Node) boundsOf(a Ask, strictly bool) []Bound {
+func (n *Node) boundsOf(a PermitRequest, strictly bool) []Bound {
 	var l []Bound
 	for _, x := range a.Candidates {
 		b := n.beliefs.of(x.Replica)
@@ -42,7 +42,7 @@
 const nothingCold = 1e-9
 
 // decide decides as the one who counts.
-func (c *charge) decide(a Ask, bounds []Bound, now time.Time) wireAnswer {
+func (c *charge) decide(a PermitRequest, bounds []Bound, now time.Time) wireAnswer {
 	w := wireAnswer{Counts: true, Index: -1}
 	rate := 0.0
 	for _, b := range bounds {
@@ -78,7 +78,7 @@
 }
 
 // grant counts a request that may go to the replica.
-func (c *charge) grant(a Ask, replica string, now time.Time) {
+func (c *charge) grant(a PermitRequest, replica string, now time.Time) {
 	c.book.grant(replica, now)
 	if a.OnlyBounded {
 		c.queue.granted[clampRank(a.Priority)].add(now)
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -225,7 +225,7 @@
 		return
 	}
 	if b := n.Bound("r0", 0, false); b.IsBounded() {
-		a := quota.Ask{Service: "s", Candidates: []quota.Candidate{{Replica: "r0", Bound: b}}}
+		a := quota.PermitRequest{Service: "s", Candidates: []quota.Candidate{{Replica: "r0", Bound: b}}}
 		v := n.Take(context.Background(), a)
 		if v.Index < 0 {
 			return
--- a/quota/queue_test.go
+++ b/quota/queue_test.go
@@ -35,7 +35,7 @@
 		var told []time.Time
 		ask := func(rank int) {
 			asked[rank]++
-			a := quota.Ask{Service: "s", Priority: rank, OnlyBounded: true}
+			a := quota.PermitRequest{Service: "s", Priority: rank, OnlyBounded: true}
 			for _, r := range []string{"a", "b"} {
 				a.Candidates = append(a.Candidates, quota.Candidate{Replica: r, Bound: n.Bound(r, 0, false)})
 			}
@@ -106,7 +106,7 @@
 		if now.Sub(began)%(100*time.Millisecond) == 0 {
 			n.Tick()
 		}
-		a := quota.Ask{Service: "s", Priority: r.IntN(3), OnlyBounded: true}
+		a := quota.PermitRequest{Service: "s", Priority: r.IntN(3), OnlyBounded: true}
 		first := r.IntN(replicas)
 		for i := range asked {
 			x := name((first + i) % replicas)
--- a/quota/share.go
+++ b/quota/share.go
@@ -43,7 +43,7 @@
 // takeShare allows the request if one of the candidates is due by this instance's share, and
 // by nothing else. An instance takes its share evenly, from a moment on that chance chooses:
 // all begin at once.
-func (n *Node) takeShare(a Ask, now time.Time) Verdict {
+func (n *Node) takeShare(a PermitRequest, now time.Time) Verdict {
 	v := Verdict{Index: -1, Why: Undecided, By: n.Self}
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/quota/take.go
+++ b/quota/take.go
@@ -19,8 +19,8 @@
 // ranks are those of requests, 0 the most urgent.
 const ranks = 10
 
-// Ask is a request's question for one of a service's replicas.
-type Ask struct {
+// PermitRequest is a request's question for one of a service's replicas.
+type PermitRequest struct {
 	Service string
 	// Candidates are the replicas that it might go to, the preferred first.
 	Candidates []Candidate
@@ -50,7 +50,7 @@
 
 // Take asks for the right to send the request to one of the candidates. Where who counts
 // can't be asked, this instance allows itself its share.
-func (n *Node) Take(ctx context.Context, a Ask) Verdict {
+func (n *Node) Take(ctx context.Context, a PermitRequest) Verdict {
 	now := n.Clock()
 	if n.Net != nil {
 		if v, ok := n.takeOfFleet(ctx, a); ok {
@@ -70,7 +70,7 @@
 const undecidedRetry = 500 * time.Millisecond
 
 // takeOfFleet asks who counts; false if nobody does.
-func (n *Node) takeOfFleet(ctx context.Context, a Ask) (Verdict, bool) {
+func (n *Node) takeOfFleet(ctx context.Context, a PermitRequest) (Verdict, bool) {
 	asked := 0
 	for _, m := range n.keepers(a.Service) {
 		if m.ID == n.Self {
@@ -107,7 +107,7 @@
 	avoidFor = time.Second
 )
 
-func (n *Node) ask(ctx context.Context, m peer.Member, a Ask) (wireAnswer, bool) {
+func (n *Node) ask(ctx context.Context, m peer.Member, a PermitRequest) (wireAnswer, bool) {
 	q := newWireAsk(a, n.beliefsOf(a), n.Clock())
 	for range askTries {
 		w, ok := n.waiting.Ask(ctx, answerWithin, func(id uint64) error {
@@ -121,7 +121,7 @@
 }
 
 // beliefsOf returns what is believed of the candidates.
-func (n *Node) beliefsOf(a Ask) map[string]Belief {
+func (n *Node) beliefsOf(a PermitRequest) map[string]Belief {
 	l := map[string]Belief{}
 	for _, c := range a.Candidates {
 		l[c.Replica] = n.beliefs.of(c.Replica)
@@ -152,7 +152,7 @@
 }
 
 // verdict turns an answer into a verdict, and keeps which replicas get nothing for a while.
-func (n *Node) verdict(w wireAnswer, a Ask, by peer.Member) Verdict {
+func (n *Node) verdict(w wireAnswer, a PermitRequest, by peer.Member) Verdict {
 	now := n.Clock()
 	v := Verdict{Index: w.Index, Why: w.Why, By: by.ID}
 	if w.Index >= len(a.Candidates) {
--- a/quota/wire.go
+++ b/quota/wire.go
@@ -116,7 +116,7 @@
 	return time.Duration(max(0, min(ms, oldest.Milliseconds()))) * time.Millisecond
 }
 
-func newWireAsk(a Ask, told map[string]Belief, now time.Time) *wireAsk {
+func newWireAsk(a PermitRequest, told map[string]Belief, now time.Time) *wireAsk {
 	w := &wireAsk{Service: a.Service, Rank: a.Priority, IsLast: a.OnlyBounded}
 	for _, c := range a.Candidates {
 		w.Candidates = append(w.Candidates, wireCandidate{Belief: newWireBelief(c.Replica, told[c.Replica], now), ColdPerSecond: c.Bound.ColdPerSecond, IsCold: c.IsCold})
@@ -124,8 +124,8 @@
 	return w
 }
 
-func (w *wireAsk) ask() Ask {
-	a := Ask{Service: w.Service, Priority: w.Rank, OnlyBounded: w.IsLast}
+func (w *wireAsk) ask() PermitRequest {
+	a := PermitRequest{Service: w.Service, Priority: w.Rank, OnlyBounded: w.IsLast}
 	for _, c := range w.Candidates {
 		a.Candidates = append(a.Candidates, Candidate{Replica: c.Belief.Replica, Bound: Bound{ColdPerSecond: max(0, c.ColdPerSecond)}, IsCold: c.IsCold})
 	}
