--- a/entry/bounded.go
+++ b/entry/bounded.go
@@ -156,7 +156,7 @@
 	a := quota.PermitRequest{Service: service, Priority: rank, OnlyBounded: isLast}
 	for _, x := range l {
 		isCold := coldPerSecond > 0 && x.IsCold(now)
-		a.Candidates = append(a.Candidates, quota.Candidate{Replica: x.ID, Bound: r.quota.Bound(x.ID, coldPerSecond, isCold), IsCold: isCold})
+		a.Candidates = append(a.Candidates, quota.Candidate{Replica: x.ID, Bound: r.quota.Bound(x.ID, coldPerSecond, isCold), ReportsCold: isCold})
 	}
 	return a
 }
--- a/entry/bounded_test.go
+++ b/entry/bounded_test.go
@@ -46,7 +46,7 @@
 	g.asked = append(g.asked, a)
 	if g.grants == 0 {
 		why := quota.Limited
-		if a.Candidates[0].IsCold {
+		if a.Candidates[0].ReportsCold {
 			why = quota.Cold
 		}
 		return quota.Verdict{Index: -1, Why: why, RetryAt: g.retryAt}
@@ -159,7 +159,7 @@
 			t.Errorf("come back in %s, want %s", w.retryAt.Sub(*now), c.retry)
 		}
 	}
-	if a := g.asked[0]; a.Candidates[0].Bound.ColdPerSecond != 10 || !a.Candidates[0].IsCold || !a.OnlyBounded {
+	if a := g.asked[0]; a.Candidates[0].Bound.ColdPerSecond != 10 || !a.Candidates[0].ReportsCold || !a.OnlyBounded {
 		t.Errorf("asked for %+v", a)
 	}
 }
--- a/quota/cold_test.go
+++ b/quota/cold_test.go
@@ -48,7 +48,7 @@
 // coldAsk asks for a place at one replica that bears so many requests a second; says is
 // whether it says itself that it is cold.
 func coldAsk(perSecond float64, says bool) quota.PermitRequest {
-	return quota.PermitRequest{Service: "s", Candidates: []quota.Candidate{{Replica: "cold", Bound: quota.Bound{ColdPerSecond: perSecond}, IsCold: says}}}
+	return quota.PermitRequest{Service: "s", Candidates: []quota.Candidate{{Replica: "cold", Bound: quota.Bound{ColdPerSecond: perSecond}, ReportsCold: says}}}
 }
 
 // A cold replica gets no more in any second than who counts may let go; without the right of
@@ -219,7 +219,7 @@
 		id := addr(r.IntN(d.nodes))
 		a := quota.PermitRequest{Service: group}
 		for _, x := range replicas {
-			a.Candidates = append(a.Candidates, quota.Candidate{Replica: x, Bound: quota.Bound{ColdPerSecond: bound.PerCounter(bears)}, IsCold: true})
+			a.Candidates = append(a.Candidates, quota.Candidate{Replica: x, Bound: quota.Bound{ColdPerSecond: bound.PerCounter(bears)}, ReportsCold: true})
 		}
 		r.Shuffle(len(a.Candidates), func(i, j int) { a.Candidates[i], a.Candidates[j] = a.Candidates[j], a.Candidates[i] })
 		if v := f.nodes[id].Take(context.Background(), a); v.Index >= 0 {
--- a/quota/decide.go
+++ b/quota/decide.go
@@ -30,7 +30,7 @@
 	for _, x := range a.Candidates {
 		b := n.beliefs.of(x.Replica)
 		y := Bound{IsLimited: b.IsLimited(), PerSecond: b.PerSecond, ColdPerSecond: x.Bound.ColdPerSecond}
-		if x.IsCold && !strictly {
+		if x.ReportsCold && !strictly {
 			y.ColdPerSecond = nothingCold
 		}
 		l = append(l, y)
--- a/quota/take.go
+++ b/quota/take.go
@@ -11,9 +11,9 @@
 type Candidate struct {
 	Replica string
 	Bound   Bound
-	// IsCold says that the replica itself says that it is cold; one that only may be
+	// ReportsCold says that the replica itself says that it is cold; one that only may be
 	// has ColdPerSecond without it.
-	IsCold bool
+	ReportsCold bool
 }
 
 // ranks are those of requests, 0 the most urgent.
--- a/quota/wire.go
+++ b/quota/wire.go
@@ -119,7 +119,7 @@
 func newWireAsk(a PermitRequest, told map[string]Belief, now time.Time) *wireAsk {
 	w := &wireAsk{Service: a.Service, Rank: a.Priority, IsLast: a.OnlyBounded}
 	for _, c := range a.Candidates {
-		w.Candidates = append(w.Candidates, wireCandidate{Belief: newWireBelief(c.Replica, told[c.Replica], now), ColdPerSecond: c.Bound.ColdPerSecond, IsCold: c.IsCold})
+		w.Candidates = append(w.Candidates, wireCandidate{Belief: newWireBelief(c.Replica, told[c.Replica], now), ColdPerSecond: c.Bound.ColdPerSecond, IsCold: c.ReportsCold})
 	}
 	return w
 }
@@ -127,7 +127,7 @@
 func (w *wireAsk) ask() PermitRequest {
 	a := PermitRequest{Service: w.Service, Priority: w.Rank, OnlyBounded: w.IsLast}
 	for _, c := range w.Candidates {
-		a.Candidates = append(a.Candidates, Candidate{Replica: c.Belief.Replica, Bound: Bound{ColdPerSecond: max(0, c.ColdPerSecond)}, IsCold: c.IsCold})
+		a.Candidates = append(a.Candidates, Candidate{Replica: c.Belief.Replica, Bound: Bound{ColdPerSecond: max(0, c.ColdPerSecond)}, ReportsCold: c.IsCold})
 	}
 	return a
 }
