--- a/entry/bounded_test.go
+++ b/entry/bounded_test.go
@@ -49,7 +49,7 @@
 		if a.Candidates[0].ReportsCold {
 			why = quota.Cold
 		}
-		return quota.Verdict{Index: -1, Why: why, RetryAt: g.retryAt}
+		return quota.Verdict{Index: -1, Reason: why, RetryAt: g.retryAt}
 	}
 	g.grants--
 	last := 0
--- a/quota/share.go
+++ b/quota/share.go
@@ -44,7 +44,7 @@
 // by nothing else. An instance takes its share evenly, from a moment on that chance chooses:
 // all begin at once.
 func (n *Node) takeShare(a PermitRequest, now time.Time) Verdict {
-	v := Verdict{Index: -1, Why: Undecided, By: n.Self}
+	v := Verdict{Index: -1, Reason: Undecided, By: n.Self}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i, x := range a.Candidates {
--- a/quota/take.go
+++ b/quota/take.go
@@ -34,8 +34,8 @@
 type Verdict struct {
 	// Index is of the candidate that the request may be sent to; below 0 there is none.
 	Index int
-	// Why says what keeps it from the first one, By who decided.
-	Why Why
+	// Reason says what keeps it from the first one, By who decided.
+	Reason Why
 	By  string
 	// RetryAt is when to come back if there is none; zero if that is not known.
 	RetryAt time.Time
@@ -59,7 +59,7 @@
 		}
 		now = n.Clock()
 		if !n.isAbandoned(a.Service, now) {
-			return Verdict{Index: -1, Why: Undecided, RetryAt: now.Add(undecidedRetry)}
+			return Verdict{Index: -1, Reason: Undecided, RetryAt: now.Add(undecidedRetry)}
 		}
 	}
 	return n.takeShare(a, now)
@@ -154,7 +154,7 @@
 // verdict turns an answer into a verdict, and keeps which replicas get nothing for a while.
 func (n *Node) verdict(w wireAnswer, a PermitRequest, by peer.Member) Verdict {
 	now := n.Clock()
-	v := Verdict{Index: w.Index, Why: w.Why, By: by.ID}
+	v := Verdict{Index: w.Index, Reason: w.Why, By: by.ID}
 	if w.Index >= len(a.Candidates) {
 		v.Index = -1
 	}
