--- a/entry/bounded.go
+++ b/entry/bounded.go
@@ -165,7 +165,7 @@
 // one, or when the first of them is warm.
 func (w *forwarding) passOver(l []*pool.Replica, v quota.Verdict) {
 	w.f.SkippedCount += len(l)
-	w.f.Skipped = append(w.f.Skipped, SkippedReplica{Replica: l[0].ID, Reason: v.Reason, DecidedBy: v.By})
+	w.f.Skipped = append(w.f.Skipped, SkippedReplica{Replica: l[0].ID, Reason: v.Reason, DecidedBy: v.DecidedBy})
 	w.retryBy(v.RetryAt)
 	now := w.r.clock()
 	for _, r := range l {
--- a/quota/take.go
+++ b/quota/take.go
@@ -36,7 +36,7 @@
 	Index int
 	// Reason says what keeps it from the first one, By who decided.
 	Reason Why
-	By  string
+	DecidedBy  string
 	// RetryAt is when to come back if there is none; zero if that is not known.
 	RetryAt time.Time
 	Ticket  Ticket
@@ -154,7 +154,7 @@
 // verdict turns an answer into a verdict, and keeps which replicas get nothing for a while.
 func (n *Node) verdict(w wireAnswer, a PermitRequest, by peer.Member) Verdict {
 	now := n.Clock()
-	v := Verdict{Index: w.Index, Reason: w.Why, By: by.ID}
+	v := Verdict{Index: w.Index, Reason: w.Why, DecidedBy: by.ID}
 	if w.Index >= len(a.Candidates) {
 		v.Index = -1
 	}
