--- a/entry/bounded.go
+++ b/entry/bounded.go
@@ -23,7 +23,7 @@
 	// IsResting reports whether the replica gets nothing now, as far as is known here.
 	IsResting(replica string) bool
 	// Take asks for the right to send the request to one of its candidates.
-	Take(ctx context.Context, a quota.PermitRequest) quota.Verdict
+	Take(ctx context.Context, a quota.PermitRequest) quota.PermitResult
 	// Return gives a right back that came to nothing.
 	Return(t quota.Ticket)
 	// Unreached says that a replica that may be cold again could not be connected to.
@@ -36,7 +36,7 @@
 func (unbounded) IsQuiet() bool                                 { return true }
 func (unbounded) Bound(string, float64, bool) quota.Bound       { return quota.Bound{} }
 func (unbounded) IsResting(string) bool                         { return false }
-func (unbounded) Take(context.Context, quota.PermitRequest) quota.Verdict { return quota.Verdict{} }
+func (unbounded) Take(context.Context, quota.PermitRequest) quota.PermitResult { return quota.PermitResult{} }
 func (unbounded) Return(quota.Ticket)                           {}
 func (unbounded) Unreached(string, string)                      {}
 
@@ -163,7 +163,7 @@
 
 // passOver notes the replicas that had no place, and has the client come back when there is
 // one, or when the first of them is warm.
-func (w *forwarding) passOver(l []*pool.Replica, v quota.Verdict) {
+func (w *forwarding) passOver(l []*pool.Replica, v quota.PermitResult) {
 	w.f.SkippedCount += len(l)
 	w.f.Skipped = append(w.f.Skipped, SkippedReplica{Replica: l[0].ID, Reason: v.Reason, DecidedBy: v.DecidedBy})
 	w.retryBy(v.RetryAt)
@@ -189,7 +189,7 @@
 		if b == nil {
 			return nil, earlier(retryAt, r.restedAt(l))
 		}
-		v := quota.Verdict{}
+		v := quota.PermitResult{}
 		if !r.quota.IsQuiet() && r.quota.Bound(b.ID, 0, false).IsBounded() {
 			v = r.quota.Take(ctx, r.askFor(service, []*pool.Replica{b}, 0, rank, false))
 		}
--- a/entry/bounded_test.go
+++ b/entry/bounded_test.go
@@ -42,14 +42,14 @@
 	return b
 }
 func (g *grantingQuota) IsResting(r string) bool { return g.resting[r] }
-func (g *grantingQuota) Take(_ context.Context, a quota.PermitRequest) quota.Verdict {
+func (g *grantingQuota) Take(_ context.Context, a quota.PermitRequest) quota.PermitResult {
 	g.asked = append(g.asked, a)
 	if g.grants == 0 {
 		why := quota.Limited
 		if a.Candidates[0].ReportsCold {
 			why = quota.Cold
 		}
-		return quota.Verdict{Index: -1, Reason: why, RetryAt: g.retryAt}
+		return quota.PermitResult{Index: -1, Reason: why, RetryAt: g.retryAt}
 	}
 	g.grants--
 	last := 0
@@ -58,7 +58,7 @@
 			last = i
 		}
 	}
-	return quota.Verdict{Index: last}
+	return quota.PermitResult{Index: last}
 }
 func (g *grantingQuota) Return(t quota.Ticket)       { g.back = append(g.back, t) }
 func (g *grantingQuota) Unreached(_, replica string) { g.suspect[replica] = true }
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -150,9 +150,9 @@
 func (s scarce) Bound(id string, _ float64, _ bool) quota.Bound {
 	return quota.Bound{IsLimited: id[1]%2 == 0, PerSecond: 1}
 }
-func (s scarce) Take(_ context.Context, a quota.PermitRequest) quota.Verdict {
+func (s scarce) Take(_ context.Context, a quota.PermitRequest) quota.PermitResult {
 	s.w.others()
-	return quota.Verdict{Index: rapid.IntRange(-1, len(a.Candidates)-1).Draw(s.w.t, "right")}
+	return quota.PermitResult{Index: rapid.IntRange(-1, len(a.Candidates)-1).Draw(s.w.t, "right")}
 }
 
 // trials is a quarantine that sends some contents on trial and has a word come while it is asked.
--- a/quota/cold_test.go
+++ b/quota/cold_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func grant(v quota.Verdict) string {
+func grant(v quota.PermitResult) string {
 	if v.Index < 0 {
 		return "-"
 	}
--- a/quota/share.go
+++ b/quota/share.go
@@ -43,8 +43,8 @@
 // takeShare allows the request if one of the candidates is due by this instance's share, and
 // by nothing else. An instance takes its share evenly, from a moment on that chance chooses:
 // all begin at once.
-func (n *Node) takeShare(a PermitRequest, now time.Time) Verdict {
-	v := Verdict{Index: -1, Reason: Undecided, DecidedBy: n.Self}
+func (n *Node) takeShare(a PermitRequest, now time.Time) PermitResult {
+	v := PermitResult{Index: -1, Reason: Undecided, DecidedBy: n.Self}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i, x := range a.Candidates {
@@ -58,7 +58,7 @@
 		}
 		if !at.After(now) {
 			n.shares[x.Replica] = now.Add(every)
-			return Verdict{Index: i, DecidedBy: n.Self}
+			return PermitResult{Index: i, DecidedBy: n.Self}
 		}
 		n.shares[x.Replica] = at
 		if v.RetryAt.IsZero() || at.Before(v.RetryAt) {
--- a/quota/take.go
+++ b/quota/take.go
@@ -30,8 +30,8 @@
 	OnlyBounded bool
 }
 
-// Verdict is the answer.
-type Verdict struct {
+// PermitResult is the answer.
+type PermitResult struct {
 	// Index is of the candidate that the request may be sent to; below 0 there is none.
 	Index int
 	// Reason says what keeps it from the first one, By who decided.
@@ -50,7 +50,7 @@
 
 // Take asks for the right to send the request to one of the candidates. Where who counts
 // can't be asked, this instance allows itself its share.
-func (n *Node) Take(ctx context.Context, a PermitRequest) Verdict {
+func (n *Node) Take(ctx context.Context, a PermitRequest) PermitResult {
 	now := n.Clock()
 	if n.Net != nil {
 		if v, ok := n.takeOfFleet(ctx, a); ok {
@@ -59,7 +59,7 @@
 		}
 		now = n.Clock()
 		if !n.isAbandoned(a.Service, now) {
-			return Verdict{Index: -1, Reason: Undecided, RetryAt: now.Add(undecidedRetry)}
+			return PermitResult{Index: -1, Reason: Undecided, RetryAt: now.Add(undecidedRetry)}
 		}
 	}
 	return n.takeShare(a, now)
@@ -70,7 +70,7 @@
 const undecidedRetry = 500 * time.Millisecond
 
 // takeOfFleet asks who counts; false if nobody does.
-func (n *Node) takeOfFleet(ctx context.Context, a PermitRequest) (Verdict, bool) {
+func (n *Node) takeOfFleet(ctx context.Context, a PermitRequest) (PermitResult, bool) {
 	asked := 0
 	for _, m := range n.keepers(a.Service) {
 		if m.ID == n.Self {
@@ -93,7 +93,7 @@
 		n.learn(w.Beliefs)
 		return n.verdict(w, a, m), true
 	}
-	return Verdict{}, false
+	return PermitResult{}, false
 }
 
 const (
@@ -152,9 +152,9 @@
 }
 
 // verdict turns an answer into a verdict, and keeps which replicas get nothing for a while.
-func (n *Node) verdict(w wireAnswer, a PermitRequest, by peer.Member) Verdict {
+func (n *Node) verdict(w wireAnswer, a PermitRequest, by peer.Member) PermitResult {
 	now := n.Clock()
-	v := Verdict{Index: w.Index, Reason: w.Why, DecidedBy: by.ID}
+	v := PermitResult{Index: w.Index, Reason: w.Why, DecidedBy: by.ID}
 	if w.Index >= len(a.Candidates) {
 		v.Index = -1
 	}
