--- a/entry/bounded.go
+++ b/entry/bounded.go
@@ -169,7 +169,7 @@
 	w.retryBy(v.RetryAt)
 	now := w.r.clock()
 	for _, r := range l {
-		if r.IsCold(now) && v.Reason == quota.Cold {
+		if r.IsCold(now) && v.Reason == quota.ReasonCold {
 			w.retryBy(r.ColdUntil)
 		}
 	}
--- a/entry/bounded_test.go
+++ b/entry/bounded_test.go
@@ -47,7 +47,7 @@
 	if g.grants == 0 {
 		why := quota.Limited
 		if a.Candidates[0].ReportsCold {
-			why = quota.Cold
+			why = quota.ReasonCold
 		}
 		return quota.PermitResult{Index: -1, Reason: why, RetryAt: g.retryAt}
 	}
--- a/quota/bound.go
+++ b/quota/bound.go
@@ -49,7 +49,7 @@
 const (
 	Fits      Why = ""
 	Limited   Why = "limited"
-	Cold      Why = "cold"
+	ReasonCold      Why = "cold"
 	Undecided Why = "nobody who counts can be reached"
 	Wanted    Why = "wanted for more urgent requests"
 )
@@ -61,7 +61,7 @@
 		l = limitWindows(b.PerSecond)
 	}
 	if b.ColdPerSecond > 0 {
-		l = append(l, window{coldOver, int(b.ColdPerSecond), Cold})
+		l = append(l, window{coldOver, int(b.ColdPerSecond), ReasonCold})
 	}
 	return l
 }
