--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -87,7 +87,7 @@
 // SkippedReplica is a replica that had no place for the request.
 type SkippedReplica struct {
 	Replica string
-	Reason     quota.Why
+	Reason     quota.Reason
 	// DecidedBy is the instance that said so.
 	DecidedBy string
 }
--- a/quota/bound.go
+++ b/quota/bound.go
@@ -39,19 +39,19 @@
 type window struct {
 	span time.Duration
 	most int
-	why  Why
+	why  Reason
 }
 
-// Why says which bound keeps a request from a replica.
-type Why string
+// Reason says which bound keeps a request from a replica.
+type Reason string
 
 // The reasons.
 const (
-	Fits      Why = ""
-	Limited   Why = "limited"
-	ReasonCold      Why = "cold"
-	Undecided Why = "nobody who counts can be reached"
-	Wanted    Why = "wanted for more urgent requests"
+	Fits      Reason = ""
+	Limited   Reason = "limited"
+	ReasonCold      Reason = "cold"
+	Undecided Reason = "nobody who counts can be reached"
+	Wanted    Reason = "wanted for more urgent requests"
 )
 
 // windows returns what the bound comes to. All of them hold.
@@ -90,7 +90,7 @@
 	// NotBefore is when it may at the earliest if it may not now, and Why what keeps the
 	// request from it.
 	NotBefore time.Time
-	Why       Why
+	Why       Reason
 }
 
 // Decide decides whether a replica with the bound may get one more request. got are the
--- a/quota/wire.go
+++ b/quota/wire.go
@@ -41,7 +41,7 @@
 type wireAnswer struct {
 	Counts bool `json:"c"`
 	Index  int  `json:"i"`
-	Why    Why  `json:"y,omitempty"`
+	Why    Reason  `json:"y,omitempty"`
 	// Waits are for how long each candidate gets nothing, and Come after what time the
 	// request is to return, in milliseconds.
 	Waits   []int64      `json:"w,omitempty"`
