--- a/entry/bounded.go
+++ b/entry/bounded.go
@@ -48,7 +48,7 @@
 // while it is cold; 0 where they bear all at once.
 func (w *forwarding) coldPerSecond() float64 {
 	if n := w.q.Table.Service(w.f.Service).ColdPerSecond; n > 0 {
-		return w.r.coldBound.PerCounter(n)
+		return w.r.coldBound.PerOwner(n)
 	}
 	return 0
 }
--- a/quota/cold.go
+++ b/quota/cold.go
@@ -12,8 +12,8 @@
 // covers requests of two seconds that arrive within one.
 const countersAtOnce = 2
 
-// PerCounter is how many requests who counts may let go in any second to a cold replica that
+// PerOwner is how many requests who counts may let go in any second to a cold replica that
 // bears perSecond: no more than that, as it falls over above it.
-func (b ColdBound) PerCounter(perSecond float64) float64 {
+func (b ColdBound) PerOwner(perSecond float64) float64 {
 	return min(perSecond, (b.Overage*perSecond+b.Slack)/countersAtOnce)
 }
--- a/quota/cold_test.go
+++ b/quota/cold_test.go
@@ -25,7 +25,7 @@
 )
 
 func ExampleColdBound() {
-	fmt.Println(bound.PerCounter(13), quota.ColdBound{Overage: 4}.PerCounter(13), quota.ColdBound{Overage: 1}.PerCounter(1))
+	fmt.Println(bound.PerOwner(13), quota.ColdBound{Overage: 4}.PerOwner(13), quota.ColdBound{Overage: 1}.PerOwner(1))
 	// Output: 12.25 13 0.5
 }
 
@@ -219,7 +219,7 @@
 		id := addr(r.IntN(d.nodes))
 		a := quota.PermitRequest{Service: group}
 		for _, x := range replicas {
-			a.Candidates = append(a.Candidates, quota.Candidate{Replica: x, Bound: quota.Bound{ColdPerSecond: bound.PerCounter(bears)}, ReportsCold: true})
+			a.Candidates = append(a.Candidates, quota.Candidate{Replica: x, Bound: quota.Bound{ColdPerSecond: bound.PerOwner(bears)}, ReportsCold: true})
 		}
 		r.Shuffle(len(a.Candidates), func(i, j int) { a.Candidates[i], a.Candidates[j] = a.Candidates[j], a.Candidates[i] })
 		if v := f.nodes[id].Take(context.Background(), a); v.Index >= 0 {
