--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -139,7 +139,7 @@
 		id := fmt.Sprint("n", i)
 		f.nodes[i] = quarantine.NewNode(f.rand.Uint64()>>16, quarantine.Ports{
 			Self: id, Net: wire{f, id}, Clock: func() time.Time { return f.now }, Log: func(string, ...any) {},
-			Followers: func() []string { return f.followers(i) }, Held: f.hold, AnswerWithin: time.Millisecond,
+			Followers: func() []string { return f.followers(i) }, OnHeld: f.hold, AnswerWithin: time.Millisecond,
 		})
 		f.byAddr[id] = f.nodes[i]
 		if i < mostListed {
--- a/quarantine/kept.go
+++ b/quarantine/kept.go
@@ -77,7 +77,7 @@
 
 // persist has contents written that are held and not in the store.
 func (n *Node) persist(now time.Time) {
-	if n.Held == nil {
+	if n.OnHeld == nil {
 		return
 	}
 	for _, e := range n.book.Suspects(now, mostRecords) {
@@ -85,7 +85,7 @@
 		kept := n.kept[e.Content]
 		n.mu.Unlock()
 		if !kept && e.Record.isHeld(now) && n.keeps(e.Content) {
-			n.Held(e)
+			n.OnHeld(e)
 		}
 	}
 }
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -44,9 +44,9 @@
 	// Followers returns the addresses of the instances on no list that this one tells
 	// what it hears. It may be nil.
 	Followers func() []string
-	// Held is told of contents that this instance begins to hold, to be kept in the
+	// OnHeld is told of contents that this instance begins to hold, to be kept in the
 	// store. It must not block, and may be nil.
-	Held func(Entry)
+	OnHeld func(Entry)
 	// Over is told of contents that the store still holds and that are held no more. It
 	// must not block, and may be nil.
 	Over func(Fingerprint)
