--- a/cmd/fieldvale-node/quarantine.go
+++ b/cmd/fieldvale-node/quarantine.go
@@ -23,7 +23,7 @@
 	return quarantine.Ports{
 		Self: n.s.ID, Net: tagged{n, tagSuspects}, Clock: n.clock, Followers: n.relay.Followers, Log: n.event,
 		OnHeld: func(e quarantine.Entry) { n.heldDue(heldChange{entry: e}) },
-		Over: func(f quarantine.Fingerprint) { n.heldDue(heldChange{entry: quarantine.Entry{Content: f}, over: true}) },
+		OnReleased: func(f quarantine.Fingerprint) { n.heldDue(heldChange{entry: quarantine.Entry{Content: f}, over: true}) },
 	}
 }
 
--- a/quarantine/kept.go
+++ b/quarantine/kept.go
@@ -92,7 +92,7 @@
 
 // release has what is over taken from the store, by the content's first keeper.
 func (n *Node) release() {
-	if n.Over == nil {
+	if n.OnReleased == nil {
 		return
 	}
 	n.mu.Lock()
@@ -105,7 +105,7 @@
 	n.mu.Unlock()
 	for _, f := range over {
 		if k := n.keepers(f); len(k) > 0 && k[0].ID == n.Self {
-			n.Over(f)
+			n.OnReleased(f)
 		}
 	}
 }
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -47,9 +47,9 @@
 	// OnHeld is told of contents that this instance begins to hold, to be kept in the
 	// store. It must not block, and may be nil.
 	OnHeld func(Entry)
-	// Over is told of contents that the store still holds and that are held no more. It
+	// OnReleased is told of contents that the store still holds and that are held no more. It
 	// must not block, and may be nil.
-	Over func(Fingerprint)
+	OnReleased func(Fingerprint)
 	Log  func(event string, fields ...any)
 	// AnswerWithin bounds the wait for a keeper's answer; 0 takes the usual one.
 	AnswerWithin time.Duration
