--- a/cmd/fieldvale-node/quarantine.go
+++ b/cmd/fieldvale-node/quarantine.go
@@ -19,8 +19,8 @@
 	over  bool
 }
 
-func (n *node) quarantinePorts() quarantine.Ports {
-	return quarantine.Ports{
+func (n *node) quarantinePorts() quarantine.Config {
+	return quarantine.Config{
 		Self: n.s.ID, Net: tagged{n, tagSuspects}, Clock: n.clock, Followers: n.relay.Followers, Log: n.event,
 		OnHeld: func(e quarantine.Entry) { n.heldDue(heldChange{entry: e}) },
 		OnReleased: func(f quarantine.Fingerprint) { n.heldDue(heldChange{entry: quarantine.Entry{Content: f}, over: true}) },
--- a/entry/crashing_test.go
+++ b/entry/crashing_test.go
@@ -45,7 +45,7 @@
 		l = append(l, pool.Replica{ID: fmt.Sprint("s", i), Kind: pool.Service, Service: "memory", Slots: 4})
 	}
 	v.Put(NewView(nil, l, nil, nil))
-	n := quarantine.NewNode(0, quarantine.Ports{Self: "n", Clock: time.Now, Log: func(string, ...any) {}})
+	n := quarantine.NewNode(0, quarantine.Config{Self: "n", Clock: time.Now, Log: func(string, ...any) {}})
 	r := NewRouter(Ports{View: v, Clock: time.Now, Rand: rand.NewPCG(1, 1), Services: s, Quarantine: n, Prober: s})
 	call := func(id, body string) error {
 		q := ServiceRequest{ID: id, Service: "memory", Call: "find", Body: []byte(body), Caller: config.Caller{Team: "t"}, Deadline: time.Now().Add(time.Second)}
--- a/process/entry.go
+++ b/process/entry.go
@@ -59,7 +59,7 @@
 	k := rpc.NewLocal(s.Control, s.FleetKey)
 	e.biller = biller.New(rpc.NewPeers(s.FleetKey), e.view.Members, s.ID, e.incarnation)
 	e.biller.Log = func(event string, f ...any) { l.WithFields(logging.Fields(f...)).Info(event) }
-	e.quarantine = quarantine.NewNode(0, quarantine.Ports{Self: s.ID, Clock: time.Now, Log: func(event string, f ...any) {
+	e.quarantine = quarantine.NewNode(0, quarantine.Config{Self: s.ID, Clock: time.Now, Log: func(event string, f ...any) {
 		l.WithFields(logging.Fields(f...)).Info(event)
 	}})
 	e.quota = quota.NewNode(0, quota.Config{
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -137,7 +137,7 @@
 	var m []peer.Member
 	for i := range f.nodes {
 		id := fmt.Sprint("n", i)
-		f.nodes[i] = quarantine.NewNode(f.rand.Uint64()>>16, quarantine.Ports{
+		f.nodes[i] = quarantine.NewNode(f.rand.Uint64()>>16, quarantine.Config{
 			Self: id, Net: wire{f, id}, Clock: func() time.Time { return f.now }, Log: func(string, ...any) {},
 			Followers: func() []string { return f.followers(i) }, OnHeld: f.hold, AnswerWithin: time.Millisecond,
 		})
--- a/quarantine/fuzz_test.go
+++ b/quarantine/fuzz_test.go
@@ -22,7 +22,7 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		now := time.Unix(1_700_000_000, 0)
-		n := quarantine.NewNode(1, quarantine.Ports{Self: "n1", Net: nowhere{}, Clock: func() time.Time { return now }, Log: func(string, ...any) {}, AnswerWithin: time.Nanosecond})
+		n := quarantine.NewNode(1, quarantine.Config{Self: "n1", Net: nowhere{}, Clock: func() time.Time { return now }, Log: func(string, ...any) {}, AnswerWithin: time.Nanosecond})
 		n.SetMembers([]peer.Member{{ID: "n1"}, {ID: "n2"}, {ID: "n3"}})
 		n.Receive("n2", b)
 		n.Tick()
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -35,8 +35,8 @@
 	Send(addr string, b []byte) error
 }
 
-// Ports are what a node works through.
-type Ports struct {
+// Config are what a node works through.
+type Config struct {
 	// Self is this instance's id.
 	Self  string
 	Net   Transport
@@ -57,7 +57,7 @@
 
 // Node asks keepers and is one.
 type Node struct {
-	Ports
+	Config
 	book    *Book
 	waiting *reply.Waiters[wireAnswer]
 
@@ -75,11 +75,11 @@
 
 // NewNode returns an instance that knows no other one yet. start makes its questions
 // differ from those of an earlier run.
-func NewNode(start uint64, p Ports) *Node {
+func NewNode(start uint64, p Config) *Node {
 	if p.AnswerWithin == 0 {
 		p.AnswerWithin = usualAnswer
 	}
-	return &Node{Ports: p, book: NewBook(), waiting: reply.New[wireAnswer](start), avoid: map[string]time.Time{}, repeats: repeats{}, kept: map[Fingerprint]bool{}, struck: map[Fingerprint]time.Time{}}
+	return &Node{Config: p, book: NewBook(), waiting: reply.New[wireAnswer](start), avoid: map[string]time.Time{}, repeats: repeats{}, kept: map[Fingerprint]bool{}, struck: map[Fingerprint]time.Time{}}
 }
 
 // SetMembers replaces the list of the fleet's instances.
