--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -59,7 +59,7 @@
 		return nil
 	}
 	w.verdict, w.watched, w.onTrial = v, true, v.Decision == quarantine.Try
-	if v.May() {
+	if v.IsAllowed() {
 		return nil
 	}
 	return errQuarantined
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -248,7 +248,7 @@
 // send tries one replica, if the instance may.
 func (f *fleet) send(w *work, n *quarantine.Node) {
 	v := n.Ask(context.Background(), w.f)
-	if !v.May() {
+	if !v.IsAllowed() {
 		if w.culprit == nil && !w.refused {
 			w.refused = true
 			f.refused++
--- a/quarantine/fuzz_test.go
+++ b/quarantine/fuzz_test.go
@@ -27,7 +27,7 @@
 		n.Receive("n2", b)
 		n.Tick()
 		v := n.Ask(t.Context(), content)
-		if v.Decision.String() == "" || v.May() && !v.RetryAt.IsZero() {
+		if v.Decision.String() == "" || v.IsAllowed() && !v.RetryAt.IsZero() {
 			t.Errorf("%+v", v)
 		}
 	})
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -99,8 +99,8 @@
 	Keeper string
 }
 
-// May reports whether the request may be sent.
-func (v Verdict) May() bool { return v.Decision == Free || v.Decision == Try }
+// IsAllowed reports whether the request may be sent.
+func (v Verdict) IsAllowed() bool { return v.Decision == Free || v.Decision == Try }
 
 // IsQuiet reports whether nothing is known of any content, so that all may be sent.
 func (n *Node) IsQuiet() bool { return n.book.Len() == 0 }
