--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -95,8 +95,8 @@
 	Record   Record
 	// RetryAt is when to ask again; zero if it may be sent.
 	RetryAt time.Time
-	// Keeper is who decided.
-	Keeper string
+	// Owner is who decided.
+	Owner string
 }
 
 // IsAllowed reports whether the request may be sent.
@@ -128,7 +128,7 @@
 }
 
 func (n *Node) verdict(d Decision, r Record, by string) Verdict {
-	v := Verdict{Decision: d, Record: r, Keeper: by}
+	v := Verdict{Decision: d, Record: r, Owner: by}
 	switch d {
 	case Held:
 		v.RetryAt = r.HeldUntil()
