--- a/cmd/fieldvale-node/quarantine_test.go
+++ b/cmd/fieldvale-node/quarantine_test.go
@@ -22,7 +22,7 @@
 			if kind == "stream" {
 				r.Answer = r.Events(0, false, 1, 2)
 			}
-			f := quarantine.Content{Caller: "acme", Method: "POST", Host: "h.example", Target: "/" + kind + "/x?a=1", Body: []byte("bad")}.Fingerprint()
+			f := quarantine.RequestContent{Caller: "acme", Method: "POST", Host: "h.example", Target: "/" + kind + "/x?a=1", Body: []byte("bad")}.Fingerprint()
 			s.store.PutHeld(f.String(), 5, time.Now())
 			s.start()
 			a := s.send("POST", "/"+kind+"/x?a=1", "bad", key, sitetest.HeaderRequest+": q7")
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -45,7 +45,7 @@
 // first asked for: most requests need none. It is not safe for concurrent use.
 func (q *OpaqueRequest) Fingerprint() quarantine.Fingerprint {
 	if q.fingerprint == (quarantine.Fingerprint{}) {
-		q.fingerprint = quarantine.Content{Caller: q.Customer.Name, Method: q.Method, Host: q.Route.Host, Target: q.Target, Body: q.Body}.Fingerprint()
+		q.fingerprint = quarantine.RequestContent{Caller: q.Customer.Name, Method: q.Method, Host: q.Route.Host, Target: q.Target, Body: q.Body}.Fingerprint()
 	}
 	return q.fingerprint
 }
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -160,7 +160,7 @@
 }
 
 // watchOf returns a request's dealings with the quarantine by what it asks.
-func (r *Router) watchOf(c quarantine.Content) *watch {
+func (r *Router) watchOf(c quarantine.RequestContent) *watch {
 	return &watch{quarantine: r.quarantine, content: c.Fingerprint}
 }
 
--- a/entry/request.go
+++ b/entry/request.go
@@ -25,13 +25,13 @@
 }
 
 // content is what the request asks, whatever its id.
-func (q Request) content() quarantine.Content {
-	return quarantine.Content{Caller: q.Caller.Team + "/" + q.Caller.Customer.Name, Target: "chat", Body: q.Body}
+func (q Request) content() quarantine.RequestContent {
+	return quarantine.RequestContent{Caller: q.Caller.Team + "/" + q.Caller.Customer.Name, Target: "chat", Body: q.Body}
 }
 
 // content is what the call asks, whatever its id.
-func (q ServiceRequest) content() quarantine.Content {
-	return quarantine.Content{Caller: q.Caller.Team + "/" + q.Caller.Customer.Name, Target: q.Service + "/" + q.Call, Body: q.Body}
+func (q ServiceRequest) content() quarantine.RequestContent {
+	return quarantine.RequestContent{Caller: q.Caller.Team + "/" + q.Caller.Customer.Name, Target: q.Service + "/" + q.Call, Body: q.Body}
 }
 
 // AutoModel leaves the choice of the model to the policy.
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -17,8 +17,8 @@
 // again by its client, to any instance, has the same one.
 type Fingerprint [fingerprintBytes]byte
 
-// Content is what makes two requests the same one.
-type Content struct {
+// RequestContent is what makes two requests the same one.
+type RequestContent struct {
 	// Caller is the customer, empty where requests need no key.
 	Caller string
 	// Method and Target are the request line's; Target is the path with its query.
@@ -29,7 +29,7 @@
 }
 
 // Fingerprint returns the content's fingerprint.
-func (c Content) Fingerprint() Fingerprint {
+func (c RequestContent) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, t := range []string{c.Caller, c.Method, c.Host, c.Target} {
 		// The length goes first, so that no two lists of texts read the same.
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -10,7 +10,7 @@
 
 // A client that tries again sends the same content under another id; its fingerprint stays.
 func ExampleContent_Fingerprint() {
-	first := quarantine.Content{Caller: "inverness-loc", Method: "POST", Host: "lm", Target: "/suggest/?x=1", Body: []byte("{}")}
+	first := quarantine.RequestContent{Caller: "inverness-loc", Method: "POST", Host: "lm", Target: "/suggest/?x=1", Body: []byte("{}")}
 	again, other := first, first
 	other.Caller = "borders-loc"
 	fmt.Println(first.Fingerprint() == again.Fingerprint(), first.Fingerprint() == other.Fingerprint())
@@ -18,8 +18,8 @@
 }
 
 func TestContentsAreToldApart(t *testing.T) {
-	c := quarantine.Content{Caller: "a", Method: "POST", Host: "h", Target: "/p", Body: bytes.Repeat([]byte("x"), 4<<20)}
-	for name, o := range map[string]quarantine.Content{
+	c := quarantine.RequestContent{Caller: "a", Method: "POST", Host: "h", Target: "/p", Body: bytes.Repeat([]byte("x"), 4<<20)}
+	for name, o := range map[string]quarantine.RequestContent{
 		"another caller":         {Caller: "b", Method: c.Method, Host: c.Host, Target: c.Target, Body: c.Body},
 		"another parameter":      {Caller: c.Caller, Method: c.Method, Host: c.Host, Target: "/p?a=1", Body: c.Body},
 		"another host":           {Caller: c.Caller, Method: c.Method, Host: "i", Target: c.Target, Body: c.Body},
@@ -34,7 +34,7 @@
 }
 
 func TestFingerprintsAreRead(t *testing.T) {
-	f := quarantine.Content{Body: []byte("b")}.Fingerprint()
+	f := quarantine.RequestContent{Body: []byte("b")}.Fingerprint()
 	if g, err := quarantine.ParseFingerprint(f.String()); err != nil || g != f {
 		t.Errorf("got %s, %v, want %s", g, err, f)
 	}
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -226,7 +226,7 @@
 	next = func() {
 		n++
 		f.all++
-		f.arrive(&work{f: quarantine.Content{Target: fmt.Sprint(f.lives, "/", n)}.Fingerprint(), again: 1})
+		f.arrive(&work{f: quarantine.RequestContent{Target: fmt.Sprint(f.lives, "/", n)}.Fingerprint(), again: 1})
 		f.in(time.Duration(f.rand.ExpFloat64()/perSecond*float64(time.Second)), next)
 	}
 	next()
@@ -373,7 +373,7 @@
 }
 
 func newCulprit(name string) *culprit {
-	return &culprit{f: quarantine.Content{Target: name}.Fingerprint(), chance: 1, after: 75 * time.Millisecond}
+	return &culprit{f: quarantine.RequestContent{Target: name}.Fingerprint(), chance: 1, after: 75 * time.Millisecond}
 }
 
 // TestWhoIsHeld counts both errors: innocent requests that are refused, and replicas that
--- a/quarantine/fuzz_test.go
+++ b/quarantine/fuzz_test.go
@@ -10,7 +10,7 @@
 
 // Whatever comes as a datagram, an instance goes on deciding.
 func FuzzReceive(f *testing.F) {
-	content := quarantine.Content{Target: "/x"}.Fingerprint()
+	content := quarantine.RequestContent{Target: "/x"}.Fingerprint()
 	for _, s := range []string{
 		`{"e":{"c":"` + content.String() + `","w":0,"r":"r1"},"f":"n2"}`,
 		`{"q":1,"a":"` + content.String() + `"}`,
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -61,7 +61,7 @@
 	start := time.Unix(1_700_000_000, 0)
 	now := start
 	b := quarantine.NewBook()
-	content := quarantine.Content{Target: "/x"}.Fingerprint()
+	content := quarantine.RequestContent{Target: "/x"}.Fingerprint()
 	n := 0
 	for s := bufio.NewScanner(f); s.Scan(); {
 		n++
@@ -101,7 +101,7 @@
 	now := time.Unix(1_700_000_000, 0)
 	b := quarantine.NewBook()
 	of := func(i int) quarantine.Fingerprint {
-		return quarantine.Content{Target: fmt.Sprint(i)}.Fingerprint()
+		return quarantine.RequestContent{Target: fmt.Sprint(i)}.Fingerprint()
 	}
 	for i := range 3 {
 		b.Tell(of(-1), quarantine.Event{Replica: fmt.Sprint("r", i)}, now)
@@ -127,7 +127,7 @@
 	now := time.Unix(1_700_000_000, 0)
 	f := newFleet(1, 3, 3)
 	f.now = now
-	c := quarantine.Content{Target: "/x"}.Fingerprint()
+	c := quarantine.RequestContent{Target: "/x"}.Fingerprint()
 	e := quarantine.Entry{Content: c, Record: quarantine.Record{Score: 5, TrialsEnded: 2, LastAt: now}}
 	for _, n := range f.nodes {
 		n.Keep(e)
