--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -9,7 +9,7 @@
 )
 
 // A client that tries again sends the same content under another id; its fingerprint stays.
-func ExampleContent_Fingerprint() {
+func ExampleRequestContent_Fingerprint() {
 	first := quarantine.RequestContent{Caller: "inverness-loc", Method: "POST", Host: "lm", Target: "/suggest/?x=1", Body: []byte("{}")}
 	again, other := first, first
 	other.Caller = "borders-loc"
