--- a/cmd/fieldvale-node/quarantine.go
+++ b/cmd/fieldvale-node/quarantine.go
@@ -23,7 +23,7 @@
 	return quarantine.Config{
 		Self: n.s.ID, Net: tagged{n, tagSuspects}, Clock: n.clock, Followers: n.relay.Followers, Log: n.event,
 		OnHeld: func(e quarantine.Entry) { n.heldDue(heldChange{entry: e}) },
-		OnReleased: func(f quarantine.Fingerprint) { n.heldDue(heldChange{entry: quarantine.Entry{Content: f}, over: true}) },
+		OnReleased: func(f quarantine.Fingerprint) { n.heldDue(heldChange{entry: quarantine.Entry{Fingerprint: f}, over: true}) },
 	}
 }
 
@@ -54,7 +54,7 @@
 	select {
 	case n.held <- c:
 	default:
-		n.event("held_unwritten", "content", c.entry.Content, "over", c.over, "reason", "too many wait")
+		n.event("held_unwritten", "content", c.entry.Fingerprint, "over", c.over, "reason", "too many wait")
 	}
 }
 
@@ -75,10 +75,10 @@
 	x, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	if c.over {
-		err := platform.NewQuarantine(n.store).Release(x, c.entry.Content)
-		n.event("held_released", "content", c.entry.Content, "error", err)
+		err := platform.NewQuarantine(n.store).Release(x, c.entry.Fingerprint)
+		n.event("held_released", "content", c.entry.Fingerprint, "error", err)
 		return
 	}
 	won, err := platform.NewQuarantine(n.store).Hold(x, c.entry)
-	n.event("held_record", "content", c.entry.Content, "score", c.entry.Record.Score, "won", won, "error", err)
+	n.event("held_record", "content", c.entry.Fingerprint, "score", c.entry.Record.Score, "won", won, "error", err)
 }
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -194,14 +194,14 @@
 		}
 	}
 	slices.SortFunc(l, func(x, y Entry) int {
-		return cmp.Or(cmp.Compare(y.Record.Score, x.Record.Score), y.Record.LastAt.Compare(x.Record.LastAt), x.Content.compare(y.Content))
+		return cmp.Or(cmp.Compare(y.Record.Score, x.Record.Score), y.Record.LastAt.Compare(x.Record.LastAt), x.Fingerprint.compare(y.Fingerprint))
 	})
 	return l[:min(most, len(l))]
 }
 
 // Entry is a content with its record.
 type Entry struct {
-	Content Fingerprint
+	Fingerprint Fingerprint
 	Record  Record
 }
 
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -168,10 +168,10 @@
 
 // hold writes what an instance holds to the store.
 func (f *fleet) hold(e quarantine.Entry) {
-	if _, ok := f.held[e.Content]; ok {
+	if _, ok := f.held[e.Fingerprint]; ok {
 		return
 	}
-	f.held[e.Content] = e
+	f.held[e.Fingerprint] = e
 	f.in(storeWithin, func() {
 		for _, n := range f.nodes {
 			n.Keep(e)
--- a/quarantine/kept.go
+++ b/quarantine/kept.go
@@ -5,13 +5,13 @@
 // Keep takes in a content that the store holds as one that gets no replica.
 func (n *Node) Keep(e Entry) {
 	n.mu.Lock()
-	n.kept[e.Content] = true
-	delete(n.struck, e.Content)
+	n.kept[e.Fingerprint] = true
+	delete(n.struck, e.Fingerprint)
 	n.mu.Unlock()
-	if n.book.Get(e.Content).LastAt.After(e.Record.LastAt) {
+	if n.book.Get(e.Fingerprint).LastAt.After(e.Record.LastAt) {
 		return
 	}
-	n.logChange(n.book.Put(e.Content, e.Record, n.Clock()))
+	n.logChange(n.book.Put(e.Fingerprint, e.Record, n.Clock()))
 }
 
 // Strike forgets a content that the operator took from the store, or that was over.
@@ -82,9 +82,9 @@
 	}
 	for _, e := range n.book.Suspects(now, mostRecords) {
 		n.mu.Lock()
-		kept := n.kept[e.Content]
+		kept := n.kept[e.Fingerprint]
 		n.mu.Unlock()
-		if !kept && e.Record.isHeld(now) && n.keeps(e.Content) {
+		if !kept && e.Record.isHeld(now) && n.keeps(e.Fingerprint) {
 			n.OnHeld(e)
 		}
 	}
