--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -68,7 +68,7 @@
 // untried takes a trial back that could not begin.
 func (w *watch) untried() {
 	if w.onTrial {
-		w.tell(quarantine.Event{What: quarantine.Unsent})
+		w.tell(quarantine.Event{Outcome: quarantine.Unsent})
 	}
 }
 
@@ -81,7 +81,7 @@
 	ended := came == quarantine.EndedReplica
 	w.watched = w.watched || ended
 	if w.onTrial || ended || w.watched && came == quarantine.Served {
-		w.tell(quarantine.Event{What: came, Replica: replica})
+		w.tell(quarantine.Event{Outcome: came, Replica: replica})
 	}
 }
 
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -70,7 +70,7 @@
 	defer b.mu.Unlock()
 	was := b.records[f]
 	r := was
-	switch e.What {
+	switch e.Outcome {
 	case EndedReplica:
 		if !b.isExplained(e.Replica, now) || e.OnTrial || was.Score >= clearBelow {
 			r = r.WithEnd(e.Replica, e.By, e.OnTrial, now)
@@ -222,7 +222,7 @@
 
 // Event is what came of one attempt.
 type Event struct {
-	What What
+	Outcome What
 	// Replica is the life of the replica that ended.
 	Replica string
 	// By is the instance that made the attempt, OnTrial says that it was allowed as one.
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -154,7 +154,7 @@
 func (n *Node) Tell(f Fingerprint, e Event) {
 	e.By = n.Self
 	n.count(f, e)
-	m := encode(message{Event: &wireEvent{Content: f.String(), What: e.What, Replica: e.Replica, OnTrial: e.OnTrial}, From: n.Self})
+	m := encode(message{Event: &wireEvent{Content: f.String(), What: e.Outcome, Replica: e.Replica, OnTrial: e.OnTrial}, From: n.Self})
 	for _, k := range n.keepers(f) {
 		if k.ID != n.Self {
 			// One that is lost is lost at one of two keepers.
@@ -210,7 +210,7 @@
 		if err != nil {
 			return err
 		}
-		n.count(f, Event{What: m.Event.What, Replica: m.Event.Replica, OnTrial: m.Event.OnTrial, By: m.From})
+		n.count(f, Event{Outcome: m.Event.What, Replica: m.Event.Replica, OnTrial: m.Event.OnTrial, By: m.From})
 	case m.Ask != "":
 		f, err := ParseFingerprint(m.Ask)
 		if err != nil {
@@ -261,7 +261,7 @@
 	}
 	for _, x := range r.Replicas {
 		if !slices.Contains(mine.Replicas, x) {
-			n.count(f, Event{What: EndedReplica, Replica: x, By: r.By})
+			n.count(f, Event{Outcome: EndedReplica, Replica: x, By: r.By})
 		}
 	}
 }
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -86,7 +86,7 @@
 			if !ok {
 				t.Fatalf("line %d: %q is not known", n, w[0])
 			}
-			e := quarantine.Event{What: what, OnTrial: w[0] != "end"}
+			e := quarantine.Event{Outcome: what, OnTrial: w[0] != "end"}
 			if len(w) > 1 {
 				e.Replica = w[1]
 			}
