--- a/entry/bounded_test.go
+++ b/entry/bounded_test.go
@@ -300,7 +300,7 @@
 func (onTrial) Ask(context.Context, quarantine.Fingerprint) quarantine.Verdict {
 	return quarantine.Verdict{Decision: quarantine.Try}
 }
-func (onTrial) Tell(quarantine.Fingerprint, quarantine.Event) {}
+func (onTrial) Tell(quarantine.Fingerprint, quarantine.AttemptResult) {}
 
 // A suspect request that is sent on trial has a right for each send like any other.
 func TestTrialsHaveARight(t *testing.T) {
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -163,7 +163,7 @@
 	s.w.others()
 	return quarantine.Verdict{Decision: rapid.SampledFrom([]quarantine.Decision{quarantine.Free, quarantine.Try}).Draw(s.w.t, "trial")}
 }
-func (s trials) Tell(quarantine.Fingerprint, quarantine.Event) {}
+func (s trials) Tell(quarantine.Fingerprint, quarantine.AttemptResult) {}
 
 // router returns a router before the talkers, with what else decides drawn.
 func (w *talkers) router() (*Router, *CurrentView) {
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -19,7 +19,7 @@
 	// Ask decides whether the content may be sent once more.
 	Ask(ctx context.Context, f quarantine.Fingerprint) quarantine.Verdict
 	// Tell says what came of an attempt.
-	Tell(f quarantine.Fingerprint, e quarantine.Event)
+	Tell(f quarantine.Fingerprint, e quarantine.AttemptResult)
 }
 
 // Prober looks whether a replica that closed a connection has ended.
@@ -68,7 +68,7 @@
 // untried takes a trial back that could not begin.
 func (w *watch) untried() {
 	if w.onTrial {
-		w.tell(quarantine.Event{Outcome: quarantine.Unsent})
+		w.tell(quarantine.AttemptResult{Outcome: quarantine.Unsent})
 	}
 }
 
@@ -81,11 +81,11 @@
 	ended := came == quarantine.EndedReplica
 	w.watched = w.watched || ended
 	if w.onTrial || ended || w.watched && came == quarantine.Served {
-		w.tell(quarantine.Event{Outcome: came, Replica: replica})
+		w.tell(quarantine.AttemptResult{Outcome: came, Replica: replica})
 	}
 }
 
-func (w *watch) tell(e quarantine.Event) {
+func (w *watch) tell(e quarantine.AttemptResult) {
 	e.OnTrial = w.onTrial
 	w.quarantine.Tell(w.content(), e)
 }
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -65,7 +65,7 @@
 }
 
 // Tell counts what came of one attempt.
-func (b *Book) Tell(f Fingerprint, e Event, now time.Time) Change {
+func (b *Book) Tell(f Fingerprint, e AttemptResult, now time.Time) Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	was := b.records[f]
@@ -220,8 +220,8 @@
 	Unclear
 )
 
-// Event is what came of one attempt.
-type Event struct {
+// AttemptResult is what came of one attempt.
+type AttemptResult struct {
 	Outcome What
 	// Replica is the life of the replica that ended.
 	Replica string
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -151,7 +151,7 @@
 }
 
 // Tell counts what came of an attempt, here and at the content's keepers.
-func (n *Node) Tell(f Fingerprint, e Event) {
+func (n *Node) Tell(f Fingerprint, e AttemptResult) {
 	e.By = n.Self
 	n.count(f, e)
 	m := encode(message{Event: &wireEvent{Content: f.String(), What: e.Outcome, Replica: e.Replica, OnTrial: e.OnTrial}, From: n.Self})
@@ -164,7 +164,7 @@
 }
 
 // count takes an event in, and tells others if this instance keeps the content.
-func (n *Node) count(f Fingerprint, e Event) {
+func (n *Node) count(f Fingerprint, e AttemptResult) {
 	now := n.Clock()
 	c := n.book.Tell(f, e, now)
 	if !n.keeps(f) || c.Before == Free && c.Now == Free {
@@ -210,7 +210,7 @@
 		if err != nil {
 			return err
 		}
-		n.count(f, Event{Outcome: m.Event.What, Replica: m.Event.Replica, OnTrial: m.Event.OnTrial, By: m.From})
+		n.count(f, AttemptResult{Outcome: m.Event.What, Replica: m.Event.Replica, OnTrial: m.Event.OnTrial, By: m.From})
 	case m.Ask != "":
 		f, err := ParseFingerprint(m.Ask)
 		if err != nil {
@@ -261,7 +261,7 @@
 	}
 	for _, x := range r.Replicas {
 		if !slices.Contains(mine.Replicas, x) {
-			n.count(f, Event{Outcome: EndedReplica, Replica: x, By: r.By})
+			n.count(f, AttemptResult{Outcome: EndedReplica, Replica: x, By: r.By})
 		}
 	}
 }
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -86,7 +86,7 @@
 			if !ok {
 				t.Fatalf("line %d: %q is not known", n, w[0])
 			}
-			e := quarantine.Event{Outcome: what, OnTrial: w[0] != "end"}
+			e := quarantine.AttemptResult{Outcome: what, OnTrial: w[0] != "end"}
 			if len(w) > 1 {
 				e.Replica = w[1]
 			}
@@ -104,14 +104,14 @@
 		return quarantine.RequestContent{Target: fmt.Sprint(i)}.Fingerprint()
 	}
 	for i := range 3 {
-		b.Tell(of(-1), quarantine.Event{Replica: fmt.Sprint("r", i)}, now)
+		b.Tell(of(-1), quarantine.AttemptResult{Replica: fmt.Sprint("r", i)}, now)
 	}
 	for i := range 2 {
 		b.Ask(of(-1), now)
-		b.Tell(of(-1), quarantine.Event{Replica: fmt.Sprint("t", i), OnTrial: true}, now)
+		b.Tell(of(-1), quarantine.AttemptResult{Replica: fmt.Sprint("t", i), OnTrial: true}, now)
 	}
 	for i := range 20_000 {
-		b.Tell(of(i), quarantine.Event{Replica: fmt.Sprint("s", i/50)}, now.Add(time.Second))
+		b.Tell(of(i), quarantine.AttemptResult{Replica: fmt.Sprint("s", i/50)}, now.Add(time.Second))
 	}
 	if _, d := b.Ask(of(-1), now); d != quarantine.Held {
 		t.Errorf("the content that was held is %s now", d)
@@ -131,7 +131,7 @@
 	e := quarantine.Entry{Fingerprint: c, Record: quarantine.Record{Score: 5, TrialsEnded: 2, LastAt: now}}
 	for _, n := range f.nodes {
 		n.Keep(e)
-		n.Tell(c, quarantine.Event{Replica: "r9"})
+		n.Tell(c, quarantine.AttemptResult{Replica: "r9"})
 	}
 	f.now = now.Add(time.Second)
 	for _, n := range f.nodes {
