--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -78,7 +78,7 @@
 	if w.quarantine == nil {
 		return
 	}
-	ended := came == quarantine.EndedReplica
+	ended := came == quarantine.ReplicaCrashed
 	w.watched = w.watched || ended
 	if w.onTrial || ended || w.watched && came == quarantine.Served {
 		w.tell(quarantine.AttemptResult{Outcome: came, Replica: replica})
@@ -110,7 +110,7 @@
 	case err != nil && outcome.Of(err) == outcome.NotRun:
 		return quarantine.Unsent
 	case !a.left && outcome.IsClosed(err) && a.replicaEnded():
-		return quarantine.EndedReplica
+		return quarantine.ReplicaCrashed
 	}
 	return quarantine.Unclear
 }
@@ -149,7 +149,7 @@
 	case outcome.Of(err) == outcome.NotRun:
 		return quarantine.Unsent
 	case outcome.IsClosed(err) && !errors.Is(err, errCaller) && r.hasEnded(b):
-		return quarantine.EndedReplica
+		return quarantine.ReplicaCrashed
 	}
 	return quarantine.Unclear
 }
--- a/entry/verdict.go
+++ b/entry/verdict.go
@@ -12,7 +12,7 @@
 func (a *attempt) judge(bad bool, came quarantine.What) {
 	r := a.w.r
 	o := a.shows(bad)
-	if o == showsBroken && came == quarantine.EndedReplica && !r.releases.firstEnd(a.replica.ID) {
+	if o == showsBroken && came == quarantine.ReplicaCrashed && !r.releases.firstEnd(a.replica.ID) {
 		// All that was at a replica as it ended is one finding: up to 60 requests of a
 		// good release broke off there at once, and a request that brings replicas down
 		// would have had it taken back.
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -71,7 +71,7 @@
 	was := b.records[f]
 	r := was
 	switch e.Outcome {
-	case EndedReplica:
+	case ReplicaCrashed:
 		if !b.isExplained(e.Replica, now) || e.OnTrial || was.Score >= clearBelow {
 			r = r.WithEnd(e.Replica, e.By, e.OnTrial, now)
 		}
@@ -210,8 +210,8 @@
 
 // What attempts come to.
 const (
-	// EndedReplica: the replica ended while the request was there.
-	EndedReplica What = iota
+	// ReplicaCrashed: the replica ended while the request was there.
+	ReplicaCrashed What = iota
 	// Served: the replica gave a whole answer, be it one of failure.
 	Served
 	// Unsent: the replica was not reached, or turned it away.
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -326,7 +326,7 @@
 		// The instances notice one after another.
 		life := r.life
 		f.in(f.between(time.Millisecond, 10*time.Millisecond), func() {
-			t.node.Tell(t.w.f, quarantine.AttemptResult{Outcome: quarantine.EndedReplica, Replica: life, OnTrial: t.onTrial})
+			t.node.Tell(t.w.f, quarantine.AttemptResult{Outcome: quarantine.ReplicaCrashed, Replica: life, OnTrial: t.onTrial})
 			if t.w.left > 0 {
 				f.send(t.w, t.node)
 				return
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -261,7 +261,7 @@
 	}
 	for _, x := range r.Replicas {
 		if !slices.Contains(mine.Replicas, x) {
-			n.count(f, AttemptResult{Outcome: EndedReplica, Replica: x, By: r.By})
+			n.count(f, AttemptResult{Outcome: ReplicaCrashed, Replica: x, By: r.By})
 		}
 	}
 }
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -46,7 +46,7 @@
 }
 
 var whats = map[string]quarantine.What{
-	"end": quarantine.EndedReplica, "trial-end": quarantine.EndedReplica, "served": quarantine.Served,
+	"end": quarantine.ReplicaCrashed, "trial-end": quarantine.ReplicaCrashed, "served": quarantine.Served,
 	"unclear": quarantine.Unclear, "unsent": quarantine.Unsent,
 }
 
