--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -68,7 +68,7 @@
 // untried takes a trial back that could not begin.
 func (w *watch) untried() {
 	if w.onTrial {
-		w.tell(quarantine.AttemptResult{Outcome: quarantine.Unsent})
+		w.tell(quarantine.AttemptResult{Outcome: quarantine.NotRun})
 	}
 }
 
@@ -108,7 +108,7 @@
 	case a.served && !a.escalated || a.refusedWhole:
 		return quarantine.Served
 	case err != nil && outcome.Of(err) == outcome.NotRun:
-		return quarantine.Unsent
+		return quarantine.NotRun
 	case !a.left && outcome.IsClosed(err) && a.replicaEnded():
 		return quarantine.ReplicaCrashed
 	}
@@ -147,7 +147,7 @@
 	case err == nil:
 		return quarantine.Served
 	case outcome.Of(err) == outcome.NotRun:
-		return quarantine.Unsent
+		return quarantine.NotRun
 	case outcome.IsClosed(err) && !errors.Is(err, errCaller) && r.hasEnded(b):
 		return quarantine.ReplicaCrashed
 	}
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -77,7 +77,7 @@
 		}
 	case Served:
 		r = r.WithServed()
-	case Unsent:
+	case NotRun:
 		r = r.WithUnsent()
 	case Unclear:
 		r = r.WithUnclear()
@@ -214,8 +214,8 @@
 	ReplicaCrashed What = iota
 	// Served: the replica gave a whole answer, be it one of failure.
 	Served
-	// Unsent: the replica was not reached, or turned it away.
-	Unsent
+	// NotRun: the replica was not reached, or turned it away.
+	NotRun
 	// Unclear: nothing can be told, as when the client left.
 	Unclear
 )
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -259,7 +259,7 @@
 	r := f.replicas[f.rand.IntN(len(f.replicas))]
 	t := &try{w: w, node: n, replica: r, onTrial: v.Decision == quarantine.Try}
 	if !r.up {
-		f.told(t, quarantine.Unsent)
+		f.told(t, quarantine.NotRun)
 		if w.unreached++; w.unreached < mostUnreached {
 			f.in(time.Millisecond, func() { f.send(w, n) })
 			return
