--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -112,7 +112,7 @@
 	case !a.left && outcome.IsClosed(err) && a.replicaEnded():
 		return quarantine.ReplicaCrashed
 	}
-	return quarantine.Unclear
+	return quarantine.Inconclusive
 }
 
 // servesOn is for how long a replica that leaves in order serves at least what it still got:
@@ -151,7 +151,7 @@
 	case outcome.IsClosed(err) && !errors.Is(err, errCaller) && r.hasEnded(b):
 		return quarantine.ReplicaCrashed
 	}
-	return quarantine.Unclear
+	return quarantine.Inconclusive
 }
 
 // quarantined is the refusal of a request before it is sent.
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -79,7 +79,7 @@
 		r = r.WithServed()
 	case NotRun:
 		r = r.WithUnsent()
-	case Unclear:
+	case Inconclusive:
 		r = r.WithUnclear()
 	}
 	b.put(f, r, now)
@@ -216,8 +216,8 @@
 	Served
 	// NotRun: the replica was not reached, or turned it away.
 	NotRun
-	// Unclear: nothing can be told, as when the client left.
-	Unclear
+	// Inconclusive: nothing can be told, as when the client left.
+	Inconclusive
 )
 
 // AttemptResult is what came of one attempt.
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -47,7 +47,7 @@
 
 var whats = map[string]quarantine.What{
 	"end": quarantine.ReplicaCrashed, "trial-end": quarantine.ReplicaCrashed, "served": quarantine.Served,
-	"unclear": quarantine.Unclear, "unsent": quarantine.NotRun,
+	"unclear": quarantine.Inconclusive, "unsent": quarantine.NotRun,
 }
 
 var decisions = map[string]quarantine.Decision{"free": quarantine.Free, "try": quarantine.Try, "wait": quarantine.Wait, "held": quarantine.Held}
