--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -74,7 +74,7 @@
 
 // report tells what an attempt came to, where that matters: its replica ended, or the
 // content is watched.
-func (w *watch) report(came quarantine.What, replica string) {
+func (w *watch) report(came quarantine.Outcome, replica string) {
 	if w.quarantine == nil {
 		return
 	}
@@ -103,7 +103,7 @@
 }
 
 // cameTo says what the attempt shows of the content.
-func (a *attempt) cameTo(err error) quarantine.What {
+func (a *attempt) cameTo(err error) quarantine.Outcome {
 	switch {
 	case a.served && !a.escalated || a.refusedWhole:
 		return quarantine.Served
@@ -142,7 +142,7 @@
 
 // cameOf says what an attempt at a backend server of the product's own interfaces shows of
 // its content.
-func (r *Router) cameOf(b *pool.Replica, err error) quarantine.What {
+func (r *Router) cameOf(b *pool.Replica, err error) quarantine.Outcome {
 	switch {
 	case err == nil:
 		return quarantine.Served
--- a/entry/verdict.go
+++ b/entry/verdict.go
@@ -9,7 +9,7 @@
 var verdicts = map[outcomeOf]string{showsGood: "good", showsFailed: "failed", showsBroken: "broken", showsNothing: "nothing"}
 
 // judge counts what the attempt shows of its release, if one is under way.
-func (a *attempt) judge(bad bool, came quarantine.What) {
+func (a *attempt) judge(bad bool, came quarantine.Outcome) {
 	r := a.w.r
 	o := a.shows(bad)
 	if o == showsBroken && came == quarantine.ReplicaCrashed && !r.releases.firstEnd(a.replica.ID) {
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -205,13 +205,13 @@
 	Record  Record
 }
 
-// What says what came of an attempt.
-type What int
+// Outcome says what came of an attempt.
+type Outcome int
 
 // What attempts come to.
 const (
 	// ReplicaCrashed: the replica ended while the request was there.
-	ReplicaCrashed What = iota
+	ReplicaCrashed Outcome = iota
 	// Served: the replica gave a whole answer, be it one of failure.
 	Served
 	// NotRun: the replica was not reached, or turned it away.
@@ -222,7 +222,7 @@
 
 // AttemptResult is what came of one attempt.
 type AttemptResult struct {
-	Outcome What
+	Outcome Outcome
 	// Replica is the life of the replica that ended.
 	Replica string
 	// By is the instance that made the attempt, OnTrial says that it was allowed as one.
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -336,7 +336,7 @@
 	}
 }
 
-func (f *fleet) told(t *try, w quarantine.What) {
+func (f *fleet) told(t *try, w quarantine.Outcome) {
 	if !t.node.IsQuiet() {
 		t.node.Tell(t.w.f, quarantine.AttemptResult{Outcome: w, OnTrial: t.onTrial})
 	}
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-var whats = map[string]quarantine.What{
+var whats = map[string]quarantine.Outcome{
 	"end": quarantine.ReplicaCrashed, "trial-end": quarantine.ReplicaCrashed, "served": quarantine.Served,
 	"unclear": quarantine.Inconclusive, "unsent": quarantine.NotRun,
 }
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -23,7 +23,7 @@
 
 type wireEvent struct {
 	Content string `json:"c"`
-	What    What   `json:"w"`
+	What    Outcome   `json:"w"`
 	Replica string `json:"r,omitempty"`
 	OnTrial bool   `json:"t,omitempty"`
 }
