--- a/cmd/fieldvale-node/quarantine.go
+++ b/cmd/fieldvale-node/quarantine.go
@@ -41,7 +41,7 @@
 // quarantined logs why a request was sent on trial only, or not at all.
 func (n *node) quarantined(f *entry.ForwardResult) {
 	v := f.Verdict
-	if v.Decision == quarantine.Free {
+	if v.Decision == quarantine.Allow {
 		return
 	}
 	r := v.Record
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -55,7 +55,7 @@
 		return nil
 	}
 	v := w.quarantine.Ask(ctx, w.content())
-	if v.Decision == quarantine.Free {
+	if v.Decision == quarantine.Allow {
 		return nil
 	}
 	w.verdict, w.watched, w.onTrial = v, true, v.Decision == quarantine.Try
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -189,7 +189,7 @@
 	defer b.mu.Unlock()
 	var l []Entry
 	for f, r := range b.records {
-		if r.Decide(now) != Free {
+		if r.Decide(now) != Allow {
 			l = append(l, Entry{f, r})
 		}
 	}
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -100,7 +100,7 @@
 }
 
 // IsAllowed reports whether the request may be sent.
-func (v Verdict) IsAllowed() bool { return v.Decision == Free || v.Decision == Try }
+func (v Verdict) IsAllowed() bool { return v.Decision == Allow || v.Decision == Try }
 
 // IsQuiet reports whether nothing is known of any content, so that all may be sent.
 func (n *Node) IsQuiet() bool { return n.book.Len() == 0 }
@@ -109,7 +109,7 @@
 // may; for others a keeper is asked. Where none answers, this instance decides alone.
 func (n *Node) Ask(ctx context.Context, f Fingerprint) Verdict {
 	if n.book.Get(f).Score == 0 {
-		return Verdict{Decision: Free}
+		return Verdict{Decision: Allow}
 	}
 	for _, k := range n.keepers(f) {
 		if k.ID == n.Self {
@@ -167,7 +167,7 @@
 func (n *Node) count(f Fingerprint, e AttemptResult) {
 	now := n.Clock()
 	c := n.book.Tell(f, e, now)
-	if !n.keeps(f) || c.Before == Free && c.Now == Free {
+	if !n.keeps(f) || c.Before == Allow && c.Now == Allow {
 		return
 	}
 	n.mu.Lock()
@@ -181,9 +181,9 @@
 	switch {
 	case c.Now == Held && c.Before != Held:
 		event = "request_held"
-	case c.Now != Free && c.Before == Free:
+	case c.Now != Allow && c.Before == Allow:
 		event = "request_suspected"
-	case c.Now == Free && c.Before != Free:
+	case c.Now == Allow && c.Before != Allow:
 		event = "request_cleared"
 	default:
 		return
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -29,8 +29,8 @@
 
 // The decisions.
 const (
-	// Free contents are sent without asking.
-	Free Decision = iota
+	// Allow contents are sent without asking.
+	Allow Decision = iota
 	// Try: it may be sent once, on trial.
 	Try
 	// Wait: a trial is under way.
@@ -48,7 +48,7 @@
 func (r Record) Decide(now time.Time) Decision {
 	switch {
 	case r.Score < suspectFrom:
-		return Free
+		return Allow
 	case now.Before(r.TrialUntil):
 		return Wait
 	case r.isHeld(now):
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -50,7 +50,7 @@
 	"unclear": quarantine.Inconclusive, "unsent": quarantine.NotRun,
 }
 
-var decisions = map[string]quarantine.Decision{"free": quarantine.Free, "try": quarantine.Try, "wait": quarantine.Wait, "held": quarantine.Held}
+var decisions = map[string]quarantine.Decision{"free": quarantine.Allow, "try": quarantine.Try, "wait": quarantine.Wait, "held": quarantine.Held}
 
 func playRecord(t *testing.T, path string) {
 	f, err := os.Open(path)
@@ -143,7 +143,7 @@
 	f.now = now.Add(3 * time.Second)
 	for i, n := range f.nodes {
 		n.Tick()
-		if v := n.Ask(t.Context(), c); v.Decision != quarantine.Free {
+		if v := n.Ask(t.Context(), c); v.Decision != quarantine.Allow {
 			t.Errorf("n%d: %s", i, v.Decision)
 		}
 	}
--- a/quarantine/repeat.go
+++ b/quarantine/repeat.go
@@ -57,7 +57,7 @@
 	for _, f := range due {
 		r := n.book.Get(f)
 		l = append(l, wireEntry{f.String(), newWireRecord(r, now)})
-		if r.Decide(now) == Free {
+		if r.Decide(now) == Allow {
 			// It is told once more that nothing holds, and then no more.
 			n.mu.Lock()
 			delete(n.repeats, f)
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -86,7 +86,7 @@
 	if err := json.Unmarshal(b, &m); err != nil {
 		return m, errors.Wrap(err, "quarantine.decode")
 	}
-	if m.Answer != nil && (m.Answer.Decision < Free || m.Answer.Decision > Held) {
+	if m.Answer != nil && (m.Answer.Decision < Allow || m.Answer.Decision > Held) {
 		return m, errors.Newf("quarantine.decode: decision %d", int(m.Answer.Decision))
 	}
 	return m, nil
