--- a/entry/bounded_test.go
+++ b/entry/bounded_test.go
@@ -298,7 +298,7 @@
 
 func (onTrial) IsQuiet() bool { return false }
 func (onTrial) Ask(context.Context, quarantine.Fingerprint) quarantine.Verdict {
-	return quarantine.Verdict{Decision: quarantine.Try}
+	return quarantine.Verdict{Decision: quarantine.AllowTrial}
 }
 func (onTrial) Tell(quarantine.Fingerprint, quarantine.AttemptResult) {}
 
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -161,7 +161,7 @@
 func (s trials) IsQuiet() bool { return false }
 func (s trials) Ask(context.Context, quarantine.Fingerprint) quarantine.Verdict {
 	s.w.others()
-	return quarantine.Verdict{Decision: rapid.SampledFrom([]quarantine.Decision{quarantine.Allow, quarantine.Try}).Draw(s.w.t, "trial")}
+	return quarantine.Verdict{Decision: rapid.SampledFrom([]quarantine.Decision{quarantine.Allow, quarantine.AllowTrial}).Draw(s.w.t, "trial")}
 }
 func (s trials) Tell(quarantine.Fingerprint, quarantine.AttemptResult) {}
 
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -58,7 +58,7 @@
 	if v.Decision == quarantine.Allow {
 		return nil
 	}
-	w.verdict, w.watched, w.onTrial = v, true, v.Decision == quarantine.Try
+	w.verdict, w.watched, w.onTrial = v, true, v.Decision == quarantine.AllowTrial
 	if v.IsAllowed() {
 		return nil
 	}
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -57,7 +57,7 @@
 	defer b.mu.Unlock()
 	r := b.records[f]
 	d := r.Decide(now)
-	if d == Try {
+	if d == AllowTrial {
 		r = r.WithTrial(now)
 		b.records[f] = r
 	}
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -257,7 +257,7 @@
 		return
 	}
 	r := f.replicas[f.rand.IntN(len(f.replicas))]
-	t := &try{w: w, node: n, replica: r, onTrial: v.Decision == quarantine.Try}
+	t := &try{w: w, node: n, replica: r, onTrial: v.Decision == quarantine.AllowTrial}
 	if !r.up {
 		f.told(t, quarantine.NotRun)
 		if w.unreached++; w.unreached < mostUnreached {
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -100,7 +100,7 @@
 }
 
 // IsAllowed reports whether the request may be sent.
-func (v Verdict) IsAllowed() bool { return v.Decision == Allow || v.Decision == Try }
+func (v Verdict) IsAllowed() bool { return v.Decision == Allow || v.Decision == AllowTrial }
 
 // IsQuiet reports whether nothing is known of any content, so that all may be sent.
 func (n *Node) IsQuiet() bool { return n.book.Len() == 0 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -31,8 +31,8 @@
 const (
 	// Allow contents are sent without asking.
 	Allow Decision = iota
-	// Try: it may be sent once, on trial.
-	Try
+	// AllowTrial: it may be sent once, on trial.
+	AllowTrial
 	// Wait: a trial is under way.
 	Wait
 	// Held contents get no replica.
@@ -54,7 +54,7 @@
 	case r.isHeld(now):
 		return Held
 	}
-	return Try
+	return AllowTrial
 }
 
 // isHeld reports whether the content gets no replica until HeldUntil.
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -50,7 +50,7 @@
 	"unclear": quarantine.Inconclusive, "unsent": quarantine.NotRun,
 }
 
-var decisions = map[string]quarantine.Decision{"free": quarantine.Allow, "try": quarantine.Try, "wait": quarantine.Wait, "held": quarantine.Held}
+var decisions = map[string]quarantine.Decision{"free": quarantine.Allow, "try": quarantine.AllowTrial, "wait": quarantine.Wait, "held": quarantine.Held}
 
 func playRecord(t *testing.T, path string) {
 	f, err := os.Open(path)
