--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -13,9 +13,9 @@
 	// Replicas are the lives of replicas that are counted, TrialReplicas those that ended
 	// under a trial.
 	Replicas, TrialReplicas []string
-	// TrialsEnded is how many trials ended their replica, TrialsOpen how many have no
+	// TrialCrashes is how many trials ended their replica, TrialsOpen how many have no
 	// result.
-	TrialsEnded, TrialsOpen int
+	TrialCrashes, TrialsOpen int
 	// TrialUntil is until when a trial is under way.
 	TrialUntil time.Time
 	// LastAt is when the last end was heard of.
@@ -64,7 +64,7 @@
 
 // isProved reports whether ends and trials suffice to hold the content.
 func (r Record) isProved() bool {
-	return r.Score+float64(r.TrialsOpen) >= heldFrom && 2*r.TrialsEnded+r.TrialsOpen >= someTrials
+	return r.Score+float64(r.TrialsOpen) >= heldFrom && 2*r.TrialCrashes+r.TrialsOpen >= someTrials
 }
 
 // HeldUntil is until when the content would be held if nothing more is heard of it.
@@ -85,7 +85,7 @@
 	if onTrial {
 		r.TrialUntil = time.Time{}
 		r.TrialsOpen = max(0, r.TrialsOpen-1)
-		r.TrialsEnded++
+		r.TrialCrashes++
 		r.TrialReplicas = withLast(r.TrialReplicas, replica)
 	}
 	if slices.Contains(r.Replicas, replica) {
@@ -115,7 +115,7 @@
 // WithServed counts a whole answer.
 func (r Record) WithServed() Record {
 	r.Score = max(0, r.Score-servedTakes)
-	r.TrialsEnded, r.TrialsOpen, r.TrialUntil = 0, 0, time.Time{}
+	r.TrialCrashes, r.TrialsOpen, r.TrialUntil = 0, 0, time.Time{}
 	return r
 }
 
@@ -136,7 +136,7 @@
 // a trial of this one, and none where its last trials ended replicas: several at once may
 // bring replicas down.
 func (r Record) WithExplained(replicas []string) Record {
-	if r.TrialsEnded > 0 {
+	if r.TrialCrashes > 0 {
 		return r
 	}
 	var left []string
