--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -189,7 +189,7 @@
 		return
 	}
 	r := c.Record
-	n.Log(event, "content", c.Content, "score", r.Score, "replicas", r.Replicas, "trials_ended", r.TrialCrashes, "trials_open", r.TrialsOpen, "told_by", r.By)
+	n.Log(event, "content", c.Content, "score", r.Score, "replicas", r.Replicas, "trials_ended", r.TrialCrashes, "trials_open", r.TrialsWithoutResult, "told_by", r.By)
 }
 
 // Receive takes a datagram in; from is where an answer goes.
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -13,9 +13,9 @@
 	// Replicas are the lives of replicas that are counted, TrialReplicas those that ended
 	// under a trial.
 	Replicas, TrialReplicas []string
-	// TrialCrashes is how many trials ended their replica, TrialsOpen how many have no
+	// TrialCrashes is how many trials ended their replica, TrialsWithoutResult how many have no
 	// result.
-	TrialCrashes, TrialsOpen int
+	TrialCrashes, TrialsWithoutResult int
 	// TrialUntil is until when a trial is under way.
 	TrialUntil time.Time
 	// LastAt is when the last end was heard of.
@@ -64,7 +64,7 @@
 
 // isProved reports whether ends and trials suffice to hold the content.
 func (r Record) isProved() bool {
-	return r.Score+float64(r.TrialsOpen) >= heldFrom && 2*r.TrialCrashes+r.TrialsOpen >= someTrials
+	return r.Score+float64(r.TrialsWithoutResult) >= heldFrom && 2*r.TrialCrashes+r.TrialsWithoutResult >= someTrials
 }
 
 // HeldUntil is until when the content would be held if nothing more is heard of it.
@@ -84,7 +84,7 @@
 func (r Record) WithEnd(replica, by string, onTrial bool, now time.Time) Record {
 	if onTrial {
 		r.TrialUntil = time.Time{}
-		r.TrialsOpen = max(0, r.TrialsOpen-1)
+		r.TrialsWithoutResult = max(0, r.TrialsWithoutResult-1)
 		r.TrialCrashes++
 		r.TrialReplicas = withLast(r.TrialReplicas, replica)
 	}
@@ -107,7 +107,7 @@
 
 // WithTrial counts a trial that begins.
 func (r Record) WithTrial(now time.Time) Record {
-	r.TrialsOpen++
+	r.TrialsWithoutResult++
 	r.TrialUntil = now.Add(trialFor)
 	return r
 }
@@ -115,13 +115,13 @@
 // WithServed counts a whole answer.
 func (r Record) WithServed() Record {
 	r.Score = max(0, r.Score-servedTakes)
-	r.TrialCrashes, r.TrialsOpen, r.TrialUntil = 0, 0, time.Time{}
+	r.TrialCrashes, r.TrialsWithoutResult, r.TrialUntil = 0, 0, time.Time{}
 	return r
 }
 
 // WithUnsent takes a trial back that no replica ran.
 func (r Record) WithUnsent() Record {
-	r.TrialsOpen, r.TrialUntil = max(0, r.TrialsOpen-1), time.Time{}
+	r.TrialsWithoutResult, r.TrialUntil = max(0, r.TrialsWithoutResult-1), time.Time{}
 	return r
 }
 
