--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -159,7 +159,7 @@
 	}
 	slices.SortFunc(l, func(x, y Fingerprint) int {
 		a, c := b.records[x], b.records[y]
-		return cmp.Or(cmp.Compare(a.Score, c.Score), a.LastAt.Compare(c.LastAt))
+		return cmp.Or(cmp.Compare(a.Score, c.Score), a.LastCrashAt.Compare(c.LastCrashAt))
 	})
 	for _, f := range l[:len(l)/4+1] {
 		delete(b.records, f)
@@ -194,7 +194,7 @@
 		}
 	}
 	slices.SortFunc(l, func(x, y Entry) int {
-		return cmp.Or(cmp.Compare(y.Record.Score, x.Record.Score), y.Record.LastAt.Compare(x.Record.LastAt), x.Fingerprint.compare(y.Fingerprint))
+		return cmp.Or(cmp.Compare(y.Record.Score, x.Record.Score), y.Record.LastCrashAt.Compare(x.Record.LastCrashAt), x.Fingerprint.compare(y.Fingerprint))
 	})
 	return l[:min(most, len(l))]
 }
--- a/quarantine/kept.go
+++ b/quarantine/kept.go
@@ -8,7 +8,7 @@
 	n.kept[e.Fingerprint] = true
 	delete(n.struck, e.Fingerprint)
 	n.mu.Unlock()
-	if n.book.Get(e.Fingerprint).LastAt.After(e.Record.LastAt) {
+	if n.book.Get(e.Fingerprint).LastCrashAt.After(e.Record.LastCrashAt) {
 		return
 	}
 	n.logChange(n.book.Put(e.Fingerprint, e.Record, n.Clock()))
@@ -51,7 +51,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	at, ok := n.struck[f]
-	return ok && !r.LastAt.After(at)
+	return ok && !r.LastCrashAt.After(at)
 }
 
 // storeEvery is between looks for what the store lacks, or holds too long: it may be away,
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -18,8 +18,8 @@
 	TrialCrashes, TrialsWithoutResult int
 	// TrialUntil is until when a trial is under way.
 	TrialUntil time.Time
-	// LastAt is when the last end was heard of.
-	LastAt time.Time
+	// LastCrashAt is when the last end was heard of.
+	LastCrashAt time.Time
 	// By is the instance that told of the last end.
 	By string
 }
@@ -68,7 +68,7 @@
 }
 
 // HeldUntil is until when the content would be held if nothing more is heard of it.
-func (r Record) HeldUntil() time.Time { return r.LastAt.Add(heldFor) }
+func (r Record) HeldUntil() time.Time { return r.LastCrashAt.Add(heldFor) }
 
 // IsOver reports whether the record says nothing any more.
 func (r Record) IsOver(now time.Time) bool {
@@ -76,7 +76,7 @@
 	if r.isProved() {
 		after = 2 * heldFor
 	}
-	return r.Score < clearBelow || !now.Before(r.LastAt.Add(after))
+	return r.Score < clearBelow || !now.Before(r.LastCrashAt.Add(after))
 }
 
 // WithEnd counts a life of a replica that ended while the request was there. onTrial says
@@ -93,7 +93,7 @@
 	}
 	r.Replicas = withLast(r.Replicas, replica)
 	r.Score = min(mostCounted, r.Score+1)
-	r.LastAt, r.By = now, by
+	r.LastCrashAt, r.By = now, by
 	return r
 }
 
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -128,7 +128,7 @@
 	f := newFleet(1, 3, 3)
 	f.now = now
 	c := quarantine.RequestContent{Target: "/x"}.Fingerprint()
-	e := quarantine.Entry{Fingerprint: c, Record: quarantine.Record{Score: 5, TrialCrashes: 2, LastAt: now}}
+	e := quarantine.Entry{Fingerprint: c, Record: quarantine.Record{Score: 5, TrialCrashes: 2, LastCrashAt: now}}
 	for _, n := range f.nodes {
 		n.Keep(e)
 		n.Tell(c, quarantine.AttemptResult{Replica: "r9"})
