--- a/cmd/fieldvale-node/quarantine.go
+++ b/cmd/fieldvale-node/quarantine.go
@@ -46,7 +46,7 @@
 	}
 	r := v.Record
 	n.event("request_quarantined", "request", f.Request.ID, "content", f.Fingerprint, "decision", v.Decision, "score", r.Score, "replicas", r.Replicas,
-		"trials_ended", r.TrialCrashes, "trials_open", r.TrialsWithoutResult, "last_end_ago", n.clock().Sub(r.LastCrashAt), "told_by", r.By, "keeper", v.Owner, "retry_at", v.RetryAt)
+		"trials_ended", r.TrialCrashes, "trials_open", r.TrialsWithoutResult, "last_end_ago", n.clock().Sub(r.LastCrashAt), "told_by", r.ReportedBy, "keeper", v.Owner, "retry_at", v.RetryAt)
 }
 
 // heldDue hands a change to the goroutine that writes them.
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -189,7 +189,7 @@
 		return
 	}
 	r := c.Record
-	n.Log(event, "content", c.Content, "score", r.Score, "replicas", r.Replicas, "trials_ended", r.TrialCrashes, "trials_open", r.TrialsWithoutResult, "told_by", r.By)
+	n.Log(event, "content", c.Content, "score", r.Score, "replicas", r.Replicas, "trials_ended", r.TrialCrashes, "trials_open", r.TrialsWithoutResult, "told_by", r.ReportedBy)
 }
 
 // Receive takes a datagram in; from is where an answer goes.
@@ -261,7 +261,7 @@
 	}
 	for _, x := range r.Replicas {
 		if !slices.Contains(mine.Replicas, x) {
-			n.count(f, AttemptResult{Outcome: ReplicaCrashed, Replica: x, By: r.By})
+			n.count(f, AttemptResult{Outcome: ReplicaCrashed, Replica: x, By: r.ReportedBy})
 		}
 	}
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -20,8 +20,8 @@
 	TrialUntil time.Time
 	// LastCrashAt is when the last end was heard of.
 	LastCrashAt time.Time
-	// By is the instance that told of the last end.
-	By string
+	// ReportedBy is the instance that told of the last end.
+	ReportedBy string
 }
 
 // Decision is what a content may do.
@@ -93,7 +93,7 @@
 	}
 	r.Replicas = withLast(r.Replicas, replica)
 	r.Score = min(mostCounted, r.Score+1)
-	r.LastCrashAt, r.By = now, by
+	r.LastCrashAt, r.ReportedBy = now, by
 	return r
 }
 
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -53,7 +53,7 @@
 }
 
 func newWireRecord(r Record, now time.Time) wireRecord {
-	w := wireRecord{Score: r.Score, Replicas: r.Replicas, TrialReplicas: r.TrialReplicas, TrialsEnded: r.TrialCrashes, TrialsOpen: r.TrialsWithoutResult, By: r.By}
+	w := wireRecord{Score: r.Score, Replicas: r.Replicas, TrialReplicas: r.TrialReplicas, TrialsEnded: r.TrialCrashes, TrialsOpen: r.TrialsWithoutResult, By: r.ReportedBy}
 	if !r.LastCrashAt.IsZero() {
 		w.Age = max(0, now.Sub(r.LastCrashAt).Milliseconds())
 	}
@@ -67,7 +67,7 @@
 const oldest = 24 * time.Hour
 
 func (w wireRecord) record(now time.Time) Record {
-	r := Record{Score: min(mostCounted, max(0, w.Score)), Replicas: last(w.Replicas), TrialReplicas: last(w.TrialReplicas), TrialCrashes: max(0, w.TrialsEnded), TrialsWithoutResult: max(0, w.TrialsOpen), By: w.By}
+	r := Record{Score: min(mostCounted, max(0, w.Score)), Replicas: last(w.Replicas), TrialReplicas: last(w.TrialReplicas), TrialCrashes: max(0, w.TrialsEnded), TrialsWithoutResult: max(0, w.TrialsOpen), ReportedBy: w.By}
 	r.LastCrashAt = now.Add(-time.Duration(max(0, min(w.Age, oldest.Milliseconds()))) * time.Millisecond)
 	if w.Trial > 0 {
 		r.TrialUntil = now.Add(time.Duration(min(trialFor.Milliseconds(), w.Trial)) * time.Millisecond)
