--- a/notice/belief.go
+++ b/notice/belief.go
@@ -6,9 +6,9 @@
 // said nothing.
 type Belief struct {
 	Service string
-	// LeavesFrom is when the first answer came that says that it leaves; zero if none
+	// DrainingSince is when the first answer came that says that it leaves; zero if none
 	// did. Nothing takes that back: the belief ends with the replica's life.
-	LeavesFrom time.Time
+	DrainingSince time.Time
 	// RestUntil is until when it wants no request; zero once it answered one that was
 	// sent later.
 	RestUntil time.Time
@@ -43,7 +43,7 @@
 		return Resting
 	case !b.IsLeaving():
 		return Free
-	case now.Before(b.LeavesFrom.Add(servesFor)):
+	case now.Before(b.DrainingSince.Add(servesFor)):
 		return LastResort
 	}
 	return Leaving
@@ -65,8 +65,8 @@
 // the replica may have asked for both.
 func (b Belief) With(n Notice) Belief {
 	b.Service, b.HeardAt = n.Service, n.HeardAt
-	if n.Leaves && b.LeavesFrom.IsZero() {
-		b.LeavesFrom = n.HeardAt
+	if n.Leaves && b.DrainingSince.IsZero() {
+		b.DrainingSince = n.HeardAt
 	}
 	switch {
 	case n.RestUntil.After(b.RestUntil):
@@ -78,10 +78,10 @@
 }
 
 // IsLeaving reports whether the replica said that it leaves.
-func (b Belief) IsLeaving() bool { return !b.LeavesFrom.IsZero() }
+func (b Belief) IsLeaving() bool { return !b.DrainingSince.IsZero() }
 
 // IsResting reports whether it wants no request now.
 func (b Belief) IsResting(now time.Time) bool { return now.Before(b.RestUntil) }
 
 // isEmpty reports whether nothing is believed.
-func (b Belief) isEmpty() bool { return b.LeavesFrom.IsZero() && b.RestUntil.IsZero() }
+func (b Belief) isEmpty() bool { return b.DrainingSince.IsZero() && b.RestUntil.IsZero() }
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -90,7 +90,7 @@
 		}
 		var l []string
 		if b.IsLeaving() {
-			l = append(l, fmt.Sprint("leaves since ", b.LeavesFrom.Sub(noon).Milliseconds()))
+			l = append(l, fmt.Sprint("leaves since ", b.DrainingSince.Sub(noon).Milliseconds()))
 		}
 		switch {
 		case b.IsResting(at(heard)):
