--- a/entry/notices.go
+++ b/entry/notices.go
@@ -46,5 +46,5 @@
 // no fault.
 func (r *Router) leftInOrder(id string) bool {
 	x := r.notices.Beliefs()[id]
-	return x.IsLeaving() && r.clock().Sub(x.DrainingSince) >= servesOn
+	return x.IsDraining() && r.clock().Sub(x.DrainingSince) >= servesOn
 }
--- a/notice/belief.go
+++ b/notice/belief.go
@@ -41,7 +41,7 @@
 	switch {
 	case b.IsResting(now) || now.Before(b.TrialUntil):
 		return Resting
-	case !b.IsLeaving():
+	case !b.IsDraining():
 		return Free
 	case now.Before(b.DrainingSince.Add(servesFor)):
 		return LastResort
@@ -77,8 +77,8 @@
 	return b
 }
 
-// IsLeaving reports whether the replica said that it leaves.
-func (b Belief) IsLeaving() bool { return !b.DrainingSince.IsZero() }
+// IsDraining reports whether the replica said that it leaves.
+func (b Belief) IsDraining() bool { return !b.DrainingSince.IsZero() }
 
 // IsResting reports whether it wants no request now.
 func (b Belief) IsResting(now time.Time) bool { return now.Before(b.RestUntil) }
--- a/notice/book.go
+++ b/notice/book.go
@@ -98,7 +98,7 @@
 	for r := range replicas {
 		x := m[r]
 		switch {
-		case x.IsLeaving():
+		case x.IsDraining():
 		case !x.IsResting(now):
 			return time.Time{}
 		case first.IsZero() || x.RestUntil.Before(first):
@@ -117,7 +117,7 @@
 	leaving, resting := 0, 0
 	for r := range replicas {
 		switch x := m[r]; {
-		case x.IsLeaving():
+		case x.IsDraining():
 			leaving++
 		case x.Verdict(now, b.servesFor) == Resting:
 			resting++
@@ -132,7 +132,7 @@
 // Hear counts a notice. Of a replica that says nothing of itself nothing is kept.
 func (b *Book) Hear(n Notice) {
 	was, is := b.change(n)
-	if is.IsLeaving() && !was.IsLeaving() {
+	if is.IsDraining() && !was.IsDraining() {
 		b.log("replica_says_leaving", "replica", n.Replica, "service", n.Service, "request", n.Request)
 	}
 	if is.IsResting(n.HeardAt) && !was.IsResting(n.HeardAt) {
@@ -159,7 +159,7 @@
 func (b *Book) Counts() (leaving, resting int) {
 	now := b.clock()
 	for _, x := range b.Beliefs() {
-		if x.IsLeaving() {
+		if x.IsDraining() {
 			leaving++
 		}
 		if x.IsResting(now) {
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -89,7 +89,7 @@
 			b = b.With(n)
 		}
 		var l []string
-		if b.IsLeaving() {
+		if b.IsDraining() {
 			l = append(l, fmt.Sprint("leaves since ", b.DrainingSince.Sub(noon).Milliseconds()))
 		}
 		switch {
@@ -126,12 +126,12 @@
 		now = now.Add(time.Hour)
 		b.Sweep(slices.Values([]string{"q", "r"}))
 	}
-	if !b.Beliefs()["r"].IsLeaving() {
+	if !b.Beliefs()["r"].IsDraining() {
 		t.Error("forgotten while it is listed")
 	}
 	now = now.Add(time.Hour)
 	b.Sweep(slices.Values([]string{"q"}))
-	if b.Beliefs()["r"].IsLeaving() {
+	if b.Beliefs()["r"].IsDraining() {
 		t.Error("kept though it is gone for long")
 	}
 }
