--- a/entry/notices.go
+++ b/entry/notices.go
@@ -45,6 +45,6 @@
 // leftInOrder reports whether the replica had said for long enough that it leaves: its end is
 // no fault.
 func (r *Router) leftInOrder(id string) bool {
-	x := r.notices.Beliefs()[id]
+	x := r.notices.States()[id]
 	return x.IsDraining() && r.clock().Sub(x.DrainingSince) >= servesOn
 }
--- a/notice/book.go
+++ b/notice/book.go
@@ -41,8 +41,8 @@
 	return b
 }
 
-// Beliefs returns what is believed now. It must not be changed.
-func (b *Book) Beliefs() Beliefs {
+// States returns what is believed now. It must not be changed.
+func (b *Book) States() Beliefs {
 	if b == nil {
 		return nil
 	}
@@ -51,7 +51,7 @@
 
 // Verdict returns whether the replica may get a request now.
 func (b *Book) Verdict(replica string, now time.Time) Verdict {
-	x, ok := b.Beliefs()[replica]
+	x, ok := b.States()[replica]
 	if !ok {
 		return Free
 	}
@@ -64,12 +64,12 @@
 // Begin reports whether the replica may get a request in this moment, and counts that as sent.
 // Each send asks it last: what the replica says meanwhile counts.
 func (b *Book) Begin(replica string, now time.Time) bool {
-	if len(b.Beliefs()) == 0 {
+	if len(b.States()) == 0 {
 		return true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	was := b.Beliefs()[replica]
+	was := b.States()[replica]
 	may := was.Verdict(now, b.servesFor).May()
 	if is := was.WithTrial(now); may && is != was {
 		b.put(replica, is)
@@ -79,7 +79,7 @@
 
 // put replaces the belief of the replica. The caller holds the lock.
 func (b *Book) put(replica string, x Belief) {
-	m := maps.Clone(b.Beliefs())
+	m := maps.Clone(b.States())
 	m[replica] = x
 	if x.isEmpty() {
 		delete(m, replica)
@@ -91,7 +91,7 @@
 // none that rests is among them.
 func (b *Book) RestedAt(replicas iter.Seq[string], now time.Time) time.Time {
 	var first time.Time
-	m := b.Beliefs()
+	m := b.States()
 	if len(m) == 0 {
 		return first
 	}
@@ -110,7 +110,7 @@
 
 // LeftOut counts the replicas that leave and that rest, for logs; empty if none does.
 func (b *Book) LeftOut(replicas iter.Seq[string], now time.Time) string {
-	m := b.Beliefs()
+	m := b.States()
 	if len(m) == 0 {
 		return ""
 	}
@@ -144,12 +144,12 @@
 }
 
 func (b *Book) change(n Notice) (was, is Belief) {
-	if b.Beliefs()[n.Replica].isEmpty() && (Belief{}).With(n).isEmpty() {
+	if b.States()[n.Replica].isEmpty() && (Belief{}).With(n).isEmpty() {
 		return was, is
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	was = b.Beliefs()[n.Replica]
+	was = b.States()[n.Replica]
 	is = was.With(n)
 	b.put(n.Replica, is)
 	return was, is
@@ -158,7 +158,7 @@
 // Counts returns how many replicas said that they leave, and how many want no request now.
 func (b *Book) Counts() (leaving, resting int) {
 	now := b.clock()
-	for _, x := range b.Beliefs() {
+	for _, x := range b.States() {
 		if x.IsDraining() {
 			leaving++
 		}
@@ -182,14 +182,14 @@
 	now := b.clock()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now.Before(b.sweepAt) || len(b.Beliefs()) == 0 {
+	if now.Before(b.sweepAt) || len(b.States()) == 0 {
 		return
 	}
 	b.sweepAt = now.Add(sweepEvery)
-	m := maps.Clone(b.Beliefs())
+	m := maps.Clone(b.States())
 	maps.DeleteFunc(m, func(_ string, x Belief) bool { return now.Sub(x.HeardAt) >= keptFor })
 	for r := range listed {
-		if x, ok := b.Beliefs()[r]; ok {
+		if x, ok := b.States()[r]; ok {
 			m[r] = x
 		}
 	}
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -126,12 +126,12 @@
 		now = now.Add(time.Hour)
 		b.Sweep(slices.Values([]string{"q", "r"}))
 	}
-	if !b.Beliefs()["r"].IsDraining() {
+	if !b.States()["r"].IsDraining() {
 		t.Error("forgotten while it is listed")
 	}
 	now = now.Add(time.Hour)
 	b.Sweep(slices.Values([]string{"q"}))
-	if b.Beliefs()["r"].IsDraining() {
+	if b.States()["r"].IsDraining() {
 		t.Error("kept though it is gone for long")
 	}
 }
