--- a/entry/homes.go
+++ b/entry/homes.go
@@ -98,7 +98,7 @@
 		if s == nil {
 			s = &unused
 		}
-		if allowed(s, b.notices.Verdict(x.ID, now)) && !slices.Contains(tried, x.ID) {
+		if allowed(s, b.notices.Availability(x.ID, now)) && !slices.Contains(tried, x.ID) {
 			b.scratch = append(b.scratch, pool.Candidate{Replica: x, Local: s.running, Pending: s.pending})
 		}
 	}
--- a/notice/book.go
+++ b/notice/book.go
@@ -49,8 +49,8 @@
 	return *b.m.Load()
 }
 
-// Verdict returns whether the replica may get a request now.
-func (b *Book) Verdict(replica string, now time.Time) Verdict {
+// Availability returns whether the replica may get a request now.
+func (b *Book) Availability(replica string, now time.Time) Verdict {
 	x, ok := b.States()[replica]
 	if !ok {
 		return Free
@@ -59,7 +59,7 @@
 }
 
 // Rests reports whether the replica wants no request now.
-func (b *Book) Rests(replica string, now time.Time) bool { return b.Verdict(replica, now) == Resting }
+func (b *Book) Rests(replica string, now time.Time) bool { return b.Availability(replica, now) == Resting }
 
 // Begin reports whether the replica may get a request in this moment, and counts that as sent.
 // Each send asks it last: what the replica says meanwhile counts.
--- a/notice/fleet_test.go
+++ b/notice/fleet_test.go
@@ -96,7 +96,7 @@
 	var l []int
 	for _, v := range []notice.Verdict{notice.Free, notice.LastResort} {
 		for r := range simReplicas {
-			if !tried[r] && s.books[instance].Verdict(id(r), s.now) == v {
+			if !tried[r] && s.books[instance].Availability(id(r), s.now) == v {
 				l = append(l, r)
 			}
 		}
