--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -86,7 +86,7 @@
 	if a.ran {
 		a.w.f.Runs++
 	}
-	if o, ok := asOutcome(err); ok && !a.w.r.notices.Rests(a.replica.ID, a.w.r.clock()) {
+	if o, ok := asOutcome(err); ok && !a.w.r.notices.IsBackingOff(a.replica.ID, a.w.r.clock()) {
 		a.w.retryBy(o.RetryAt)
 	}
 }
--- a/notice/book.go
+++ b/notice/book.go
@@ -58,8 +58,8 @@
 	return x.Verdict(now, b.servesFor)
 }
 
-// Rests reports whether the replica wants no request now.
-func (b *Book) Rests(replica string, now time.Time) bool { return b.Availability(replica, now) == Resting }
+// IsBackingOff reports whether the replica wants no request now.
+func (b *Book) IsBackingOff(replica string, now time.Time) bool { return b.Availability(replica, now) == Resting }
 
 // Begin reports whether the replica may get a request in this moment, and counts that as sent.
 // Each send asks it last: what the replica says meanwhile counts.
