--- a/entry/notices.go
+++ b/entry/notices.go
@@ -35,7 +35,7 @@
 // restedAt is when a client should come back for whom all of the replicas rest; zero if that is
 // not so.
 func (r *Router) restedAt(l []*pool.Replica) time.Time {
-	t := r.notices.RestedAt(pool.IDs(l), r.clock())
+	t := r.notices.BackoffEndsAt(pool.IDs(l), r.clock())
 	if t.IsZero() {
 		return t
 	}
--- a/notice/book.go
+++ b/notice/book.go
@@ -87,9 +87,9 @@
 	b.m.Store(&m)
 }
 
-// RestedAt returns when the first of the replicas takes requests again; zero if one does now, or
+// BackoffEndsAt returns when the first of the replicas takes requests again; zero if one does now, or
 // none that rests is among them.
-func (b *Book) RestedAt(replicas iter.Seq[string], now time.Time) time.Time {
+func (b *Book) BackoffEndsAt(replicas iter.Seq[string], now time.Time) time.Time {
 	var first time.Time
 	m := b.States()
 	if len(m) == 0 {
