--- a/entry/forward.go
+++ b/entry/forward.go
@@ -207,7 +207,7 @@
 func (w *forwarding) take(ctx context.Context) *placed {
 	v := w.r.view.Get()
 	l := w.inRegions(v.byService[w.f.Service])
-	w.f.Excluded = w.r.notices.LeftOut(pool.IDs(l), w.r.clock())
+	w.f.Excluded = w.r.notices.ExclusionSummary(pool.IDs(l), w.r.clock())
 	rel, ok := v.Releases[w.f.Service]
 	if !ok {
 		return w.place(ctx, l)
--- a/notice/book.go
+++ b/notice/book.go
@@ -108,8 +108,8 @@
 	return first
 }
 
-// LeftOut counts the replicas that leave and that rest, for logs; empty if none does.
-func (b *Book) LeftOut(replicas iter.Seq[string], now time.Time) string {
+// ExclusionSummary counts the replicas that leave and that rest, for logs; empty if none does.
+func (b *Book) ExclusionSummary(replicas iter.Seq[string], now time.Time) string {
 	m := b.States()
 	if len(m) == 0 {
 		return ""
