--- a/entry/bounded.go
+++ b/entry/bounded.go
@@ -193,7 +193,7 @@
 		if !r.quota.IsQuiet() && r.quota.Bound(b.ID, 0, false).IsBounded() {
 			v = r.quota.Take(ctx, r.askFor(service, []*pool.Replica{b}, 0, rank, false))
 		}
-		if v.Index == 0 && r.notices.Begin(b.ID, r.clock()) {
+		if v.Index == 0 && r.notices.AdmitRequest(b.ID, r.clock()) {
 			return b, retryAt
 		}
 		r.quota.Return(v.Ticket)
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -23,7 +23,7 @@
 			w.retryBy(w.r.restedAt(w.r.view.Get().byService[w.f.Service]))
 			return nil
 		}
-		if w.r.notices.Begin(p.replica.ID, w.r.clock()) {
+		if w.r.notices.AdmitRequest(p.replica.ID, w.r.clock()) {
 			return p
 		}
 		w.giveBack(p)
--- a/notice/book.go
+++ b/notice/book.go
@@ -61,9 +61,9 @@
 // IsBackingOff reports whether the replica wants no request now.
 func (b *Book) IsBackingOff(replica string, now time.Time) bool { return b.Availability(replica, now) == Resting }
 
-// Begin reports whether the replica may get a request in this moment, and counts that as sent.
+// AdmitRequest reports whether the replica may get a request in this moment, and counts that as sent.
 // Each send asks it last: what the replica says meanwhile counts.
-func (b *Book) Begin(replica string, now time.Time) bool {
+func (b *Book) AdmitRequest(replica string, now time.Time) bool {
 	if len(b.States()) == 0 {
 		return true
 	}
--- a/notice/fleet_test.go
+++ b/notice/fleet_test.go
@@ -109,7 +109,7 @@
 		return
 	}
 	r := l[s.rand.IntN(len(l))]
-	if !s.books[instance].Begin(id(r), s.now) {
+	if !s.books[instance].AdmitRequest(id(r), s.now) {
 		s.request(instance, tried)
 		return
 	}
