--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -127,7 +127,7 @@
 	n.gaugeQuarantine()
 	n.quota = quota.NewNode(startID(), n.quotaPorts())
 	n.gaugeQuota()
-	n.notices = notice.NewBook(n.clock, n.s.DrainFor, n.event)
+	n.notices = notice.NewTracker(n.clock, n.s.DrainFor, n.event)
 	n.gaugeNotices()
 	n.state = state.New(n.view, n.lease, n.clock, n.event, n.setMembers)
 	n.gaugeKnowledge()
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -48,7 +48,7 @@
 
 func newTalkers(t *rapid.T, kind pool.Kind) *talkers {
 	w := &talkers{t: t, now: time.Unix(1_700_000_000, 0), left: map[string]time.Time{}, rests: map[string]time.Time{}}
-	w.book = notice.NewBook(w.clock, talkersDrain, func(string, ...any) {})
+	w.book = notice.NewTracker(w.clock, talkersDrain, func(string, ...any) {})
 	for i := range rapid.IntRange(1, 6).Draw(t, "replicas") {
 		w.all = append(w.all, pool.Replica{ID: fmt.Sprint("r", i), Kind: kind, Service: "s", Release: fmt.Sprint("v", i%2), Slots: 4, Versions: []version.ID{version.New("m", "1")}})
 	}
@@ -288,7 +288,7 @@
 func TestCallersWhileReplicasLeaveAndRest(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	clock := func() time.Time { return now }
-	b := notice.NewBook(clock, talkersDrain, func(string, ...any) {})
+	b := notice.NewTracker(clock, talkersDrain, func(string, ...any) {})
 	u := sure{map[string]int{}}
 	v := NewCurrentView()
 	v.Put(NewView(nil, []pool.Replica{{ID: "a", Kind: pool.Service, Service: "s"}, {ID: "b", Kind: pool.Service, Service: "s"}, {ID: "c", Kind: pool.Service, Service: "s"}}, nil, nil))
@@ -356,7 +356,7 @@
 	} {
 		now := time.Unix(1_700_000_000, 0)
 		clock := func() time.Time { return now }
-		u := needsRest{book: notice.NewBook(clock, talkersDrain, func(string, ...any) {}), now: now, rest: map[string]time.Duration{}}
+		u := needsRest{book: notice.NewTracker(clock, talkersDrain, func(string, ...any) {}), now: now, rest: map[string]time.Duration{}}
 		var l []pool.Replica
 		for i := range c.replicas {
 			id := fmt.Sprint("r", i)
--- a/notice/book.go
+++ b/notice/book.go
@@ -33,9 +33,9 @@
 // the last resort; the rest is for what these take.
 const servesPart = 0.5
 
-// NewBook returns a book in which nothing is believed. drainFor is how long after its word a
+// NewTracker returns a book in which nothing is believed. drainFor is how long after its word a
 // replica that leaves serves on.
-func NewBook(clock func() time.Time, drainFor time.Duration, l Log) *Book {
+func NewTracker(clock func() time.Time, drainFor time.Duration, l Log) *Book {
 	b := &Book{clock: clock, servesFor: time.Duration(servesPart * float64(drainFor)), log: l}
 	b.m.Store(&Beliefs{})
 	return b
--- a/notice/fleet_test.go
+++ b/notice/fleet_test.go
@@ -73,7 +73,7 @@
 func newSimulated(seed uint64, instances int) *simulated {
 	s := &simulated{rand: rand.New(rand.NewPCG(seed, 0)), now: noon, needs: map[int]need{}, leaves: map[int]time.Time{}, told: map[[2]int]time.Time{}, asked: map[[2]int][]asked{}, arrived: map[[2]int][]time.Time{}, perReplica: map[int]map[int]int{}, frozen: map[int]time.Time{}}
 	for range instances {
-		s.books = append(s.books, notice.NewBook(func() time.Time { return s.now }, drainFor, func(string, ...any) {}))
+		s.books = append(s.books, notice.NewTracker(func() time.Time { return s.now }, drainFor, func(string, ...any) {}))
 	}
 	return s
 }
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -120,7 +120,7 @@
 // A leaving replica is remembered for as long as it is listed, and for some time after.
 func TestLeavingReplicaIsForgottenOnlyOnceItIsGone(t *testing.T) {
 	now := noon
-	b := notice.NewBook(func() time.Time { return now }, 2*time.Second, func(string, ...any) {})
+	b := notice.NewTracker(func() time.Time { return now }, 2*time.Second, func(string, ...any) {})
 	b.Hear(notice.Notice{Replica: "r", Leaves: true, HeardAt: now})
 	for range 100 {
 		now = now.Add(time.Hour)
--- a/process/entry.go
+++ b/process/entry.go
@@ -66,7 +66,7 @@
 		Self: s.ID, Clock: time.Now, FleetSize: func() int { return max(1, len(e.view.Get().Members)) }, IsMembershipCurrent: func() bool { return true }, Rand: rand.Float64,
 		Log: func(event string, f ...any) { l.WithFields(logging.Fields(f...)).Info(event) },
 	})
-	e.notices = notice.NewBook(time.Now, backendsDrain, func(event string, f ...any) {
+	e.notices = notice.NewTracker(time.Now, backendsDrain, func(event string, f ...any) {
 		l.WithFields(logging.Fields(f...)).Info(event)
 	})
 	e.router = entry.NewRouter(entry.Ports{
