--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -92,7 +92,7 @@
 	// quota is what replicas ask of the whole fleet.
 	quota *quota.Node
 	// notices is what replicas said of themselves to this instance.
-	notices *notice.Book
+	notices *notice.Tracker
 	traffic traffic
 	// stale counts answers by old knowledge.
 	stale    *prometheus.CounterVec
--- a/entry/backends.go
+++ b/entry/backends.go
@@ -26,7 +26,7 @@
 	homes   *pool.Chooser[pool.Homes]
 	scratch []pool.Candidate
 	// notices is what replicas said of themselves: no choice goes against it.
-	notices *notice.Book
+	notices *notice.Tracker
 }
 
 type backend struct {
@@ -54,7 +54,7 @@
 	return l[len(l)/2]
 }
 
-func newBackends(s rand.Source, n *notice.Book) *backends {
+func newBackends(s rand.Source, n *notice.Tracker) *backends {
 	return &backends{
 		state:   map[string]*backend{},
 		notices: n,
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -38,7 +38,7 @@
 type talkers struct {
 	t     *rapid.T
 	now   time.Time
-	book  *notice.Book
+	book  *notice.Tracker
 	all   []pool.Replica
 	left  map[string]time.Time
 	rests map[string]time.Time
@@ -333,7 +333,7 @@
 
 // needsRest turns all away and asks for the rest that is drawn for each.
 type needsRest struct {
-	book *notice.Book
+	book *notice.Tracker
 	now  time.Time
 	rest map[string]time.Duration
 }
--- a/entry/router.go
+++ b/entry/router.go
@@ -72,7 +72,7 @@
 	fleetSize func() int
 	repeats   admission.Repeats
 	quota     Quota
-	notices   *notice.Book
+	notices   *notice.Tracker
 	// coldBound is how many requests a cold replica may get.
 	coldBound quota.ColdBound
 	// acceptConfidence is a smaller model's opinion of its own answer, out of
@@ -105,7 +105,7 @@
 	// Quota may be nil; then no replica is bounded.
 	Quota Quota
 	// Notices may be nil; then replicas say nothing of themselves.
-	Notices *notice.Book
+	Notices *notice.Tracker
 	// ColdBound is how many requests a cold replica may get from all instances.
 	ColdBound quota.ColdBound
 	// AcceptConfidence is a smaller model's opinion of its own answer, out of
--- a/notice/book.go
+++ b/notice/book.go
@@ -15,9 +15,9 @@
 // Beliefs are those of replicas by their ids, each of which is one life's.
 type Beliefs map[string]Belief
 
-// Book keeps the beliefs of all replicas. It is safe for concurrent use. A nil Book believes
+// Tracker keeps the beliefs of all replicas. It is safe for concurrent use. A nil Tracker believes
 // nothing.
-type Book struct {
+type Tracker struct {
 	mu sync.Mutex
 	// m is replaced as a whole: each choice among thousands of replicas reads it.
 	m         atomic.Pointer[Beliefs]
@@ -35,14 +35,14 @@
 
 // NewTracker returns a book in which nothing is believed. drainFor is how long after its word a
 // replica that leaves serves on.
-func NewTracker(clock func() time.Time, drainFor time.Duration, l Log) *Book {
-	b := &Book{clock: clock, servesFor: time.Duration(servesPart * float64(drainFor)), log: l}
+func NewTracker(clock func() time.Time, drainFor time.Duration, l Log) *Tracker {
+	b := &Tracker{clock: clock, servesFor: time.Duration(servesPart * float64(drainFor)), log: l}
 	b.m.Store(&Beliefs{})
 	return b
 }
 
 // States returns what is believed now. It must not be changed.
-func (b *Book) States() Beliefs {
+func (b *Tracker) States() Beliefs {
 	if b == nil {
 		return nil
 	}
@@ -50,7 +50,7 @@
 }
 
 // Availability returns whether the replica may get a request now.
-func (b *Book) Availability(replica string, now time.Time) Verdict {
+func (b *Tracker) Availability(replica string, now time.Time) Verdict {
 	x, ok := b.States()[replica]
 	if !ok {
 		return Free
@@ -59,11 +59,11 @@
 }
 
 // IsBackingOff reports whether the replica wants no request now.
-func (b *Book) IsBackingOff(replica string, now time.Time) bool { return b.Availability(replica, now) == Resting }
+func (b *Tracker) IsBackingOff(replica string, now time.Time) bool { return b.Availability(replica, now) == Resting }
 
 // AdmitRequest reports whether the replica may get a request in this moment, and counts that as sent.
 // Each send asks it last: what the replica says meanwhile counts.
-func (b *Book) AdmitRequest(replica string, now time.Time) bool {
+func (b *Tracker) AdmitRequest(replica string, now time.Time) bool {
 	if len(b.States()) == 0 {
 		return true
 	}
@@ -78,7 +78,7 @@
 }
 
 // put replaces the belief of the replica. The caller holds the lock.
-func (b *Book) put(replica string, x Belief) {
+func (b *Tracker) put(replica string, x Belief) {
 	m := maps.Clone(b.States())
 	m[replica] = x
 	if x.isEmpty() {
@@ -89,7 +89,7 @@
 
 // BackoffEndsAt returns when the first of the replicas takes requests again; zero if one does now, or
 // none that rests is among them.
-func (b *Book) BackoffEndsAt(replicas iter.Seq[string], now time.Time) time.Time {
+func (b *Tracker) BackoffEndsAt(replicas iter.Seq[string], now time.Time) time.Time {
 	var first time.Time
 	m := b.States()
 	if len(m) == 0 {
@@ -109,7 +109,7 @@
 }
 
 // ExclusionSummary counts the replicas that leave and that rest, for logs; empty if none does.
-func (b *Book) ExclusionSummary(replicas iter.Seq[string], now time.Time) string {
+func (b *Tracker) ExclusionSummary(replicas iter.Seq[string], now time.Time) string {
 	m := b.States()
 	if len(m) == 0 {
 		return ""
@@ -130,7 +130,7 @@
 }
 
 // Hear counts a notice. Of a replica that says nothing of itself nothing is kept.
-func (b *Book) Hear(n Notice) {
+func (b *Tracker) Hear(n Notice) {
 	was, is := b.change(n)
 	if is.IsDraining() && !was.IsDraining() {
 		b.log("replica_says_leaving", "replica", n.Replica, "service", n.Service, "request", n.Request)
@@ -143,7 +143,7 @@
 	}
 }
 
-func (b *Book) change(n Notice) (was, is Belief) {
+func (b *Tracker) change(n Notice) (was, is Belief) {
 	if b.States()[n.Replica].isEmpty() && (Belief{}).With(n).isEmpty() {
 		return was, is
 	}
@@ -156,7 +156,7 @@
 }
 
 // Counts returns how many replicas said that they leave, and how many want no request now.
-func (b *Book) Counts() (leaving, resting int) {
+func (b *Tracker) Counts() (leaving, resting int) {
 	now := b.clock()
 	for _, x := range b.States() {
 		if x.IsDraining() {
@@ -178,7 +178,7 @@
 )
 
 // Sweep forgets, from time to time, the replicas that are neither listed nor were heard of for long.
-func (b *Book) Sweep(listed iter.Seq[string]) {
+func (b *Tracker) Sweep(listed iter.Seq[string]) {
 	now := b.clock()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -200,7 +200,7 @@
 const complainEvery = time.Second
 
 // Unreadable says that a header of an answer of the replica has no meaning.
-func (b *Book) Unreadable(replica, header string, err error) {
+func (b *Tracker) Unreadable(replica, header string, err error) {
 	now := b.clock()
 	b.mu.Lock()
 	isDue := !now.Before(b.complainAt)
--- a/notice/fleet_test.go
+++ b/notice/fleet_test.go
@@ -56,7 +56,7 @@
 	rand    *rand.Rand
 	now     time.Time
 	queue   events
-	books   []*notice.Book
+	books   []*notice.Tracker
 	needs   map[int]need
 	leaves  map[int]time.Time
 	told    map[[2]int]time.Time
--- a/process/entry.go
+++ b/process/entry.go
@@ -46,7 +46,7 @@
 	// quota knows what backend servers ask of all entries; each takes its share.
 	quota *quota.Node
 	// notices is what backend servers said of themselves to this entry.
-	notices *notice.Book
+	notices *notice.Tracker
 }
 
 // backendsDrain is how long backend servers that leave serve on after they said so.
