--- a/entry/homes.go
+++ b/entry/homes.go
@@ -77,8 +77,8 @@
 // gatherSound makes the candidates anew of those whose breakers allow it, or
 // of all if they leave none; of those that leave if there is no other.
 func (b *backends) gatherSound(r []*pool.Replica, tried []string, now time.Time) {
-	b.gather(r, tried, now, func(x *backend, v notice.Verdict) bool { return v == notice.Free && x.breaker.Allows(now) })
-	for _, v := range []notice.Verdict{notice.Free, notice.LastResort} {
+	b.gather(r, tried, now, func(x *backend, v notice.Verdict) bool { return v == notice.Available && x.breaker.Allows(now) })
+	for _, v := range []notice.Verdict{notice.Available, notice.LastResort} {
 		if len(b.scratch) == 0 {
 			b.gather(r, tried, now, func(_ *backend, y notice.Verdict) bool { return y == v })
 		}
--- a/notice/belief.go
+++ b/notice/belief.go
@@ -22,8 +22,8 @@
 type Verdict int
 
 const (
-	// Free: it said nothing that speaks against it.
-	Free Verdict = iota
+	// Available: it said nothing that speaks against it.
+	Available Verdict = iota
 	// LastResort: it leaves, and serves on for a while where there is no other.
 	LastResort
 	// Leaving: it ends soon.
@@ -33,7 +33,7 @@
 )
 
 // May reports whether the verdict allows a request.
-func (v Verdict) May() bool { return v == Free || v == LastResort }
+func (v Verdict) May() bool { return v == Available || v == LastResort }
 
 // Verdict returns whether the replica may get a request now. servesFor is how long after its
 // word a leaving one still serves what it gets.
@@ -42,7 +42,7 @@
 	case b.IsResting(now) || now.Before(b.TrialUntil):
 		return Resting
 	case !b.IsDraining():
-		return Free
+		return Available
 	case now.Before(b.DrainingSince.Add(servesFor)):
 		return LastResort
 	}
--- a/notice/book.go
+++ b/notice/book.go
@@ -53,7 +53,7 @@
 func (b *Tracker) Availability(replica string, now time.Time) Verdict {
 	x, ok := b.States()[replica]
 	if !ok {
-		return Free
+		return Available
 	}
 	return x.Verdict(now, b.servesFor)
 }
