--- a/entry/backends.go
+++ b/entry/backends.go
@@ -76,8 +76,8 @@
 func (b *backends) take(r []*pool.Replica, a pool.Ask, tried []string, now time.Time) *pool.Replica {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, v := range []notice.Verdict{notice.Available, notice.LastResort} {
-		b.gather(r, tried, now, func(x *backend, y notice.Verdict) bool { return y == v && x.breaker.Allows(now) })
+	for _, v := range []notice.Availability{notice.Available, notice.LastResort} {
+		b.gather(r, tried, now, func(x *backend, y notice.Availability) bool { return y == v && x.breaker.Allows(now) })
 		if len(b.scratch) > 0 {
 			break
 		}
--- a/entry/homes.go
+++ b/entry/homes.go
@@ -77,10 +77,10 @@
 // gatherSound makes the candidates anew of those whose breakers allow it, or
 // of all if they leave none; of those that leave if there is no other.
 func (b *backends) gatherSound(r []*pool.Replica, tried []string, now time.Time) {
-	b.gather(r, tried, now, func(x *backend, v notice.Verdict) bool { return v == notice.Available && x.breaker.Allows(now) })
-	for _, v := range []notice.Verdict{notice.Available, notice.LastResort} {
+	b.gather(r, tried, now, func(x *backend, v notice.Availability) bool { return v == notice.Available && x.breaker.Allows(now) })
+	for _, v := range []notice.Availability{notice.Available, notice.LastResort} {
 		if len(b.scratch) == 0 {
-			b.gather(r, tried, now, func(_ *backend, y notice.Verdict) bool { return y == v })
+			b.gather(r, tried, now, func(_ *backend, y notice.Availability) bool { return y == v })
 		}
 	}
 }
@@ -89,7 +89,7 @@
 var unused backend
 
 // gather makes the candidates anew. Every road to a replica comes by here.
-func (b *backends) gather(r []*pool.Replica, tried []string, now time.Time, allowed func(*backend, notice.Verdict) bool) {
+func (b *backends) gather(r []*pool.Replica, tried []string, now time.Time, allowed func(*backend, notice.Availability) bool) {
 	b.scratch = b.scratch[:0]
 	for _, x := range r {
 		// Nothing is kept of replicas that were never used: there may be
--- a/notice/belief.go
+++ b/notice/belief.go
@@ -18,12 +18,12 @@
 	HeardAt time.Time
 }
 
-// Verdict is whether a replica may get a request.
-type Verdict int
+// Availability is whether a replica may get a request.
+type Availability int
 
 const (
 	// Available: it said nothing that speaks against it.
-	Available Verdict = iota
+	Available Availability = iota
 	// LastResort: it leaves, and serves on for a while where there is no other.
 	LastResort
 	// Leaving: it ends soon.
@@ -33,11 +33,11 @@
 )
 
 // May reports whether the verdict allows a request.
-func (v Verdict) May() bool { return v == Available || v == LastResort }
+func (v Availability) May() bool { return v == Available || v == LastResort }
 
 // Verdict returns whether the replica may get a request now. servesFor is how long after its
 // word a leaving one still serves what it gets.
-func (b Belief) Verdict(now time.Time, servesFor time.Duration) Verdict {
+func (b Belief) Verdict(now time.Time, servesFor time.Duration) Availability {
 	switch {
 	case b.IsResting(now) || now.Before(b.TrialUntil):
 		return Resting
--- a/notice/book.go
+++ b/notice/book.go
@@ -50,7 +50,7 @@
 }
 
 // Availability returns whether the replica may get a request now.
-func (b *Tracker) Availability(replica string, now time.Time) Verdict {
+func (b *Tracker) Availability(replica string, now time.Time) Availability {
 	x, ok := b.States()[replica]
 	if !ok {
 		return Available
--- a/notice/fleet_test.go
+++ b/notice/fleet_test.go
@@ -94,7 +94,7 @@
 		return
 	}
 	var l []int
-	for _, v := range []notice.Verdict{notice.Available, notice.LastResort} {
+	for _, v := range []notice.Availability{notice.Available, notice.LastResort} {
 		for r := range simReplicas {
 			if !tried[r] && s.books[instance].Availability(id(r), s.now) == v {
 				l = append(l, r)
