--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -211,7 +211,7 @@
 	if !n.RestUntil.IsZero() {
 		rest = n.RestUntil.Sub(n.HeardAt)
 	}
-	*h = append(*h, fmt.Sprint(n.Replica, " ", n.Leaves, " ", rest, " ", n.Refused))
+	*h = append(*h, fmt.Sprint(n.Replica, " ", n.Draining, " ", rest, " ", n.Refused))
 }
 func (h *heeded) Unreadable(replica, header string, _ error) {
 	*h = append(*h, replica+" "+header+" unreadable")
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -87,7 +87,7 @@
 	n := notice.Notice{Replica: id, Service: "s", SentAt: sentAt, HeardAt: w.now}
 	switch rapid.IntRange(0, 9).Draw(w.t, "word") {
 	case 0:
-		n.Leaves = true
+		n.Draining = true
 	case 1, 2:
 		n.Refused = true
 		n.RestUntil = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(w.t, "rest")) * time.Millisecond)
@@ -95,7 +95,7 @@
 		n.Refused = true
 	}
 	w.book.Hear(n)
-	if _, known := w.left[id]; n.Leaves && !known {
+	if _, known := w.left[id]; n.Draining && !known {
 		w.left[id] = w.now
 	}
 	if n.RestUntil.After(w.rests[id]) {
@@ -308,7 +308,7 @@
 			}
 		}
 	}
-	leave := func(id string) { b.Hear(notice.Notice{Replica: id, Leaves: true, SentAt: now, HeardAt: now}) }
+	leave := func(id string) { b.Hear(notice.Notice{Replica: id, Draining: true, SentAt: now, HeardAt: now}) }
 	want("at first", "abc")
 	leave("a")
 	want("a leaves", "bc")
--- a/notice/belief.go
+++ b/notice/belief.go
@@ -65,7 +65,7 @@
 // the replica may have asked for both.
 func (b Belief) With(n Notice) Belief {
 	b.Service, b.HeardAt = n.Service, n.HeardAt
-	if n.Leaves && b.DrainingSince.IsZero() {
+	if n.Draining && b.DrainingSince.IsZero() {
 		b.DrainingSince = n.HeardAt
 	}
 	switch {
--- a/notice/fleet_test.go
+++ b/notice/fleet_test.go
@@ -127,7 +127,7 @@
 	s.perReplica[r][int(s.now.Sub(noon)/(100*time.Millisecond))]++
 	n := notice.Notice{Replica: id(r), SentAt: sentAt}
 	at, leaves := s.leaves[r]
-	n.Leaves = leaves && !s.now.Before(at)
+	n.Draining = leaves && !s.now.Before(at)
 	took := time.Duration(0)
 	if x, ok := s.needs[r]; ok && !s.now.Before(x.from) && s.now.Before(x.to) {
 		n.Refused = true
@@ -142,7 +142,7 @@
 			n.RestUntil = n.RestUntil.Add(s.trip())
 		}
 		s.books[instance].Hear(n)
-		if _, known := s.told[k]; n.Leaves && !known {
+		if _, known := s.told[k]; n.Draining && !known {
 			s.told[k] = s.now
 		}
 		if n.Refused {
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -20,8 +20,8 @@
 	Replica, Service string
 	// Request is the id of the request that was answered.
 	Request string
-	// Leaves says that the replica ends soon.
-	Leaves bool
+	// Draining says that the replica ends soon.
+	Draining bool
 	// RestUntil is until when it wants no request from this instance; zero if it
 	// does not ask for that.
 	RestUntil time.Time
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -75,7 +75,7 @@
 		heard := 0
 		for _, a := range strings.Split(given, ", ") {
 			var sent, rest int
-			n := notice.Notice{Refused: strings.Contains(a, "refused"), Leaves: strings.Contains(a, "leaves")}
+			n := notice.Notice{Refused: strings.Contains(a, "refused"), Draining: strings.Contains(a, "leaves")}
 			if _, err := fmt.Sscan(a, &sent, &heard); err != nil {
 				t.Fatal(err)
 			}
@@ -121,7 +121,7 @@
 func TestLeavingReplicaIsForgottenOnlyOnceItIsGone(t *testing.T) {
 	now := noon
 	b := notice.NewTracker(func() time.Time { return now }, 2*time.Second, func(string, ...any) {})
-	b.Hear(notice.Notice{Replica: "r", Leaves: true, HeardAt: now})
+	b.Hear(notice.Notice{Replica: "r", Draining: true, HeardAt: now})
 	for range 100 {
 		now = now.Add(time.Hour)
 		b.Sweep(slices.Values([]string{"q", "r"}))
