--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -208,8 +208,8 @@
 
 func (h *heeded) Hear(n notice.Notice) {
 	rest := time.Duration(0)
-	if !n.RestUntil.IsZero() {
-		rest = n.RestUntil.Sub(n.HeardAt)
+	if !n.BackoffUntil.IsZero() {
+		rest = n.BackoffUntil.Sub(n.HeardAt)
 	}
 	*h = append(*h, fmt.Sprint(n.Replica, " ", n.Draining, " ", rest, " ", n.Refused))
 }
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -90,7 +90,7 @@
 		n.Draining = true
 	case 1, 2:
 		n.Refused = true
-		n.RestUntil = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(w.t, "rest")) * time.Millisecond)
+		n.BackoffUntil = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(w.t, "rest")) * time.Millisecond)
 	case 3:
 		n.Refused = true
 	}
@@ -98,8 +98,8 @@
 	if _, known := w.left[id]; n.Draining && !known {
 		w.left[id] = w.now
 	}
-	if n.RestUntil.After(w.rests[id]) {
-		w.rests[id] = n.RestUntil
+	if n.BackoffUntil.After(w.rests[id]) {
+		w.rests[id] = n.BackoffUntil
 	}
 	return n.Refused
 }
@@ -314,7 +314,7 @@
 	want("a leaves", "bc")
 	leave("b")
 	want("a, b leave", "c")
-	b.Hear(notice.Notice{Replica: "c", RestUntil: now.Add(3 * time.Second), Refused: true, SentAt: now, HeardAt: now})
+	b.Hear(notice.Notice{Replica: "c", BackoffUntil: now.Add(3 * time.Second), Refused: true, SentAt: now, HeardAt: now})
 	want("c rests, the others still serve", "ab")
 	now = now.Add(talkersServe)
 	if g, f := send(); f == nil || f.Outcome != outcome.NotRun || f.RetryAt.Before(now.Add(2*time.Second)) || f.RetryAt.After(now.Add(2*time.Second+restedSpread)) {
@@ -340,7 +340,7 @@
 
 func (u needsRest) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
 	until := u.now.Add(u.rest[r.ID])
-	u.book.Hear(notice.Notice{Replica: r.ID, Refused: true, RestUntil: until, SentAt: u.now, HeardAt: u.now})
+	u.book.Hear(notice.Notice{Replica: r.ID, Refused: true, BackoffUntil: until, SentAt: u.now, HeardAt: u.now})
 	return nil, outcome.New(outcome.NotRun, "refused", r.ID, errors.New("status 503")).WithStatus(http.StatusServiceUnavailable).WithRetryAt(until)
 }
 
--- a/notice/belief.go
+++ b/notice/belief.go
@@ -69,8 +69,8 @@
 		b.DrainingSince = n.HeardAt
 	}
 	switch {
-	case n.RestUntil.After(b.RestUntil):
-		b.RestUntil = n.RestUntil
+	case n.BackoffUntil.After(b.RestUntil):
+		b.RestUntil = n.BackoffUntil
 	case !n.Refused && !n.SentAt.Before(b.RestUntil):
 		b.RestUntil, b.TrialUntil = time.Time{}, time.Time{}
 	}
--- a/notice/fleet_test.go
+++ b/notice/fleet_test.go
@@ -131,15 +131,15 @@
 	took := time.Duration(0)
 	if x, ok := s.needs[r]; ok && !s.now.Before(x.from) && s.now.Before(x.to) {
 		n.Refused = true
-		n.RestUntil = s.now.Add(x.rest)
-		s.asked[k] = append(s.asked[k], asked{s.now, n.RestUntil})
+		n.BackoffUntil = s.now.Add(x.rest)
+		s.asked[k] = append(s.asked[k], asked{s.now, n.BackoffUntil})
 	} else {
 		took = time.Duration(5+s.rand.IntN(40)) * time.Millisecond
 	}
 	s.after(took+s.trip(), func() {
 		n.HeardAt = s.now
 		if n.Refused {
-			n.RestUntil = n.RestUntil.Add(s.trip())
+			n.BackoffUntil = n.BackoffUntil.Add(s.trip())
 		}
 		s.books[instance].Hear(n)
 		if _, known := s.told[k]; n.Draining && !known {
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -22,9 +22,9 @@
 	Request string
 	// Draining says that the replica ends soon.
 	Draining bool
-	// RestUntil is until when it wants no request from this instance; zero if it
+	// BackoffUntil is until when it wants no request from this instance; zero if it
 	// does not ask for that.
-	RestUntil time.Time
+	BackoffUntil time.Time
 	// Refused says that it turned the request away.
 	Refused bool
 	// SentAt is when the request was sent, HeardAt when the head of its answer came.
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -83,7 +83,7 @@
 				if _, err := fmt.Sscan(r, &rest); err != nil {
 					t.Fatal(err)
 				}
-				n.RestUntil = at(heard + rest)
+				n.BackoffUntil = at(heard + rest)
 			}
 			n.SentAt, n.HeardAt = at(sent), at(heard)
 			b = b.With(n)
