--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -209,7 +209,7 @@
 func (h *heeded) Hear(n notice.Notice) {
 	rest := time.Duration(0)
 	if !n.BackoffUntil.IsZero() {
-		rest = n.BackoffUntil.Sub(n.HeardAt)
+		rest = n.BackoffUntil.Sub(n.ReceivedAt)
 	}
 	*h = append(*h, fmt.Sprint(n.Replica, " ", n.Draining, " ", rest, " ", n.Refused))
 }
--- a/adapter/backend/limit.go
+++ b/adapter/backend/limit.go
@@ -52,13 +52,13 @@
 }
 
 func heed(l Notices, r *pool.Replica, request string, p *fasthttp.Response, sentAt time.Time) {
-	n := notice.Notice{Replica: r.ID, Service: r.Service, Request: request, Refused: refusal(p), SentAt: sentAt, HeardAt: time.Now()}
+	n := notice.Notice{Replica: r.ID, Service: r.Service, Request: request, Refused: refusal(p), SentAt: sentAt, ReceivedAt: time.Now()}
 	var err error
 	if n.Draining, err = notice.Leaves(values(p, HeaderLeaving)); err != nil {
 		l.Unreadable(r.ID, HeaderLeaving, err)
 	}
 	if p.StatusCode() == fasthttp.StatusServiceUnavailable {
-		if n.BackoffUntil, err = notice.RestUntil(values(p, headerRetryAfter), n.HeardAt); err != nil {
+		if n.BackoffUntil, err = notice.RestUntil(values(p, headerRetryAfter), n.ReceivedAt); err != nil {
 			l.Unreadable(r.ID, headerRetryAfter, err)
 		}
 	}
--- a/notice/belief.go
+++ b/notice/belief.go
@@ -64,9 +64,9 @@
 // With returns the belief with a notice counted. Of two rests the one that ends later counts:
 // the replica may have asked for both.
 func (b Belief) With(n Notice) Belief {
-	b.Service, b.HeardAt = n.Service, n.HeardAt
+	b.Service, b.HeardAt = n.Service, n.ReceivedAt
 	if n.Draining && b.DrainingSince.IsZero() {
-		b.DrainingSince = n.HeardAt
+		b.DrainingSince = n.ReceivedAt
 	}
 	switch {
 	case n.BackoffUntil.After(b.RestUntil):
--- a/notice/book.go
+++ b/notice/book.go
@@ -135,11 +135,11 @@
 	if is.IsDraining() && !was.IsDraining() {
 		b.log("replica_says_leaving", "replica", n.Replica, "service", n.Service, "request", n.Request)
 	}
-	if is.IsResting(n.HeardAt) && !was.IsResting(n.HeardAt) {
-		b.log("replica_asks_rest", "replica", n.Replica, "service", n.Service, "request", n.Request, "for", is.RestUntil.Sub(n.HeardAt), "again", !was.RestUntil.IsZero())
+	if is.IsResting(n.ReceivedAt) && !was.IsResting(n.ReceivedAt) {
+		b.log("replica_asks_rest", "replica", n.Replica, "service", n.Service, "request", n.Request, "for", is.RestUntil.Sub(n.ReceivedAt), "again", !was.RestUntil.IsZero())
 	}
 	if is.RestUntil.IsZero() && !was.RestUntil.IsZero() {
-		b.log("replica_rested", "replica", n.Replica, "service", n.Service, "request", n.Request, "ended_ago", n.HeardAt.Sub(was.RestUntil))
+		b.log("replica_rested", "replica", n.Replica, "service", n.Service, "request", n.Request, "ended_ago", n.ReceivedAt.Sub(was.RestUntil))
 	}
 }
 
--- a/notice/fleet_test.go
+++ b/notice/fleet_test.go
@@ -137,7 +137,7 @@
 		took = time.Duration(5+s.rand.IntN(40)) * time.Millisecond
 	}
 	s.after(took+s.trip(), func() {
-		n.HeardAt = s.now
+		n.ReceivedAt = s.now
 		if n.Refused {
 			n.BackoffUntil = n.BackoffUntil.Add(s.trip())
 		}
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -27,8 +27,8 @@
 	BackoffUntil time.Time
 	// Refused says that it turned the request away.
 	Refused bool
-	// SentAt is when the request was sent, HeardAt when the head of its answer came.
-	SentAt, HeardAt time.Time
+	// SentAt is when the request was sent, ReceivedAt when the head of its answer came.
+	SentAt, ReceivedAt time.Time
 }
 
 // errUnreadable says that a value has no meaning.
