--- a/adapter/backend/limit.go
+++ b/adapter/backend/limit.go
@@ -54,7 +54,7 @@
 func heed(l Notices, r *pool.Replica, request string, p *fasthttp.Response, sentAt time.Time) {
 	n := notice.Notice{Replica: r.ID, Service: r.Service, Request: request, Refused: refusal(p), SentAt: sentAt, ReceivedAt: time.Now()}
 	var err error
-	if n.Draining, err = notice.Leaves(values(p, HeaderLeaving)); err != nil {
+	if n.Draining, err = notice.ParseDraining(values(p, HeaderLeaving)); err != nil {
 		l.Unreadable(r.ID, HeaderLeaving, err)
 	}
 	if p.StatusCode() == fasthttp.StatusServiceUnavailable {
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -34,9 +34,9 @@
 // errUnreadable says that a value has no meaning.
 var errUnreadable = errors.New("has no meaning")
 
-// Leaves reads the values by which an answer says whether its replica leaves; none says that
+// ParseDraining reads the values by which an answer says whether its replica leaves; none says that
 // it does not.
-func Leaves(values []string) (bool, error) {
+func ParseDraining(values []string) (bool, error) {
 	var err error
 	for _, v := range values {
 		leaves, e := strconv.ParseBool(strings.TrimSpace(v))
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -51,7 +51,7 @@
 
 func reading(header string, values []string) string {
 	if header == "leaving" {
-		l, err := notice.Leaves(values)
+		l, err := notice.ParseDraining(values)
 		if err != nil {
 			return "unreadable"
 		}
