--- a/adapter/backend/engine.go
+++ b/adapter/backend/engine.go
@@ -292,7 +292,7 @@
 	if string(p.Header.Peek(HeaderNotRun)) == "true" {
 		e = outcome.New(outcome.NotRun, "refusal", r.ID, errors.Newf("status %d", s))
 	}
-	if t, err := notice.RestUntil(values(p, headerRetryAfter), time.Now()); err == nil {
+	if t, err := notice.ParseRetryAfter(values(p, headerRetryAfter), time.Now()); err == nil {
 		e = e.WithRetryAt(t)
 	}
 	return e.WithStatus(s)
--- a/adapter/backend/limit.go
+++ b/adapter/backend/limit.go
@@ -58,7 +58,7 @@
 		l.Unreadable(r.ID, HeaderLeaving, err)
 	}
 	if p.StatusCode() == fasthttp.StatusServiceUnavailable {
-		if n.BackoffUntil, err = notice.RestUntil(values(p, headerRetryAfter), n.ReceivedAt); err != nil {
+		if n.BackoffUntil, err = notice.ParseRetryAfter(values(p, headerRetryAfter), n.ReceivedAt); err != nil {
 			l.Unreadable(r.ID, headerRetryAfter, err)
 		}
 	}
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -53,9 +53,9 @@
 // longestRest bounds the rest that one answer may ask for.
 const longestRest = 10 * time.Minute
 
-// RestUntil reads the values of Retry-After, in seconds or as a date of HTTP, of an answer that
+// ParseRetryAfter reads the values of Retry-After, in seconds or as a date of HTTP, of an answer that
 // came now. Of several the latest moment counts; zero if there is none.
-func RestUntil(values []string, now time.Time) (time.Time, error) {
+func ParseRetryAfter(values []string, now time.Time) (time.Time, error) {
 	var until time.Time
 	var err error
 	for _, v := range values {
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -57,7 +57,7 @@
 		}
 		return map[bool]string{true: "yes", false: "no"}[l]
 	}
-	u, err := notice.RestUntil(values, noon)
+	u, err := notice.ParseRetryAfter(values, noon)
 	switch {
 	case err != nil:
 		return "unreadable"
@@ -110,7 +110,7 @@
 		f.Add(s, "2")
 	}
 	f.Fuzz(func(t *testing.T, a, b string) {
-		u, err := notice.RestUntil([]string{a, b}, noon)
+		u, err := notice.ParseRetryAfter([]string{a, b}, noon)
 		if !u.IsZero() && (err != nil || !u.After(noon) || u.Sub(noon) > 10*time.Minute) {
 			t.Errorf("%q %q: %s, %v", a, b, u, err)
 		}
