--- a/placement/choice.go
+++ b/placement/choice.go
@@ -25,9 +25,9 @@
 type Part struct {
 	// Key names the part, all before it and its model.
 	Key string
-	// Read is the replica's time for it, in milliseconds, and Again what reading
+	// PrefillMs is the replica's time for it, in milliseconds, and Again what reading
 	// it again counts for on top: it takes the time from others and has a price.
-	Read, Again float64
+	PrefillMs, Again float64
 }
 
 // late is what a first event after that time counts for, in milliseconds: long
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -116,8 +116,8 @@
 	c := Choice{Index: i, Wait: l.pending[r], Cost: a.Read}
 	t := c.Wait + c.Cost + slotCost*a.Hold*float64(l.busy[r]) + l.faults[r].cost(now) + a.far(i)
 	for _, p := range l.unread(a, r, now) {
-		c.Cost += p.Read
-		t += p.Read + p.Again
+		c.Cost += p.PrefillMs
+		t += p.PrefillMs + p.Again
 	}
 	return c, t + a.late(c.Wait+c.Cost)
 }
