--- a/placement/wire.go
+++ b/placement/wire.go
@@ -27,7 +27,7 @@
 
 type wirePart struct {
 	Key   string  `json:"Key"`
-	Read  float64 `json:"Read"`
+	PrefillMs  float64 `json:"Read"`
 	Again float64 `json:"Again,omitempty"`
 }
 
