--- a/entry/estimate.go
+++ b/entry/estimate.go
@@ -21,7 +21,7 @@
 	e := estimate{own: float64(p.In-p.SharedTokens()) * s, speed: s}
 	for _, x := range p.Shared() {
 		e.key = w.modelName() + "/" + x.ID
-		e.shared = append(e.shared, placement.Part{Key: e.key, PrefillMs: float64(x.Tokens) * s, Again: readAgain(x.Tokens, s)})
+		e.shared = append(e.shared, placement.Part{Key: e.key, PrefillMs: float64(x.Tokens) * s, ReprefillPenaltyMs: readAgain(x.Tokens, s)})
 	}
 	return e
 }
--- a/placement/choice.go
+++ b/placement/choice.go
@@ -25,9 +25,9 @@
 type Part struct {
 	// Key names the part, all before it and its model.
 	Key string
-	// PrefillMs is the replica's time for it, in milliseconds, and Again what reading
+	// PrefillMs is the replica's time for it, in milliseconds, and ReprefillPenaltyMs what reading
 	// it again counts for on top: it takes the time from others and has a price.
-	PrefillMs, Again float64
+	PrefillMs, ReprefillPenaltyMs float64
 }
 
 // late is what a first event after that time counts for, in milliseconds: long
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -117,7 +117,7 @@
 	t := c.Wait + c.Cost + slotCost*a.Hold*float64(l.busy[r]) + l.faults[r].cost(now) + a.far(i)
 	for _, p := range l.unread(a, r, now) {
 		c.Cost += p.PrefillMs
-		t += p.PrefillMs + p.Again
+		t += p.PrefillMs + p.ReprefillPenaltyMs
 	}
 	return c, t + a.late(c.Wait+c.Cost)
 }
--- a/placement/ledger_test.go
+++ b/placement/ledger_test.go
@@ -14,7 +14,7 @@
 // shared is one shared part that takes so many milliseconds to read; reading it
 // again counts for eight times that on top.
 func shared(ms float64) []placement.Part {
-	return []placement.Part{{Key: "m/k", PrefillMs: ms, Again: 8 * ms}}
+	return []placement.Part{{Key: "m/k", PrefillMs: ms, ReprefillPenaltyMs: 8 * ms}}
 }
 
 // A part is kept only with all before it: a replica that keeps the first part
