--- a/placement/wire.go
+++ b/placement/wire.go
@@ -28,7 +28,7 @@
 type wirePart struct {
 	Key   string  `json:"Key"`
 	PrefillMs  float64 `json:"Read"`
-	Again float64 `json:"Again,omitempty"`
+	ReprefillPenaltyMs float64 `json:"Again,omitempty"`
 }
 
 func newWireAsk(a Ask) *wireAsk {
