--- a/entry/estimate.go
+++ b/entry/estimate.go
@@ -8,7 +8,7 @@
 	key string
 	// own is the time for what nobody shares, shared for the rest by part.
 	own    float64
-	shared []placement.Part
+	shared []placement.PrefixPart
 	// speed is the time for a token.
 	speed float64
 }
@@ -21,7 +21,7 @@
 	e := estimate{own: float64(p.In-p.SharedTokens()) * s, speed: s}
 	for _, x := range p.Shared() {
 		e.key = w.modelName() + "/" + x.ID
-		e.shared = append(e.shared, placement.Part{Key: e.key, PrefillMs: float64(x.Tokens) * s, ReprefillPenaltyMs: readAgain(x.Tokens, s)})
+		e.shared = append(e.shared, placement.PrefixPart{Key: e.key, PrefillMs: float64(x.Tokens) * s, ReprefillPenaltyMs: readAgain(x.Tokens, s)})
 	}
 	return e
 }
--- a/placement/choice.go
+++ b/placement/choice.go
@@ -8,7 +8,7 @@
 	Read float64
 	// Shared are the parts that the prompt begins with and others share. A
 	// replica that keeps one need not read it, if it keeps all before it.
-	Shared []Part
+	Shared []PrefixPart
 	// Hold is how long the run holds its slot once the prompt is read, in
 	// milliseconds, as runs of its kind do on average.
 	Hold float64
@@ -21,8 +21,8 @@
 	Within float64
 }
 
-// Part is a shared part of a prompt.
-type Part struct {
+// PrefixPart is a shared part of a prompt.
+type PrefixPart struct {
 	// Key names the part, all before it and its model.
 	Key string
 	// PrefillMs is the replica's time for it, in milliseconds, and ReprefillPenaltyMs what reading
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -48,7 +48,7 @@
 	// run is what holds the slot, nil if its time is not known.
 	run *run
 	// parts are what the replica keeps once it has read the prompt.
-	parts []Part
+	parts []PrefixPart
 }
 
 type keptPart struct {
@@ -142,7 +142,7 @@
 
 // unread returns the shared parts that the replica has to read: those from the
 // first on that it is not taken to keep.
-func (l *Ledger) unread(a Ask, replica string, now time.Time) []Part {
+func (l *Ledger) unread(a Ask, replica string, now time.Time) []PrefixPart {
 	for i, p := range a.Shared {
 		if !now.Before(l.kept[keptPart{p.Key, replica}]) {
 			return a.Shared[i:]
--- a/placement/ledger_test.go
+++ b/placement/ledger_test.go
@@ -13,8 +13,8 @@
 
 // shared is one shared part that takes so many milliseconds to read; reading it
 // again counts for eight times that on top.
-func shared(ms float64) []placement.Part {
-	return []placement.Part{{Key: "m/k", PrefillMs: ms, ReprefillPenaltyMs: 8 * ms}}
+func shared(ms float64) []placement.PrefixPart {
+	return []placement.PrefixPart{{Key: "m/k", PrefillMs: ms, ReprefillPenaltyMs: 8 * ms}}
 }
 
 // A part is kept only with all before it: a replica that keeps the first part
@@ -24,7 +24,7 @@
 	ask := func(parts ...string) placement.Ask {
 		a := placement.Ask{Replicas: []string{"a"}, Read: 5}
 		for _, k := range parts {
-			a.Shared = append(a.Shared, placement.Part{Key: k, PrefillMs: 100})
+			a.Shared = append(a.Shared, placement.PrefixPart{Key: k, PrefillMs: 100})
 		}
 		return a
 	}
--- a/placement/wire.go
+++ b/placement/wire.go
@@ -42,7 +42,7 @@
 func (w *wireAsk) ask() Ask {
 	a := Ask{Replicas: w.Replicas, Read: w.Read, Hold: w.Hold, Far: w.Far, Away: w.Away, Within: w.Within}
 	for _, p := range w.Shared {
-		a.Shared = append(a.Shared, Part(p))
+		a.Shared = append(a.Shared, PrefixPart(p))
 	}
 	return a
 }
