--- a/entry/forward_test.go
+++ b/entry/forward_test.go
@@ -103,7 +103,7 @@
 type busyPlacer float64
 
 func (p busyPlacer) Choose(context.Context, string, placement.Ask) (placement.Choice, placement.Ticket, bool) {
-	return placement.Choice{Wait: float64(p)}, placement.Ticket{}, true
+	return placement.Choice{WaitMs: float64(p)}, placement.Ticket{}, true
 }
 
 func (busyPlacer) Read(placement.Ticket)                  {}
--- a/entry/place.go
+++ b/entry/place.go
@@ -75,7 +75,7 @@
 	}
 	p = &placed{
 		replica: c[x.Index], ticket: t, cost: x.Cost, open: true,
-		idle: x.Wait < 1, tokens: x.Cost / e.speed, ready: x.Wait + x.Cost,
+		idle: x.WaitMs < 1, tokens: x.Cost / e.speed, ready: x.WaitMs + x.Cost,
 	}
 	w.r.backends.put(p.replica, p.cost, now)
 	return p, true
--- a/placement/choice.go
+++ b/placement/choice.go
@@ -51,9 +51,9 @@
 type Choice struct {
 	// Index is into the candidates; below 0 there are none.
 	Index int
-	// Wait is the time before the prompt is read, in milliseconds: for the work
+	// WaitMs is the time before the prompt is read, in milliseconds: for the work
 	// before it.
-	Wait float64
+	WaitMs float64
 	// Cost is the prompt's own time there, in milliseconds.
 	Cost float64
 	// Ticket names the work in the ledger.
--- a/placement/ledger_test.go
+++ b/placement/ledger_test.go
@@ -56,7 +56,7 @@
 			want = 1
 		}
 		if c := l.Choose(a, noon); c.Index != want {
-			t.Errorf("prompt %d went to %d after %.0f ms of work, want %d", i, c.Index, c.Wait, want)
+			t.Errorf("prompt %d went to %d after %.0f ms of work, want %d", i, c.Index, c.WaitMs, want)
 		}
 	}
 }
@@ -76,8 +76,8 @@
 	if at[0] != 5 || at[1] != 3 {
 		t.Errorf("runs by replica: %v, want 5 and 3", at)
 	}
-	if c := l.Choose(a, noon.Add(5*time.Second)); c.Wait != 0 || c.Index != 0 {
-		t.Errorf("wait %.0f ms at %d after the runs ended, want 0 at 0", c.Wait, c.Index)
+	if c := l.Choose(a, noon.Add(5*time.Second)); c.WaitMs != 0 || c.Index != 0 {
+		t.Errorf("wait %.0f ms at %d after the runs ended, want 0 at 0", c.WaitMs, c.Index)
 	}
 }
 
@@ -92,8 +92,8 @@
 	}
 	for range 3 {
 		c := l.Choose(a, noon)
-		if c.Index != 1 || c.Wait != 0 {
-			t.Errorf("went to %d with a wait of %.0f ms, want 1 with none", c.Index, c.Wait)
+		if c.Index != 1 || c.WaitMs != 0 {
+			t.Errorf("went to %d with a wait of %.0f ms, want 1 with none", c.Index, c.WaitMs)
 		}
 		l.Read(c.Ticket, noon)
 	}
@@ -109,8 +109,8 @@
 	a := placement.Ask{Replicas: []string{"a", "b"}, Read: 10, Hold: 1000}
 	for range 20 {
 		c := l.Choose(a, noon)
-		if c.Wait != 0 || c.Index != 0 {
-			t.Fatalf("wait %.0f ms at %d, want none at 0", c.Wait, c.Index)
+		if c.WaitMs != 0 || c.Index != 0 {
+			t.Fatalf("wait %.0f ms at %d, want none at 0", c.WaitMs, c.Index)
 		}
 		l.Lost(c.Ticket, placement.NoFault, noon)
 	}
@@ -152,11 +152,11 @@
 	l := placement.NewLedger(0)
 	a := placement.Ask{Replicas: []string{"a"}, Read: 100}
 	l.Choose(a, noon)
-	if c := l.Choose(a, noon.Add(time.Second)); c.Wait != 100 {
-		t.Errorf("wait %.0f ms, want 100", c.Wait)
+	if c := l.Choose(a, noon.Add(time.Second)); c.WaitMs != 100 {
+		t.Errorf("wait %.0f ms, want 100", c.WaitMs)
 	}
-	if c := l.Choose(a, noon.Add(time.Minute)); c.Wait != 0 {
-		t.Errorf("wait %.0f ms after a minute, want 0", c.Wait)
+	if c := l.Choose(a, noon.Add(time.Minute)); c.WaitMs != 0 {
+		t.Errorf("wait %.0f ms after a minute, want 0", c.WaitMs)
 	}
 }
 
@@ -176,8 +176,8 @@
 				continue
 			}
 			c := l.Choose(placement.Ask{Replicas: []string{"a"}, Read: rapid.Float64Range(1, 100).Draw(t, "cost")}, now)
-			if d := c.Wait - want; d > 1e-3 || d < -1e-3 {
-				t.Fatalf("wait %f, want %f", c.Wait, want)
+			if d := c.WaitMs - want; d > 1e-3 || d < -1e-3 {
+				t.Fatalf("wait %f, want %f", c.WaitMs, want)
 			}
 			want += c.Cost
 			open = append(open, c)
