--- a/placement/wire.go
+++ b/placement/wire.go
@@ -49,7 +49,7 @@
 
 type wireChoice struct {
 	Index  int     `json:"Index"`
-	Wait   float64 `json:"Wait"`
+	WaitMs   float64 `json:"Wait"`
 	Cost   float64 `json:"Cost"`
 	Ticket uint64  `json:"Ticket"`
 }
