--- a/entry/place.go
+++ b/entry/place.go
@@ -74,8 +74,8 @@
 		return nil, false
 	}
 	p = &placed{
-		replica: c[x.Index], ticket: t, cost: x.Cost, open: true,
-		idle: x.WaitMs < 1, tokens: x.Cost / e.speed, ready: x.WaitMs + x.Cost,
+		replica: c[x.Index], ticket: t, cost: x.PrefillMs, open: true,
+		idle: x.WaitMs < 1, tokens: x.PrefillMs / e.speed, ready: x.WaitMs + x.PrefillMs,
 	}
 	w.r.backends.put(p.replica, p.cost, now)
 	return p, true
--- a/placement/choice.go
+++ b/placement/choice.go
@@ -54,8 +54,8 @@
 	// WaitMs is the time before the prompt is read, in milliseconds: for the work
 	// before it.
 	WaitMs float64
-	// Cost is the prompt's own time there, in milliseconds.
-	Cost float64
+	// PrefillMs is the prompt's own time there, in milliseconds.
+	PrefillMs float64
 	// Ticket names the work in the ledger.
 	Ticket uint64
 }
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -113,26 +113,26 @@
 // part again.
 func (l *Ledger) at(a Ask, i int, now time.Time) (Choice, float64) {
 	r := a.Replicas[i]
-	c := Choice{Index: i, WaitMs: l.pending[r], Cost: a.Read}
-	t := c.WaitMs + c.Cost + slotCost*a.Hold*float64(l.busy[r]) + l.faults[r].cost(now) + a.far(i)
+	c := Choice{Index: i, WaitMs: l.pending[r], PrefillMs: a.Read}
+	t := c.WaitMs + c.PrefillMs + slotCost*a.Hold*float64(l.busy[r]) + l.faults[r].cost(now) + a.far(i)
 	for _, p := range l.unread(a, r, now) {
-		c.Cost += p.PrefillMs
+		c.PrefillMs += p.PrefillMs
 		t += p.PrefillMs + p.ReprefillPenaltyMs
 	}
-	return c, t + a.late(c.WaitMs+c.Cost)
+	return c, t + a.late(c.WaitMs+c.PrefillMs)
 }
 
 // note counts the prompt at the replica chosen for it.
 func (l *Ledger) note(a Ask, c Choice, now time.Time) {
 	r := a.Replicas[c.Index]
-	w := work{replica: r, parts: a.Shared, cost: c.Cost, forgetAt: now.Add(forgetFactor*span(c.WaitMs+c.Cost) + forgetMargin)}
+	w := work{replica: r, parts: a.Shared, cost: c.PrefillMs, forgetAt: now.Add(forgetFactor*span(c.WaitMs+c.PrefillMs) + forgetMargin)}
 	if a.Hold > 0 {
-		w.run = &run{replica: r, endAt: now.Add(span(c.WaitMs + c.Cost + a.Hold))}
+		w.run = &run{replica: r, endAt: now.Add(span(c.WaitMs + c.PrefillMs + a.Hold))}
 		l.busy[r]++
 		l.runs.push(w.run)
 	}
 	l.open[c.Ticket] = w
-	l.pending[r] += c.Cost
+	l.pending[r] += c.PrefillMs
 	for _, p := range a.Shared {
 		if len(l.kept) < maxKept {
 			l.kept[keptPart{p.Key, r}] = now.Add(keptFor)
--- a/placement/ledger_test.go
+++ b/placement/ledger_test.go
@@ -39,8 +39,8 @@
 		{[]string{"p"}, 5},
 		{nil, 5},
 	} {
-		if g := l.Choose(ask(c.parts...), noon); g.Cost != c.want {
-			t.Errorf("%q costs %.0f ms, want %.0f", c.parts, g.Cost, c.want)
+		if g := l.Choose(ask(c.parts...), noon); g.PrefillMs != c.want {
+			t.Errorf("%q costs %.0f ms, want %.0f", c.parts, g.PrefillMs, c.want)
 		}
 	}
 }
@@ -172,14 +172,14 @@
 				open = open[1:]
 				l.Read(c.Ticket, noon)
 				l.Read(c.Ticket, noon)
-				want -= c.Cost
+				want -= c.PrefillMs
 				continue
 			}
 			c := l.Choose(placement.Ask{Replicas: []string{"a"}, Read: rapid.Float64Range(1, 100).Draw(t, "cost")}, now)
 			if d := c.WaitMs - want; d > 1e-3 || d < -1e-3 {
 				t.Fatalf("wait %f, want %f", c.WaitMs, want)
 			}
-			want += c.Cost
+			want += c.PrefillMs
 			open = append(open, c)
 		}
 	})
