--- a/placement/wire.go
+++ b/placement/wire.go
@@ -50,7 +50,7 @@
 type wireChoice struct {
 	Index  int     `json:"Index"`
 	WaitMs   float64 `json:"Wait"`
-	Cost   float64 `json:"Cost"`
+	PrefillMs   float64 `json:"Cost"`
 	Ticket uint64  `json:"Ticket"`
 }
 
