--- a/placement/choice.go
+++ b/placement/choice.go
@@ -4,8 +4,8 @@
 type Ask struct {
 	// Replicas are the candidates, the preferred first.
 	Replicas []string
-	// Read is the replica's time for what nobody shares, in milliseconds.
-	Read float64
+	// UnsharedMs is the replica's time for what nobody shares, in milliseconds.
+	UnsharedMs float64
 	// Shared are the parts that the prompt begins with and others share. A
 	// replica that keeps one need not read it, if it keeps all before it.
 	Shared []PrefixPart
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -113,7 +113,7 @@
 // part again.
 func (l *Ledger) at(a Ask, i int, now time.Time) (Choice, float64) {
 	r := a.Replicas[i]
-	c := Choice{Index: i, WaitMs: l.pending[r], PrefillMs: a.Read}
+	c := Choice{Index: i, WaitMs: l.pending[r], PrefillMs: a.UnsharedMs}
 	t := c.WaitMs + c.PrefillMs + slotCost*a.Hold*float64(l.busy[r]) + l.faults[r].cost(now) + a.far(i)
 	for _, p := range l.unread(a, r, now) {
 		c.PrefillMs += p.PrefillMs
--- a/placement/wire.go
+++ b/placement/wire.go
@@ -32,7 +32,7 @@
 }
 
 func newWireAsk(a Ask) *wireAsk {
-	w := &wireAsk{Replicas: a.Replicas, Read: a.Read, Hold: a.Hold, Far: a.Far, Away: a.Away, Within: a.Within}
+	w := &wireAsk{Replicas: a.Replicas, Read: a.UnsharedMs, Hold: a.Hold, Far: a.Far, Away: a.Away, Within: a.Within}
 	for _, p := range a.Shared {
 		w.Shared = append(w.Shared, wirePart(p))
 	}
@@ -40,7 +40,7 @@
 }
 
 func (w *wireAsk) ask() Ask {
-	a := Ask{Replicas: w.Replicas, Read: w.Read, Hold: w.Hold, Far: w.Far, Away: w.Away, Within: w.Within}
+	a := Ask{Replicas: w.Replicas, UnsharedMs: w.Read, Hold: w.Hold, Far: w.Far, Away: w.Away, Within: w.Within}
 	for _, p := range w.Shared {
 		a.Shared = append(a.Shared, PrefixPart(p))
 	}
