--- a/placement/choice.go
+++ b/placement/choice.go
@@ -6,9 +6,9 @@
 	Replicas []string
 	// UnsharedMs is the replica's time for what nobody shares, in milliseconds.
 	UnsharedMs float64
-	// Shared are the parts that the prompt begins with and others share. A
+	// SharedPrefix are the parts that the prompt begins with and others share. A
 	// replica that keeps one need not read it, if it keeps all before it.
-	Shared []PrefixPart
+	SharedPrefix []PrefixPart
 	// Hold is how long the run holds its slot once the prompt is read, in
 	// milliseconds, as runs of its kind do on average.
 	Hold float64
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -125,7 +125,7 @@
 // note counts the prompt at the replica chosen for it.
 func (l *Ledger) note(a Ask, c Choice, now time.Time) {
 	r := a.Replicas[c.Index]
-	w := work{replica: r, parts: a.Shared, cost: c.PrefillMs, forgetAt: now.Add(forgetFactor*span(c.WaitMs+c.PrefillMs) + forgetMargin)}
+	w := work{replica: r, parts: a.SharedPrefix, cost: c.PrefillMs, forgetAt: now.Add(forgetFactor*span(c.WaitMs+c.PrefillMs) + forgetMargin)}
 	if a.Hold > 0 {
 		w.run = &run{replica: r, endAt: now.Add(span(c.WaitMs + c.PrefillMs + a.Hold))}
 		l.busy[r]++
@@ -133,7 +133,7 @@
 	}
 	l.open[c.Ticket] = w
 	l.pending[r] += c.PrefillMs
-	for _, p := range a.Shared {
+	for _, p := range a.SharedPrefix {
 		if len(l.kept) < maxKept {
 			l.kept[keptPart{p.Key, r}] = now.Add(keptFor)
 		}
@@ -143,9 +143,9 @@
 // unread returns the shared parts that the replica has to read: those from the
 // first on that it is not taken to keep.
 func (l *Ledger) unread(a Ask, replica string, now time.Time) []PrefixPart {
-	for i, p := range a.Shared {
+	for i, p := range a.SharedPrefix {
 		if !now.Before(l.kept[keptPart{p.Key, replica}]) {
-			return a.Shared[i:]
+			return a.SharedPrefix[i:]
 		}
 	}
 	return nil
--- a/placement/ledger_test.go
+++ b/placement/ledger_test.go
@@ -24,7 +24,7 @@
 	ask := func(parts ...string) placement.Ask {
 		a := placement.Ask{Replicas: []string{"a"}, UnsharedMs: 5}
 		for _, k := range parts {
-			a.Shared = append(a.Shared, placement.PrefixPart{Key: k, PrefillMs: 100})
+			a.SharedPrefix = append(a.SharedPrefix, placement.PrefixPart{Key: k, PrefillMs: 100})
 		}
 		return a
 	}
@@ -47,7 +47,7 @@
 
 func TestLedgerWeighsWaitingAgainstReadingAgain(t *testing.T) {
 	l := placement.NewLedger(0)
-	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 50, Shared: shared(100)}
+	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 50, SharedPrefix: shared(100)}
 	for i := range 19 {
 		// a keeps the shared part after the first prompt; with over 900 ms of
 		// work there, reading all at b is better, and then b keeps it too.
@@ -65,7 +65,7 @@
 // have ended.
 func TestLedgerCountsRuns(t *testing.T) {
 	l := placement.NewLedger(0)
-	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 1, Shared: shared(10), Hold: 1000}
+	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 1, SharedPrefix: shared(10), Hold: 1000}
 	at := map[int]int{}
 	for range 8 {
 		c := l.Choose(a, noon)
@@ -85,7 +85,7 @@
 // keeper, and forgotten when others are served there or after some time.
 func TestLedgerAvoidsFaultyReplicas(t *testing.T) {
 	l := placement.NewLedger(0)
-	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 10, Shared: shared(100), Hold: 100}
+	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 10, SharedPrefix: shared(100), Hold: 100}
 	want := "a"
 	if g := l.Lost(l.Choose(a, noon).Ticket, placement.Unreached, noon); g != want {
 		t.Errorf("others are preferred to %q from now on, want %q", g, want)
@@ -124,7 +124,7 @@
 		want   int
 	}{{3, 1}, {10, 0}} {
 		l := placement.NewLedger(0)
-		a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 10, Shared: shared(c.shared), Away: 30}
+		a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 10, SharedPrefix: shared(c.shared), Away: 30}
 		l.Read(l.Choose(a, noon).Ticket, noon)
 		a.Far = 1 << 0
 		if got := l.Choose(a, noon); got.Index != c.want {
@@ -136,7 +136,7 @@
 // A shared part is read again sooner where the first event would come late.
 func TestLedgerReadsAgainInsteadOfBeingLate(t *testing.T) {
 	l := placement.NewLedger(0)
-	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 50, Shared: shared(100), Within: 1000}
+	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 50, SharedPrefix: shared(100), Within: 1000}
 	n := 0
 	for l.Choose(a, noon).Index == 0 {
 		n++
--- a/placement/wire.go
+++ b/placement/wire.go
@@ -33,7 +33,7 @@
 
 func newWireAsk(a Ask) *wireAsk {
 	w := &wireAsk{Replicas: a.Replicas, Read: a.UnsharedMs, Hold: a.Hold, Far: a.Far, Away: a.Away, Within: a.Within}
-	for _, p := range a.Shared {
+	for _, p := range a.SharedPrefix {
 		w.Shared = append(w.Shared, wirePart(p))
 	}
 	return w
@@ -42,7 +42,7 @@
 func (w *wireAsk) ask() Ask {
 	a := Ask{Replicas: w.Replicas, UnsharedMs: w.Read, Hold: w.Hold, Far: w.Far, Away: w.Away, Within: w.Within}
 	for _, p := range w.Shared {
-		a.Shared = append(a.Shared, PrefixPart(p))
+		a.SharedPrefix = append(a.SharedPrefix, PrefixPart(p))
 	}
 	return a
 }
