--- a/placement/choice.go
+++ b/placement/choice.go
@@ -9,9 +9,9 @@
 	// SharedPrefix are the parts that the prompt begins with and others share. A
 	// replica that keeps one need not read it, if it keeps all before it.
 	SharedPrefix []PrefixPart
-	// Hold is how long the run holds its slot once the prompt is read, in
+	// SlotMs is how long the run holds its slot once the prompt is read, in
 	// milliseconds, as runs of its kind do on average.
-	Hold float64
+	SlotMs float64
 	// Far has the bits set of the candidates in other data centres than the
 	// asker's, Away what such a one counts for on top, in milliseconds.
 	Far  uint64
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -114,7 +114,7 @@
 func (l *Ledger) at(a Ask, i int, now time.Time) (Choice, float64) {
 	r := a.Replicas[i]
 	c := Choice{Index: i, WaitMs: l.pending[r], PrefillMs: a.UnsharedMs}
-	t := c.WaitMs + c.PrefillMs + slotCost*a.Hold*float64(l.busy[r]) + l.faults[r].cost(now) + a.far(i)
+	t := c.WaitMs + c.PrefillMs + slotCost*a.SlotMs*float64(l.busy[r]) + l.faults[r].cost(now) + a.far(i)
 	for _, p := range l.unread(a, r, now) {
 		c.PrefillMs += p.PrefillMs
 		t += p.PrefillMs + p.ReprefillPenaltyMs
@@ -126,8 +126,8 @@
 func (l *Ledger) note(a Ask, c Choice, now time.Time) {
 	r := a.Replicas[c.Index]
 	w := work{replica: r, parts: a.SharedPrefix, cost: c.PrefillMs, forgetAt: now.Add(forgetFactor*span(c.WaitMs+c.PrefillMs) + forgetMargin)}
-	if a.Hold > 0 {
-		w.run = &run{replica: r, endAt: now.Add(span(c.WaitMs + c.PrefillMs + a.Hold))}
+	if a.SlotMs > 0 {
+		w.run = &run{replica: r, endAt: now.Add(span(c.WaitMs + c.PrefillMs + a.SlotMs))}
 		l.busy[r]++
 		l.runs.push(w.run)
 	}
--- a/placement/ledger_test.go
+++ b/placement/ledger_test.go
@@ -65,7 +65,7 @@
 // have ended.
 func TestLedgerCountsRuns(t *testing.T) {
 	l := placement.NewLedger(0)
-	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 1, SharedPrefix: shared(10), Hold: 1000}
+	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 1, SharedPrefix: shared(10), SlotMs: 1000}
 	at := map[int]int{}
 	for range 8 {
 		c := l.Choose(a, noon)
@@ -85,7 +85,7 @@
 // keeper, and forgotten when others are served there or after some time.
 func TestLedgerAvoidsFaultyReplicas(t *testing.T) {
 	l := placement.NewLedger(0)
-	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 10, SharedPrefix: shared(100), Hold: 100}
+	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 10, SharedPrefix: shared(100), SlotMs: 100}
 	want := "a"
 	if g := l.Lost(l.Choose(a, noon).Ticket, placement.Unreached, noon); g != want {
 		t.Errorf("others are preferred to %q from now on, want %q", g, want)
@@ -106,7 +106,7 @@
 // Work that is taken back is no fault, and its run holds no slot.
 func TestLedgerTakesWorkBack(t *testing.T) {
 	l := placement.NewLedger(0)
-	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 10, Hold: 1000}
+	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 10, SlotMs: 1000}
 	for range 20 {
 		c := l.Choose(a, noon)
 		if c.WaitMs != 0 || c.Index != 0 {
