--- a/placement/choice.go
+++ b/placement/choice.go
@@ -12,9 +12,9 @@
 	// SlotMs is how long the run holds its slot once the prompt is read, in
 	// milliseconds, as runs of its kind do on average.
 	SlotMs float64
-	// Far has the bits set of the candidates in other data centres than the
+	// RemoteBits has the bits set of the candidates in other data centres than the
 	// asker's, Away what such a one counts for on top, in milliseconds.
-	Far  uint64
+	RemoteBits  uint64
 	Away float64
 	// Within is the time left in which the first event should come, in
 	// milliseconds; 0 for no such time.
@@ -41,7 +41,7 @@
 
 // far is what the candidate counts for by its data centre, in milliseconds.
 func (a Ask) far(i int) float64 {
-	if a.Far>>i&1 == 1 {
+	if a.RemoteBits>>i&1 == 1 {
 		return a.Away
 	}
 	return 0
--- a/placement/ledger_test.go
+++ b/placement/ledger_test.go
@@ -126,7 +126,7 @@
 		l := placement.NewLedger(0)
 		a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 10, SharedPrefix: shared(c.shared), Away: 30}
 		l.Read(l.Choose(a, noon).Ticket, noon)
-		a.Far = 1 << 0
+		a.RemoteBits = 1 << 0
 		if got := l.Choose(a, noon); got.Index != c.want {
 			t.Errorf("with %.0f ms shared and kept elsewhere: went to %d, want %d", c.shared, got.Index, c.want)
 		}
