--- a/entry/place.go
+++ b/entry/place.go
@@ -84,7 +84,7 @@
 // ask returns the question which of the replicas the prompt should go to.
 func (w *forwarding) ask(e estimate, c []*pool.Replica) placement.Ask {
 	return placement.Ask{
-		Replicas: ids(c), RemoteBits: w.r.far(c), Away: w.away(),
+		Replicas: ids(c), RemoteBits: w.r.far(c), RemotePenaltyMs: w.away(),
 		UnsharedMs: max(1, e.own), SharedPrefix: e.shared, SlotMs: w.r.holds.Of(w.holdKey()),
 		Within: w.within(),
 	}
--- a/placement/choice.go
+++ b/placement/choice.go
@@ -15,7 +15,7 @@
 	// RemoteBits has the bits set of the candidates in other data centres than the
 	// asker's, Away what such a one counts for on top, in milliseconds.
 	RemoteBits  uint64
-	Away float64
+	RemotePenaltyMs float64
 	// Within is the time left in which the first event should come, in
 	// milliseconds; 0 for no such time.
 	Within float64
@@ -42,7 +42,7 @@
 // far is what the candidate counts for by its data centre, in milliseconds.
 func (a Ask) far(i int) float64 {
 	if a.RemoteBits>>i&1 == 1 {
-		return a.Away
+		return a.RemotePenaltyMs
 	}
 	return 0
 }
--- a/placement/ledger_test.go
+++ b/placement/ledger_test.go
@@ -124,7 +124,7 @@
 		want   int
 	}{{3, 1}, {10, 0}} {
 		l := placement.NewLedger(0)
-		a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 10, SharedPrefix: shared(c.shared), Away: 30}
+		a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 10, SharedPrefix: shared(c.shared), RemotePenaltyMs: 30}
 		l.Read(l.Choose(a, noon).Ticket, noon)
 		a.RemoteBits = 1 << 0
 		if got := l.Choose(a, noon); got.Index != c.want {
