--- a/entry/place.go
+++ b/entry/place.go
@@ -86,7 +86,7 @@
 	return placement.Ask{
 		Replicas: ids(c), RemoteBits: w.r.far(c), RemotePenaltyMs: w.away(),
 		UnsharedMs: max(1, e.own), SharedPrefix: e.shared, SlotMs: w.r.holds.Of(w.holdKey()),
-		Within: w.within(),
+		TimeLeftMs: w.within(),
 	}
 }
 
--- a/placement/choice.go
+++ b/placement/choice.go
@@ -16,9 +16,9 @@
 	// asker's, Away what such a one counts for on top, in milliseconds.
 	RemoteBits  uint64
 	RemotePenaltyMs float64
-	// Within is the time left in which the first event should come, in
+	// TimeLeftMs is the time left in which the first event should come, in
 	// milliseconds; 0 for no such time.
-	Within float64
+	TimeLeftMs float64
 }
 
 // PrefixPart is a shared part of a prompt.
@@ -33,10 +33,10 @@
 // late is what a first event after that time counts for, in milliseconds: long
 // waits turn out longer than expected, so that it begins before.
 func (a Ask) late(expected float64) float64 {
-	if a.Within <= 0 {
+	if a.TimeLeftMs <= 0 {
 		return 0
 	}
-	return lateWeight * max(0, expected-latePart*a.Within)
+	return lateWeight * max(0, expected-latePart*a.TimeLeftMs)
 }
 
 // far is what the candidate counts for by its data centre, in milliseconds.
--- a/placement/ledger_test.go
+++ b/placement/ledger_test.go
@@ -136,7 +136,7 @@
 // A shared part is read again sooner where the first event would come late.
 func TestLedgerReadsAgainInsteadOfBeingLate(t *testing.T) {
 	l := placement.NewLedger(0)
-	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 50, SharedPrefix: shared(100), Within: 1000}
+	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 50, SharedPrefix: shared(100), TimeLeftMs: 1000}
 	n := 0
 	for l.Choose(a, noon).Index == 0 {
 		n++
--- a/placement/wire.go
+++ b/placement/wire.go
@@ -32,7 +32,7 @@
 }
 
 func newWireAsk(a Ask) *wireAsk {
-	w := &wireAsk{Replicas: a.Replicas, Read: a.UnsharedMs, Hold: a.SlotMs, Far: a.RemoteBits, Away: a.RemotePenaltyMs, Within: a.Within}
+	w := &wireAsk{Replicas: a.Replicas, Read: a.UnsharedMs, Hold: a.SlotMs, Far: a.RemoteBits, Away: a.RemotePenaltyMs, Within: a.TimeLeftMs}
 	for _, p := range a.SharedPrefix {
 		w.Shared = append(w.Shared, wirePart(p))
 	}
@@ -40,7 +40,7 @@
 }
 
 func (w *wireAsk) ask() Ask {
-	a := Ask{Replicas: w.Replicas, UnsharedMs: w.Read, SlotMs: w.Hold, RemoteBits: w.Far, RemotePenaltyMs: w.Away, Within: w.Within}
+	a := Ask{Replicas: w.Replicas, UnsharedMs: w.Read, SlotMs: w.Hold, RemoteBits: w.Far, RemotePenaltyMs: w.Away, TimeLeftMs: w.Within}
 	for _, p := range w.Shared {
 		a.SharedPrefix = append(a.SharedPrefix, PrefixPart(p))
 	}
