--- a/entry/forward_test.go
+++ b/entry/forward_test.go
@@ -102,7 +102,7 @@
 // busyPlacer chooses the first candidate, behind the work that waits there.
 type busyPlacer float64
 
-func (p busyPlacer) Choose(context.Context, string, placement.Ask) (placement.Choice, placement.Ticket, bool) {
+func (p busyPlacer) Choose(context.Context, string, placement.Request) (placement.Choice, placement.Ticket, bool) {
 	return placement.Choice{WaitMs: float64(p)}, placement.Ticket{}, true
 }
 
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -132,7 +132,7 @@
 }
 
 // Choose implements Placer, the other methods as well.
-func (w *talkers) Choose(_ context.Context, _ string, a placement.Ask) (placement.Choice, placement.Ticket, bool) {
+func (w *talkers) Choose(_ context.Context, _ string, a placement.Request) (placement.Choice, placement.Ticket, bool) {
 	i := rapid.IntRange(-1, len(a.Replicas)-1).Draw(w.t, "placed")
 	w.others()
 	return placement.Choice{Index: max(0, i)}, placement.Ticket{}, i >= 0
--- a/entry/place.go
+++ b/entry/place.go
@@ -82,8 +82,8 @@
 }
 
 // ask returns the question which of the replicas the prompt should go to.
-func (w *forwarding) ask(e estimate, c []*pool.Replica) placement.Ask {
-	return placement.Ask{
+func (w *forwarding) ask(e estimate, c []*pool.Replica) placement.Request {
+	return placement.Request{
 		Replicas: ids(c), RemoteBits: w.r.far(c), RemotePenaltyMs: w.away(),
 		UnsharedMs: max(1, e.own), SharedPrefix: e.shared, SlotMs: w.r.holds.Of(w.holdKey()),
 		TimeLeftMs: w.within(),
--- a/entry/ports.go
+++ b/entry/ports.go
@@ -82,7 +82,7 @@
 // Placer chooses replicas for prompts with the knowledge of the fleet. It
 // fails if that can't be had now; that none may be used is an answer.
 type Placer interface {
-	Choose(ctx context.Context, group string, a placement.Ask) (placement.Choice, placement.Ticket, bool)
+	Choose(ctx context.Context, group string, a placement.Request) (placement.Choice, placement.Ticket, bool)
 	// Read says that the prompt was read, Lost that it came to nothing.
 	Read(t placement.Ticket)
 	Lost(t placement.Ticket, why placement.Fault)
--- a/placement/ask.go
+++ b/placement/ask.go
@@ -18,7 +18,7 @@
 }
 
 // ask asks the keeper and waits for its answer.
-func (n *Node) ask(ctx context.Context, k peer.Member, a Ask) (Choice, bool) {
+func (n *Node) ask(ctx context.Context, k peer.Member, a Request) (Choice, bool) {
 	return n.waiting.Ask(ctx, answerWithin, func(id uint64) error {
 		return n.net.Send(k.Addr, encode(message{Question: id, Ask: newWireAsk(a)}))
 	})
--- a/placement/choice.go
+++ b/placement/choice.go
@@ -1,7 +1,7 @@
 package placement
 
-// Ask is the question where a prompt should go.
-type Ask struct {
+// Request is the question where a prompt should go.
+type Request struct {
 	// Replicas are the candidates, the preferred first.
 	Replicas []string
 	// UnsharedMs is the replica's time for what nobody shares, in milliseconds.
@@ -32,7 +32,7 @@
 
 // late is what a first event after that time counts for, in milliseconds: long
 // waits turn out longer than expected, so that it begins before.
-func (a Ask) late(expected float64) float64 {
+func (a Request) late(expected float64) float64 {
 	if a.TimeLeftMs <= 0 {
 		return 0
 	}
@@ -40,7 +40,7 @@
 }
 
 // far is what the candidate counts for by its data centre, in milliseconds.
-func (a Ask) far(i int) float64 {
+func (a Request) far(i int) float64 {
 	if a.RemoteBits>>i&1 == 1 {
 		return a.RemotePenaltyMs
 	}
--- a/placement/keeper.go
+++ b/placement/keeper.go
@@ -59,7 +59,7 @@
 
 // Choose asks the keeper of the group where the prompt should go. It fails if
 // the keeper gives no answer in time, or has no replica for it.
-func (n *Node) Choose(ctx context.Context, group string, a Ask) (Choice, Ticket, bool) {
+func (n *Node) Choose(ctx context.Context, group string, a Request) (Choice, Ticket, bool) {
 	k, ok := n.keeper(group)
 	if !ok || k.ID == n.self {
 		c := n.ledger.Choose(a, n.clock())
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -82,7 +82,7 @@
 
 // Choose places a prompt where it counts for the least time, and notes it there. Its index
 // is below 0 if there are no candidates.
-func (l *Ledger) Choose(a Ask, now time.Time) Choice {
+func (l *Ledger) Choose(a Request, now time.Time) Choice {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sweep(now)
@@ -98,7 +98,7 @@
 }
 
 // best returns the choice with the least time, as it counts.
-func (l *Ledger) best(a Ask, now time.Time) Choice {
+func (l *Ledger) best(a Request, now time.Time) Choice {
 	best, least := Choice{Index: -1}, 0.0
 	for i := range a.Replicas {
 		if c, t := l.at(a, i, now); best.Index < 0 || t < least {
@@ -111,7 +111,7 @@
 // at returns the choice of one candidate and the time that it counts for, in
 // milliseconds: its own and what it takes from others, as by reading a shared
 // part again.
-func (l *Ledger) at(a Ask, i int, now time.Time) (Choice, float64) {
+func (l *Ledger) at(a Request, i int, now time.Time) (Choice, float64) {
 	r := a.Replicas[i]
 	c := Choice{Index: i, WaitMs: l.pending[r], PrefillMs: a.UnsharedMs}
 	t := c.WaitMs + c.PrefillMs + slotCost*a.SlotMs*float64(l.busy[r]) + l.faults[r].cost(now) + a.far(i)
@@ -123,7 +123,7 @@
 }
 
 // note counts the prompt at the replica chosen for it.
-func (l *Ledger) note(a Ask, c Choice, now time.Time) {
+func (l *Ledger) note(a Request, c Choice, now time.Time) {
 	r := a.Replicas[c.Index]
 	w := work{replica: r, parts: a.SharedPrefix, cost: c.PrefillMs, forgetAt: now.Add(forgetFactor*span(c.WaitMs+c.PrefillMs) + forgetMargin)}
 	if a.SlotMs > 0 {
@@ -142,7 +142,7 @@
 
 // unread returns the shared parts that the replica has to read: those from the
 // first on that it is not taken to keep.
-func (l *Ledger) unread(a Ask, replica string, now time.Time) []PrefixPart {
+func (l *Ledger) unread(a Request, replica string, now time.Time) []PrefixPart {
 	for i, p := range a.SharedPrefix {
 		if !now.Before(l.kept[keptPart{p.Key, replica}]) {
 			return a.SharedPrefix[i:]
--- a/placement/ledger_test.go
+++ b/placement/ledger_test.go
@@ -21,8 +21,8 @@
 // reads the others, and one that keeps another first part reads all.
 func TestLedgerKnowsPartsOneByOne(t *testing.T) {
 	l := placement.NewLedger(0)
-	ask := func(parts ...string) placement.Ask {
-		a := placement.Ask{Replicas: []string{"a"}, UnsharedMs: 5}
+	ask := func(parts ...string) placement.Request {
+		a := placement.Request{Replicas: []string{"a"}, UnsharedMs: 5}
 		for _, k := range parts {
 			a.SharedPrefix = append(a.SharedPrefix, placement.PrefixPart{Key: k, PrefillMs: 100})
 		}
@@ -47,7 +47,7 @@
 
 func TestLedgerWeighsWaitingAgainstReadingAgain(t *testing.T) {
 	l := placement.NewLedger(0)
-	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 50, SharedPrefix: shared(100)}
+	a := placement.Request{Replicas: []string{"a", "b"}, UnsharedMs: 50, SharedPrefix: shared(100)}
 	for i := range 19 {
 		// a keeps the shared part after the first prompt; with over 900 ms of
 		// work there, reading all at b is better, and then b keeps it too.
@@ -65,7 +65,7 @@
 // have ended.
 func TestLedgerCountsRuns(t *testing.T) {
 	l := placement.NewLedger(0)
-	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 1, SharedPrefix: shared(10), SlotMs: 1000}
+	a := placement.Request{Replicas: []string{"a", "b"}, UnsharedMs: 1, SharedPrefix: shared(10), SlotMs: 1000}
 	at := map[int]int{}
 	for range 8 {
 		c := l.Choose(a, noon)
@@ -85,7 +85,7 @@
 // keeper, and forgotten when others are served there or after some time.
 func TestLedgerAvoidsFaultyReplicas(t *testing.T) {
 	l := placement.NewLedger(0)
-	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 10, SharedPrefix: shared(100), SlotMs: 100}
+	a := placement.Request{Replicas: []string{"a", "b"}, UnsharedMs: 10, SharedPrefix: shared(100), SlotMs: 100}
 	want := "a"
 	if g := l.Lost(l.Choose(a, noon).Ticket, placement.Unreached, noon); g != want {
 		t.Errorf("others are preferred to %q from now on, want %q", g, want)
@@ -98,7 +98,7 @@
 		l.Read(c.Ticket, noon)
 	}
 	later := noon.Add(10 * time.Second)
-	if c := l.Choose(placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 10}, later); c.Index != 0 {
+	if c := l.Choose(placement.Request{Replicas: []string{"a", "b"}, UnsharedMs: 10}, later); c.Index != 0 {
 		t.Errorf("went to %d long after, want 0", c.Index)
 	}
 }
@@ -106,7 +106,7 @@
 // Work that is taken back is no fault, and its run holds no slot.
 func TestLedgerTakesWorkBack(t *testing.T) {
 	l := placement.NewLedger(0)
-	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 10, SlotMs: 1000}
+	a := placement.Request{Replicas: []string{"a", "b"}, UnsharedMs: 10, SlotMs: 1000}
 	for range 20 {
 		c := l.Choose(a, noon)
 		if c.WaitMs != 0 || c.Index != 0 {
@@ -124,7 +124,7 @@
 		want   int
 	}{{3, 1}, {10, 0}} {
 		l := placement.NewLedger(0)
-		a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 10, SharedPrefix: shared(c.shared), RemotePenaltyMs: 30}
+		a := placement.Request{Replicas: []string{"a", "b"}, UnsharedMs: 10, SharedPrefix: shared(c.shared), RemotePenaltyMs: 30}
 		l.Read(l.Choose(a, noon).Ticket, noon)
 		a.RemoteBits = 1 << 0
 		if got := l.Choose(a, noon); got.Index != c.want {
@@ -136,7 +136,7 @@
 // A shared part is read again sooner where the first event would come late.
 func TestLedgerReadsAgainInsteadOfBeingLate(t *testing.T) {
 	l := placement.NewLedger(0)
-	a := placement.Ask{Replicas: []string{"a", "b"}, UnsharedMs: 50, SharedPrefix: shared(100), TimeLeftMs: 1000}
+	a := placement.Request{Replicas: []string{"a", "b"}, UnsharedMs: 50, SharedPrefix: shared(100), TimeLeftMs: 1000}
 	n := 0
 	for l.Choose(a, noon).Index == 0 {
 		n++
@@ -150,7 +150,7 @@
 
 func TestLedgerForgetsWorkThatNobodyEnds(t *testing.T) {
 	l := placement.NewLedger(0)
-	a := placement.Ask{Replicas: []string{"a"}, UnsharedMs: 100}
+	a := placement.Request{Replicas: []string{"a"}, UnsharedMs: 100}
 	l.Choose(a, noon)
 	if c := l.Choose(a, noon.Add(time.Second)); c.WaitMs != 100 {
 		t.Errorf("wait %.0f ms, want 100", c.WaitMs)
@@ -175,7 +175,7 @@
 				want -= c.PrefillMs
 				continue
 			}
-			c := l.Choose(placement.Ask{Replicas: []string{"a"}, UnsharedMs: rapid.Float64Range(1, 100).Draw(t, "cost")}, now)
+			c := l.Choose(placement.Request{Replicas: []string{"a"}, UnsharedMs: rapid.Float64Range(1, 100).Draw(t, "cost")}, now)
 			if d := c.WaitMs - want; d > 1e-3 || d < -1e-3 {
 				t.Fatalf("wait %f, want %f", c.WaitMs, want)
 			}
@@ -191,7 +191,7 @@
 	l := placement.NewLedger(0)
 	now := noon
 	try := func(why placement.Fault) bool {
-		c := l.Choose(placement.Ask{Replicas: []string{"dead", "busy"}, UnsharedMs: 900}, now)
+		c := l.Choose(placement.Request{Replicas: []string{"dead", "busy"}, UnsharedMs: 900}, now)
 		if c.Index == 0 && why != placement.NoFault {
 			l.Lost(c.Ticket, why, now)
 		} else if c.Index == 0 {
@@ -200,7 +200,7 @@
 		return c.Index == 0
 	}
 	for range 20 {
-		l.Choose(placement.Ask{Replicas: []string{"busy"}, UnsharedMs: 900}, now)
+		l.Choose(placement.Request{Replicas: []string{"busy"}, UnsharedMs: 900}, now)
 	}
 	tries := 0
 	for range 300 {
@@ -217,7 +217,7 @@
 	if !try(placement.NoFault) || !try(placement.Unreached) || !try(placement.NoFault) {
 		t.Error("it is left out after a prompt was read there")
 	}
-	both := placement.Ask{Replicas: []string{"x", "y"}, UnsharedMs: 1}
+	both := placement.Request{Replicas: []string{"x", "y"}, UnsharedMs: 1}
 	for range 8 {
 		c := l.Choose(both, now)
 		l.Lost(c.Ticket, placement.Unreached, now)
--- a/placement/wire.go
+++ b/placement/wire.go
@@ -31,7 +31,7 @@
 	ReprefillPenaltyMs float64 `json:"Again,omitempty"`
 }
 
-func newWireAsk(a Ask) *wireAsk {
+func newWireAsk(a Request) *wireAsk {
 	w := &wireAsk{Replicas: a.Replicas, Read: a.UnsharedMs, Hold: a.SlotMs, Far: a.RemoteBits, Away: a.RemotePenaltyMs, Within: a.TimeLeftMs}
 	for _, p := range a.SharedPrefix {
 		w.Shared = append(w.Shared, wirePart(p))
@@ -39,8 +39,8 @@
 	return w
 }
 
-func (w *wireAsk) ask() Ask {
-	a := Ask{Replicas: w.Replicas, UnsharedMs: w.Read, SlotMs: w.Hold, RemoteBits: w.Far, RemotePenaltyMs: w.Away, TimeLeftMs: w.Within}
+func (w *wireAsk) ask() Request {
+	a := Request{Replicas: w.Replicas, UnsharedMs: w.Read, SlotMs: w.Hold, RemoteBits: w.Far, RemotePenaltyMs: w.Away, TimeLeftMs: w.Within}
 	for _, p := range w.Shared {
 		a.SharedPrefix = append(a.SharedPrefix, PrefixPart(p))
 	}
