--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -127,7 +127,7 @@
 	case a.left || err == nil && !bad:
 		return placement.NoFault
 	case isUnreached(err):
-		return placement.Unreached
+		return placement.Unreachable
 	case ok && o.Kind == outcome.NotRun:
 		return placement.Full
 	case bad:
--- a/placement/fault.go
+++ b/placement/fault.go
@@ -12,8 +12,8 @@
 const (
 	// NoFault: it was taken back, or its client left.
 	NoFault Fault = iota
-	// Unreached: the replica could not be connected to.
-	Unreached
+	// Unreachable: the replica could not be connected to.
+	Unreachable
 	// Full: the replica turned it away.
 	Full
 	// Broken: the replica took it and gave no sound answer.
@@ -54,7 +54,7 @@
 // String returns the fault's name in the log.
 func (f Fault) String() string {
 	switch f {
-	case Unreached:
+	case Unreachable:
 		return "not reached"
 	case Full:
 		return "full"
@@ -67,7 +67,7 @@
 // weights are what each fault adds, as a part of what is missing to a replica
 // that is sure to fail. One that is not reached is gone as a rule; one
 // instance may be cut off from it, but others then read there.
-var weights = map[Fault]float64{Unreached: 0.5, Full: 0.3, Broken: 0.25}
+var weights = map[Fault]float64{Unreachable: 0.5, Full: 0.3, Broken: 0.25}
 
 // fault is how likely a replica is to fail, from 0 to 1, as of a moment. All
 // instances tell their keeper of the faults that they meet, so that the fleet
@@ -93,7 +93,7 @@
 func (f fault) with(why Fault, now time.Time) fault {
 	x := f.at(now)
 	f.likely, f.asOf = x+weights[why]*(1-x), now
-	if why != Unreached {
+	if why != Unreachable {
 		return f
 	}
 	f.unreached++
--- a/placement/ledger_test.go
+++ b/placement/ledger_test.go
@@ -87,7 +87,7 @@
 	l := placement.NewLedger(0)
 	a := placement.Request{Replicas: []string{"a", "b"}, UnsharedMs: 10, SharedPrefix: shared(100), SlotMs: 100}
 	want := "a"
-	if g := l.Lost(l.Choose(a, noon).Ticket, placement.Unreached, noon); g != want {
+	if g := l.Lost(l.Choose(a, noon).Ticket, placement.Unreachable, noon); g != want {
 		t.Errorf("others are preferred to %q from now on, want %q", g, want)
 	}
 	for range 3 {
@@ -204,7 +204,7 @@
 	}
 	tries := 0
 	for range 300 {
-		if try(placement.Unreached) {
+		if try(placement.Unreachable) {
 			tries++
 		}
 		now = now.Add(10 * time.Millisecond)
@@ -214,13 +214,13 @@
 		t.Errorf("%d prompts went to a replica that can't be reached in 3 s, want 5", tries)
 	}
 	now = now.Add(4 * time.Second)
-	if !try(placement.NoFault) || !try(placement.Unreached) || !try(placement.NoFault) {
+	if !try(placement.NoFault) || !try(placement.Unreachable) || !try(placement.NoFault) {
 		t.Error("it is left out after a prompt was read there")
 	}
 	both := placement.Request{Replicas: []string{"x", "y"}, UnsharedMs: 1}
 	for range 8 {
 		c := l.Choose(both, now)
-		l.Lost(c.Ticket, placement.Unreached, now)
+		l.Lost(c.Ticket, placement.Unreachable, now)
 	}
 	if c := l.Choose(both, now); c.Index < 0 {
 		t.Error("none is chosen where all are left out")
