--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -129,7 +129,7 @@
 	case isUnreached(err):
 		return placement.Unreachable
 	case ok && o.Kind == outcome.NotRun:
-		return placement.Full
+		return placement.Rejected
 	case bad:
 		return placement.Broken
 	}
--- a/placement/fault.go
+++ b/placement/fault.go
@@ -14,8 +14,8 @@
 	NoFault Fault = iota
 	// Unreachable: the replica could not be connected to.
 	Unreachable
-	// Full: the replica turned it away.
-	Full
+	// Rejected: the replica turned it away.
+	Rejected
 	// Broken: the replica took it and gave no sound answer.
 	Broken
 )
@@ -56,7 +56,7 @@
 	switch f {
 	case Unreachable:
 		return "not reached"
-	case Full:
+	case Rejected:
 		return "full"
 	case Broken:
 		return "broken"
@@ -67,7 +67,7 @@
 // weights are what each fault adds, as a part of what is missing to a replica
 // that is sure to fail. One that is not reached is gone as a rule; one
 // instance may be cut off from it, but others then read there.
-var weights = map[Fault]float64{Unreachable: 0.5, Full: 0.3, Broken: 0.25}
+var weights = map[Fault]float64{Unreachable: 0.5, Rejected: 0.3, Broken: 0.25}
 
 // fault is how likely a replica is to fail, from 0 to 1, as of a moment. All
 // instances tell their keeper of the faults that they meet, so that the fleet
