--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -131,7 +131,7 @@
 	case ok && o.Kind == outcome.NotRun:
 		return placement.Rejected
 	case bad:
-		return placement.Broken
+		return placement.Failed
 	}
 	return placement.NoFault
 }
--- a/placement/fault.go
+++ b/placement/fault.go
@@ -16,8 +16,8 @@
 	Unreachable
 	// Rejected: the replica turned it away.
 	Rejected
-	// Broken: the replica took it and gave no sound answer.
-	Broken
+	// Failed: the replica took it and gave no sound answer.
+	Failed
 )
 
 const (
@@ -58,7 +58,7 @@
 		return "not reached"
 	case Rejected:
 		return "full"
-	case Broken:
+	case Failed:
 		return "broken"
 	}
 	return "none"
@@ -67,7 +67,7 @@
 // weights are what each fault adds, as a part of what is missing to a replica
 // that is sure to fail. One that is not reached is gone as a rule; one
 // instance may be cut off from it, but others then read there.
-var weights = map[Fault]float64{Unreachable: 0.5, Rejected: 0.3, Broken: 0.25}
+var weights = map[Fault]float64{Unreachable: 0.5, Rejected: 0.3, Failed: 0.25}
 
 // fault is how likely a replica is to fail, from 0 to 1, as of a moment. All
 // instances tell their keeper of the faults that they meet, so that the fleet
