--- a/entry/group.go
+++ b/entry/group.go
@@ -41,7 +41,7 @@
 	}
 	var l []*pool.Replica
 	for _, r := range c {
-		if g.OfReplica(r.ID) == group {
+		if g.ForReplica(r.ID) == group {
 			l = append(l, r)
 		}
 	}
--- a/placement/groups.go
+++ b/placement/groups.go
@@ -33,7 +33,7 @@
 		return g
 	}
 	for id := range ids {
-		g.sizes[g.OfReplica(id)]++
+		g.sizes[g.ForReplica(id)]++
 	}
 	return g
 }
@@ -51,8 +51,8 @@
 // Len returns how many groups there are.
 func (g Groups) Len() int { return len(g.sizes) }
 
-// OfReplica returns the group of the replica with that id.
-func (g Groups) OfReplica(id string) int {
+// ForReplica returns the group of the replica with that id.
+func (g Groups) ForReplica(id string) int {
 	return int(xxhash.Sum64String(id) & uint64(len(g.sizes)-1))
 }
 
--- a/placement/groups_test.go
+++ b/placement/groups_test.go
@@ -61,7 +61,7 @@
 		g := groupsOf(l)
 		size, keys := make([]float64, g.Len()), make([]float64, g.Len())
 		for _, id := range l {
-			size[g.OfReplica(id)]++
+			size[g.ForReplica(id)]++
 		}
 		const n = 8000
 		for i := range n {
