--- a/entry/group.go
+++ b/entry/group.go
@@ -18,7 +18,7 @@
 		key = w.q.ID
 	}
 	g := placement.NewGroups(len(allowed), pool.IDs(allowed))
-	k := g.OfKey(key)
+	k := g.ForKey(key)
 	if in := inGroup(c, g, k); len(in) > 0 {
 		c = in
 	}
--- a/placement/groups.go
+++ b/placement/groups.go
@@ -56,10 +56,10 @@
 	return int(xxhash.Sum64String(id) & uint64(len(g.sizes)-1))
 }
 
-// OfKey returns the group of the key. Each group has keys by the number of its
+// ForKey returns the group of the key. Each group has keys by the number of its
 // replicas, and a replica that comes or goes moves only the keys that have to
 // make up for it: weighted rendezvous hashing.
-func (g Groups) OfKey(key string) int {
+func (g Groups) ForKey(key string) int {
 	best, most := 0, math.Inf(-1)
 	for i, n := range g.sizes {
 		if x := weight(key, i, n); x > most {
--- a/placement/groups_test.go
+++ b/placement/groups_test.go
@@ -43,7 +43,7 @@
 		a, b := groupsOf(c.before), groupsOf(c.now)
 		moved := 0
 		for i := range 2000 {
-			if k := fmt.Sprint("key", i); a.OfKey(k) != b.OfKey(k) {
+			if k := fmt.Sprint("key", i); a.ForKey(k) != b.ForKey(k) {
 				moved++
 			}
 		}
@@ -65,7 +65,7 @@
 		}
 		const n = 8000
 		for i := range n {
-			keys[g.OfKey(fmt.Sprint(i))]++
+			keys[g.ForKey(fmt.Sprint(i))]++
 		}
 		for i := range size {
 			want := n * size[i] / float64(len(l))
@@ -83,6 +83,6 @@
 	l := replicaIDs(0, 600)
 	b.ReportAllocs()
 	for b.Loop() {
-		groupsOf(l).OfKey("model/part")
+		groupsOf(l).ForKey("model/part")
 	}
 }
