--- a/adapter/rpc/admin.go
+++ b/adapter/rpc/admin.go
@@ -250,7 +250,7 @@
 	for _, r := range s.node.Replicas() {
 		w.Replicas = append(w.Replicas, &fieldvalev1.ReplicaStatus{
 			Id: r.ID, DataCentre: r.DataCentre, Kind: string(r.Kind), Service: r.Service, Versions: versionTexts(r.Versions),
-			Leaving: r.Leaving, Running: int32(r.Load.Running), Waiting: int32(r.Load.Waiting),
+			Leaving: r.Draining, Running: int32(r.Load.Running), Waiting: int32(r.Load.Waiting),
 		})
 	}
 	return w, nil
--- a/cmd/fieldvale-node/cloud.go
+++ b/cmd/fieldvale-node/cloud.go
@@ -327,7 +327,7 @@
 func (c *cloud) zones(service string) []scaling.Zone {
 	n := map[string]int{}
 	for _, r := range c.n.view.Get().Replicas {
-		if r.Service == service && !r.Leaving {
+		if r.Service == service && !r.Draining {
 			n[r.DataCentre]++
 		}
 	}
--- a/control/facts.go
+++ b/control/facts.go
@@ -66,7 +66,7 @@
 	u := false
 	for _, i := range n.table.All(peer.Leaving, t) {
 		r, ok := n.replicas[i.Key.Name]
-		if ok && !r.Leaving {
+		if ok && !r.Draining {
 			n.replicas[r.ID] = r.WithLeaving()
 			u = true
 		}
--- a/control/replicas.go
+++ b/control/replicas.go
@@ -49,13 +49,13 @@
 		news = news || !ok
 		if ok {
 			x.Versions, x.Load = o.Versions, o.Load
-			x.Leaving = x.Leaving || o.Leaving
+			x.Draining = x.Draining || o.Draining
 		}
-		if x.Leaving {
+		if x.Draining {
 			n.tellLeaving(x.ID, t)
 		}
 		if _, gone := n.table.Get(peer.Key{Kind: peer.Leaving, Name: x.ID}, t); gone {
-			x.Leaving = true
+			x.Draining = true
 		}
 		r[x.ID] = x
 	}
@@ -121,7 +121,7 @@
 		return
 	}
 	t := n.Clock()
-	if p.Leaving && !o.Leaving {
+	if p.Leaving && !o.Draining {
 		o = o.WithLeaving()
 		n.tellLeaving(r.ID, t)
 		n.hurry()
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -84,7 +84,7 @@
 	if !ok {
 		return
 	}
-	if s.doubts(now) && !r.Leaving {
+	if s.doubts(now) && !r.Draining {
 		s.missing[name] = true
 		return
 	}
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -22,7 +22,7 @@
 func TestEntriesThatLapseWhileTheStoreIsAway(t *testing.T) {
 	s := discovery.NewSet()
 	for _, id := range []string{"back", "gone", "leaving"} {
-		s.Put(pool.Replica{ID: id, Leaving: id == "leaving"})
+		s.Put(pool.Replica{ID: id, Draining: id == "leaving"})
 	}
 	s.Away()
 	s.Back(noon)
--- a/entry/view.go
+++ b/entry/view.go
@@ -60,7 +60,7 @@
 }
 
 func (v *View) index(r *pool.Replica) {
-	if r.Leaving {
+	if r.Draining {
 		return
 	}
 	if r.Kind == pool.Service {
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -374,7 +374,7 @@
 	l := f.await(t, func(n *control.Node) bool {
 		for _, x := range n.Replicas() {
 			if x.ID == id {
-				return x.Leaving
+				return x.Draining
 			}
 		}
 		return false
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -41,7 +41,7 @@
 	Slots int
 	// ChecksFence says that it refuses orders with a lower fence.
 	ChecksFence bool
-	Leaving     bool
+	Draining     bool
 	// ColdUntil is until when it has just started and may get a few requests
 	// only; zero for a warm one.
 	ColdUntil time.Time
@@ -60,7 +60,7 @@
 
 // Serves reports whether new work for the version may go to the replica.
 func (r Replica) Serves(v version.ID) bool {
-	return r.Kind == Engine && !r.Leaving && slices.Contains(r.Versions, v)
+	return r.Kind == Engine && !r.Draining && slices.Contains(r.Versions, v)
 }
 
 // IsCold reports whether it has just started and may get a few requests only.
@@ -82,7 +82,7 @@
 
 // WithLeaving returns r marked as leaving.
 func (r Replica) WithLeaving() Replica {
-	r.Leaving = true
+	r.Draining = true
 	return r
 }
 
--- a/state/replicas.go
+++ b/state/replicas.go
@@ -79,7 +79,7 @@
 	if known && was.ID != r.ID {
 		s.log("replica_restarted", "replica", r.ID, "before", was.ID, "service", r.Service)
 	}
-	if r.Leaving && !was.Leaving {
+	if r.Draining && !was.Draining {
 		s.log("replica_leaving", "replica", r.ID, "service", r.Service)
 	}
 	if r.IsCold(now) && !was.IsCold(now) {
