--- a/control/facts.go
+++ b/control/facts.go
@@ -67,7 +67,7 @@
 	for _, i := range n.table.All(peer.Leaving, t) {
 		r, ok := n.replicas[i.Key.Name]
 		if ok && !r.Draining {
-			n.replicas[r.ID] = r.WithLeaving()
+			n.replicas[r.ID] = r.WithDraining()
 			u = true
 		}
 	}
--- a/control/replicas.go
+++ b/control/replicas.go
@@ -122,7 +122,7 @@
 	}
 	t := n.Clock()
 	if p.Leaving && !o.Draining {
-		o = o.WithLeaving()
+		o = o.WithDraining()
 		n.tellLeaving(r.ID, t)
 		n.hurry()
 	}
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -80,8 +80,8 @@
 	return r
 }
 
-// WithLeaving returns r marked as leaving.
-func (r Replica) WithLeaving() Replica {
+// WithDraining returns r marked as leaving.
+func (r Replica) WithDraining() Replica {
 	r.Draining = true
 	return r
 }
