--- a/adapter/platform/platform.go
+++ b/adapter/platform/platform.go
@@ -69,7 +69,7 @@
 		}
 		l.Replicas = append(l.Replicas, pool.Replica{
 			ID: i.ID, Addr: i.Addr, DataCentre: i.DataCentre, Kind: pool.Kind(i.Kind),
-			Service: i.Service, Slots: i.Slots, ChecksFence: i.ChecksFence, Draining: i.Leaving,
+			Service: i.Service, Slots: i.Slots, ChecksFencingToken: i.ChecksFence, Draining: i.Leaving,
 		})
 	}
 	return l, nil
--- a/adapter/rpc/mapping.go
+++ b/adapter/rpc/mapping.go
@@ -38,7 +38,7 @@
 func replicaToWire(r pool.Replica) *fieldvalev1.Replica {
 	return &fieldvalev1.Replica{
 		Id: r.ID, Addr: r.Addr, DataCentre: r.DataCentre, Kind: string(r.Kind), Service: r.Service,
-		Versions: versionTexts(r.Versions), Slots: int32(r.Slots), ChecksFence: r.ChecksFence, Leaving: r.Draining,
+		Versions: versionTexts(r.Versions), Slots: int32(r.Slots), ChecksFence: r.ChecksFencingToken, Leaving: r.Draining,
 		Running: int32(r.Load.Running), Waiting: int32(r.Load.Waiting), LoadAt: r.Load.At.UnixNano(), LoadLocal: int32(r.Load.Local),
 	}
 }
@@ -46,7 +46,7 @@
 func replicaFromWire(w *fieldvalev1.Replica) pool.Replica {
 	return pool.Replica{
 		ID: w.Id, Addr: w.Addr, DataCentre: w.DataCentre, Kind: pool.Kind(w.Kind), Service: w.Service,
-		Versions: parseVersions(w.Versions), Slots: int(w.Slots), ChecksFence: w.ChecksFence, Draining: w.Leaving,
+		Versions: parseVersions(w.Versions), Slots: int(w.Slots), ChecksFencingToken: w.ChecksFence, Draining: w.Leaving,
 		Load: pool.Load{Running: int(w.Running), Waiting: int(w.Waiting), At: time.Unix(0, w.LoadAt), Local: int(w.LoadLocal)},
 	}
 }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -39,8 +39,8 @@
 	Versions []version.ID
 	// Slots is how many requests it works on at once.
 	Slots int
-	// ChecksFence says that it refuses orders with a lower fence.
-	ChecksFence bool
+	// ChecksFencingToken says that it refuses orders with a lower fence.
+	ChecksFencingToken bool
 	Draining     bool
 	// ColdUntil is until when it has just started and may get a few requests
 	// only; zero for a warm one.
--- a/standin/world/backend.go
+++ b/standin/world/backend.go
@@ -162,7 +162,7 @@
 	defer b.mu.Unlock()
 	return pool.Replica{
 		ID: b.Proc.Name, Addr: b.Proc.Name, DataCentre: b.Proc.Site, Kind: b.Kind, Service: b.Service,
-		Slots: b.Slots, ChecksFence: b.ChecksFence, Draining: b.leaving,
+		Slots: b.Slots, ChecksFencingToken: b.ChecksFence, Draining: b.leaving,
 	}
 }
 
