--- a/adapter/rpc/mapping.go
+++ b/adapter/rpc/mapping.go
@@ -39,7 +39,7 @@
 	return &fieldvalev1.Replica{
 		Id: r.ID, Addr: r.Addr, DataCentre: r.DataCentre, Kind: string(r.Kind), Service: r.Service,
 		Versions: versionTexts(r.Versions), Slots: int32(r.Slots), ChecksFence: r.ChecksFencingToken, Leaving: r.Draining,
-		Running: int32(r.Load.Running), Waiting: int32(r.Load.Waiting), LoadAt: r.Load.At.UnixNano(), LoadLocal: int32(r.Load.Local),
+		Running: int32(r.Load.Running), Waiting: int32(r.Load.Waiting), LoadAt: r.Load.ReportedAt.UnixNano(), LoadLocal: int32(r.Load.Local),
 	}
 }
 
@@ -47,7 +47,7 @@
 	return pool.Replica{
 		ID: w.Id, Addr: w.Addr, DataCentre: w.DataCentre, Kind: pool.Kind(w.Kind), Service: w.Service,
 		Versions: parseVersions(w.Versions), Slots: int(w.Slots), ChecksFencingToken: w.ChecksFence, Draining: w.Leaving,
-		Load: pool.Load{Running: int(w.Running), Waiting: int(w.Waiting), At: time.Unix(0, w.LoadAt), Local: int(w.LoadLocal)},
+		Load: pool.Load{Running: int(w.Running), Waiting: int(w.Waiting), ReportedAt: time.Unix(0, w.LoadAt), Local: int(w.LoadLocal)},
 	}
 }
 
--- a/control/replicas.go
+++ b/control/replicas.go
@@ -130,7 +130,7 @@
 	if p.Slots > 0 {
 		o.Slots = p.Slots
 	}
-	n.replicas[r.ID] = o.WithLoad(pool.Load{Running: p.Running, Waiting: p.Waiting, At: t, Local: n.local[r.ID]})
+	n.replicas[r.ID] = o.WithLoad(pool.Load{Running: p.Running, Waiting: p.Waiting, ReportedAt: t, Local: n.local[r.ID]})
 	n.view++
 }
 
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -52,7 +52,7 @@
 type Load struct {
 	Running int
 	Waiting int
-	At      time.Time
+	ReportedAt      time.Time
 	// Local is how many of this instance's own requests were on the replica
 	// when the report was taken; they are part of Running and Waiting.
 	Local int
