--- a/entry/homes.go
+++ b/entry/homes.go
@@ -99,7 +99,7 @@
 			s = &unused
 		}
 		if allowed(s, b.notices.Availability(x.ID, now)) && !slices.Contains(tried, x.ID) {
-			b.scratch = append(b.scratch, pool.Candidate{Replica: x, Local: s.running, Pending: s.pending})
+			b.scratch = append(b.scratch, pool.Candidate{Replica: x, Local: s.running, PendingMs: s.pending})
 		}
 	}
 }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -108,9 +108,9 @@
 	Replica *Replica
 	// Local is this instance's own requests on the replica now.
 	Local int
-	// Pending is the work of this instance that waits or is being read
+	// PendingMs is the work of this instance that waits or is being read
 	// there, in milliseconds of the replica's time as far as that is known.
-	Pending float64
+	PendingMs float64
 	// Away is what the replica counts for by its distance, in milliseconds.
 	Away float64
 }
