--- a/entry/homes.go
+++ b/entry/homes.go
@@ -32,7 +32,7 @@
 	b.gatherSound(r, tried, now)
 	for i, c := range b.scratch {
 		if c.Replica.DataCentre != q.dataCentre {
-			b.scratch[i].Away = q.away
+			b.scratch[i].RemotePenaltyMs = q.away
 		}
 	}
 	i := b.homes.Choose(pool.Ask{Affinity: q.affinity}, b.scratch)
--- a/pool/homes.go
+++ b/pool/homes.go
@@ -41,7 +41,7 @@
 const runningCost = 2
 
 func (c Candidate) cost() float64 {
-	return c.PendingMs + runningCost*float64(c.Local) + c.Away
+	return c.PendingMs + runningCost*float64(c.Local) + c.RemotePenaltyMs
 }
 
 // leastPending begins anywhere, so that equals are taken in turn.
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -111,8 +111,8 @@
 	// PendingMs is the work of this instance that waits or is being read
 	// there, in milliseconds of the replica's time as far as that is known.
 	PendingMs float64
-	// Away is what the replica counts for by its distance, in milliseconds.
-	Away float64
+	// RemotePenaltyMs is what the replica counts for by its distance, in milliseconds.
+	RemotePenaltyMs float64
 }
 
 // Work estimates the requests on the replica now: what others had there when
