--- a/pool/pool.go
+++ b/pool/pool.go
@@ -115,20 +115,20 @@
 	RemotePenaltyMs float64
 }
 
-// Work estimates the requests on the replica now: what others had there when
+// EstimatedRequests estimates the requests on the replica now: what others had there when
 // it last reported, and what this instance has there itself. Taking the own
 // share out of the report keeps a lagging report from being counted twice.
-func (c Candidate) Work() int {
+func (c Candidate) EstimatedRequests() int {
 	o := c.Replica.Load.Running + c.Replica.Load.Waiting - c.Replica.Load.Local
 	return max(0, o) + c.Local
 }
 
 // Relative is Work by slot, so that unlike replicas compare.
 func (c Candidate) Relative() float64 {
-	return float64(c.Work()) / float64(max(1, c.Replica.Slots))
+	return float64(c.EstimatedRequests()) / float64(max(1, c.Replica.Slots))
 }
 
 // Free is the number of slots that seem idle.
 func (c Candidate) Free() int {
-	return c.Replica.Slots - c.Work()
+	return c.Replica.Slots - c.EstimatedRequests()
 }
--- a/pool/rule.go
+++ b/pool/rule.go
@@ -107,7 +107,7 @@
 func (IdleFirst) Pick(_ Ask, c []Candidate, r *rand.Rand) int {
 	n, k := 0, -1
 	for i, x := range c {
-		if x.Work() > 0 {
+		if x.EstimatedRequests() > 0 {
 			continue
 		}
 		n++
