--- a/pool/pool.go
+++ b/pool/pool.go
@@ -123,8 +123,8 @@
 	return max(0, o) + c.Local
 }
 
-// Relative is Work by slot, so that unlike replicas compare.
-func (c Candidate) Relative() float64 {
+// LoadPerSlot is Work by slot, so that unlike replicas compare.
+func (c Candidate) LoadPerSlot() float64 {
 	return float64(c.EstimatedRequests()) / float64(max(1, c.Replica.Slots))
 }
 
--- a/pool/rule.go
+++ b/pool/rule.go
@@ -92,7 +92,7 @@
 	if j >= i {
 		j++
 	}
-	if c[j].Relative() < c[i].Relative() {
+	if c[j].LoadPerSlot() < c[i].LoadPerSlot() {
 		return j
 	}
 	return i
@@ -139,7 +139,7 @@
 		return f.Else.Pick(a, c, r)
 	}
 	i := highest(a.Affinity, c)
-	if c[i].Relative() <= max(slack, f.Bound*meanRelative(c)) {
+	if c[i].LoadPerSlot() <= max(slack, f.Bound*meanRelative(c)) {
 		return i
 	}
 	return f.Else.Pick(a, c, r)
@@ -168,7 +168,7 @@
 func meanRelative(c []Candidate) float64 {
 	t := 0.0
 	for _, x := range c {
-		t += x.Relative()
+		t += x.LoadPerSlot()
 	}
 	return t / float64(len(c))
 }
