--- a/entry/backends.go
+++ b/entry/backends.go
@@ -119,7 +119,7 @@
 	w, n := 0, 0
 	for _, x := range r {
 		c := pool.Candidate{Replica: x, Local: b.of(x.ID).running}
-		w += max(0, -c.Free())
+		w += max(0, -c.FreeSlots())
 		n += max(1, x.Slots)
 	}
 	if n == 0 {
--- a/measure/overload.go
+++ b/measure/overload.go
@@ -153,7 +153,7 @@
 	if o.rule.limits {
 		w, n := 0, 0
 		for _, c := range o.live(q.router) {
-			w += max(0, -c.Free())
+			w += max(0, -c.FreeSlots())
 			n += c.Replica.Slots
 		}
 		o.budgets[q.router].Request()
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -128,7 +128,7 @@
 	return float64(c.EstimatedRequests()) / float64(max(1, c.Replica.Slots))
 }
 
-// Free is the number of slots that seem idle.
-func (c Candidate) Free() int {
+// FreeSlots is the number of slots that seem idle.
+func (c Candidate) FreeSlots() int {
 	return c.Replica.Slots - c.EstimatedRequests()
 }
