--- a/pool/homes.go
+++ b/pool/homes.go
@@ -21,11 +21,11 @@
 // Pick implements Rule.
 func (h Homes) Pick(a Ask, c []Candidate, r *rand.Rand) int {
 	least := leastPending(c, r)
-	if a.Affinity == "" {
+	if a.AffinityKey == "" {
 		return least
 	}
 	bound := c[least].cost() + h.Slack
-	first, second := twoHighest(a.Affinity, c)
+	first, second := twoHighest(a.AffinityKey, c)
 	if c[first].cost() <= bound {
 		return first
 	}
--- a/pool/rule.go
+++ b/pool/rule.go
@@ -8,9 +8,9 @@
 
 // Ask is what a rule may know of the request.
 type Ask struct {
-	// Affinity is what the request would find cached, such as its session;
+	// AffinityKey is what the request would find cached, such as its session;
 	// empty for none.
-	Affinity string
+	AffinityKey string
 }
 
 // Rule chooses one of the candidates, which are never none.
@@ -135,10 +135,10 @@
 
 // Pick implements Rule.
 func (f Affine[R]) Pick(a Ask, c []Candidate, r *rand.Rand) int {
-	if a.Affinity == "" {
+	if a.AffinityKey == "" {
 		return f.Else.Pick(a, c, r)
 	}
-	i := highest(a.Affinity, c)
+	i := highest(a.AffinityKey, c)
 	if c[i].LoadPerSlot() <= max(slack, f.Bound*meanRelative(c)) {
 		return i
 	}
