--- a/entry/backends.go
+++ b/entry/backends.go
@@ -73,7 +73,7 @@
 }
 
 // take chooses a replica and counts the request on it; nil if none is left.
-func (b *backends) take(r []*pool.Replica, a pool.Ask, tried []string, now time.Time) *pool.Replica {
+func (b *backends) take(r []*pool.Replica, a pool.Request, tried []string, now time.Time) *pool.Replica {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, v := range []notice.Availability{notice.Available, notice.LastResort} {
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -18,7 +18,7 @@
 		x := v.Get()
 		p := x.Active.Decide(q.Caller, q.Task, q.Size)
 		w, _ := x.Active.Pick(q.Caller, p[0].Model, session.Session{ID: "s"}, x.IsTripped)
-		c := r.backends.take(x.byVersion[w], pool.Ask{AffinityKey: "s"}, nil, now)
+		c := r.backends.take(x.byVersion[w], pool.Request{AffinityKey: "s"}, nil, now)
 		r.backends.done(c.ID, nil, now)
 	}
 }
--- a/entry/bounded.go
+++ b/entry/bounded.go
@@ -182,7 +182,7 @@
 
 // takeFor chooses a replica for a request of the product's own interfaces and counts it
 // there; nil if none may get it, with when to come back. It is taken off with backends.done.
-func (r *Router) takeFor(ctx context.Context, service string, l []*pool.Replica, a pool.Ask, tried []string, rank int) (*pool.Replica, time.Time) {
+func (r *Router) takeFor(ctx context.Context, service string, l []*pool.Replica, a pool.Request, tried []string, rank int) (*pool.Replica, time.Time) {
 	var retryAt time.Time
 	for {
 		b := r.backends.take(l, a, tried, r.clock())
--- a/entry/homes.go
+++ b/entry/homes.go
@@ -35,7 +35,7 @@
 			b.scratch[i].RemotePenaltyMs = q.away
 		}
 	}
-	i := b.homes.Choose(pool.Ask{AffinityKey: q.affinity}, b.scratch)
+	i := b.homes.Choose(pool.Request{AffinityKey: q.affinity}, b.scratch)
 	if i < 0 {
 		return nil
 	}
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -100,7 +100,7 @@
 						if road == "call" {
 							_, err = routers[k].serviceTries(t.Context(), ServiceRequest{ID: fmt.Sprint(i), Service: "memory", Caller: config.Caller{Team: "t"}, Deadline: now.Add(time.Second)})
 						} else {
-							b, retryAt := routers[k].takeFor(t.Context(), model.String(), v.Get().byVersion[model], pool.Ask{}, nil, 1)
+							b, retryAt := routers[k].takeFor(t.Context(), model.String(), v.Get().byVersion[model], pool.Request{}, nil, 1)
 							if b == nil {
 								err = routers[k].noReplica(retryAt)
 							} else {
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -266,7 +266,7 @@
 				if err != nil && len(w.sent) == 0 {
 					w.checkRefusal(failed(err))
 				}
-			} else if b, _ := r.takeFor(context.Background(), "m@1", v.Get().byVersion[version.New("m", "1")], pool.Ask{}, nil, 1); b != nil {
+			} else if b, _ := r.takeFor(context.Background(), "m@1", v.Get().byVersion[version.New("m", "1")], pool.Request{}, nil, 1); b != nil {
 				w.got(b.ID)
 				w.says(b.ID, w.now)
 				r.backends.done(b.ID, nil, w.now)
--- a/entry/router.go
+++ b/entry/router.go
@@ -323,7 +323,7 @@
 			return worse(last, w.quarantined())
 		}
 		var b *pool.Replica
-		if b, retryAt = r.takeFor(ctx, x.String(), v.byVersion[x], pool.Ask{AffinityKey: q.Session.ID}, tried, q.Priority); b == nil {
+		if b, retryAt = r.takeFor(ctx, x.String(), v.byVersion[x], pool.Request{AffinityKey: q.Session.ID}, tried, q.Priority); b == nil {
 			w.untried()
 			break
 		}
--- a/entry/service.go
+++ b/entry/service.go
@@ -129,7 +129,7 @@
 			break
 		}
 		var b *pool.Replica
-		if b, retryAt = r.takeFor(ctx, q.Service, r.view.Get().byService[q.Service], pool.Ask{}, tried, 0); b == nil {
+		if b, retryAt = r.takeFor(ctx, q.Service, r.view.Get().byService[q.Service], pool.Request{}, tried, 0); b == nil {
 			w.untried()
 			break
 		}
--- a/measure/overload.go
+++ b/measure/overload.go
@@ -173,7 +173,7 @@
 func (o *overloading) dispatch(q *overloadRequest) {
 	o.attempts++
 	c := o.live(q.router)
-	n := o.choosers[q.router].Choose(pool.Ask{}, c) + o.lost
+	n := o.choosers[q.router].Choose(pool.Request{}, c) + o.lost
 	f := o.r[n]
 	if o.rule.bounded && len(f.queue) >= queueEach {
 		q.tries++
--- a/measure/placement.go
+++ b/measure/placement.go
@@ -47,7 +47,7 @@
 			c = append(c, pool.NewChooser(rule(), rand.NewPCG(seed, uint64(n))))
 		}
 		return func(router int, session string, x []pool.Candidate) int {
-			return c[router].Choose(pool.Ask{AffinityKey: session}, x)
+			return c[router].Choose(pool.Request{AffinityKey: session}, x)
 		}
 	}}
 }
--- a/pool/homes.go
+++ b/pool/homes.go
@@ -19,7 +19,7 @@
 }
 
 // Pick implements Rule.
-func (h Homes) Pick(a Ask, c []Candidate, r *rand.Rand) int {
+func (h Homes) Pick(a Request, c []Candidate, r *rand.Rand) int {
 	least := leastPending(c, r)
 	if a.AffinityKey == "" {
 		return least
--- a/pool/rule.go
+++ b/pool/rule.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Ask is what a rule may know of the request.
-type Ask struct {
+// Request is what a rule may know of the request.
+type Request struct {
 	// AffinityKey is what the request would find cached, such as its session;
 	// empty for none.
 	AffinityKey string
@@ -15,7 +15,7 @@
 
 // Rule chooses one of the candidates, which are never none.
 type Rule interface {
-	Pick(a Ask, c []Candidate, r *rand.Rand) int
+	Pick(a Request, c []Candidate, r *rand.Rand) int
 }
 
 // Chooser applies one rule. The type parameter keeps the call free of
@@ -32,7 +32,7 @@
 }
 
 // Choose returns the chosen candidate's index, or -1 if there is none.
-func (c *Chooser[R]) Choose(a Ask, x []Candidate) int {
+func (c *Chooser[R]) Choose(a Request, x []Candidate) int {
 	switch len(x) {
 	case 0:
 		return -1
@@ -46,7 +46,7 @@
 type Random struct{}
 
 // Pick implements Rule.
-func (Random) Pick(_ Ask, c []Candidate, r *rand.Rand) int {
+func (Random) Pick(_ Request, c []Candidate, r *rand.Rand) int {
 	return r.IntN(len(c))
 }
 
@@ -56,7 +56,7 @@
 }
 
 // Pick implements Rule.
-func (o *RoundRobin) Pick(_ Ask, c []Candidate, _ *rand.Rand) int {
+func (o *RoundRobin) Pick(_ Request, c []Candidate, _ *rand.Rand) int {
 	o.Next++
 	return o.Next % len(c)
 }
@@ -66,7 +66,7 @@
 type LeastReported struct{}
 
 // Pick implements Rule.
-func (LeastReported) Pick(_ Ask, c []Candidate, _ *rand.Rand) int {
+func (LeastReported) Pick(_ Request, c []Candidate, _ *rand.Rand) int {
 	return least(c, func(x Candidate) float64 {
 		return float64(x.Replica.Load.Running+x.Replica.Load.Waiting) / float64(max(1, x.Replica.Slots))
 	})
@@ -76,7 +76,7 @@
 type LeastLocal struct{}
 
 // Pick implements Rule.
-func (LeastLocal) Pick(_ Ask, c []Candidate, r *rand.Rand) int {
+func (LeastLocal) Pick(_ Request, c []Candidate, r *rand.Rand) int {
 	o := r.IntN(len(c))
 	i := least(rotate(c, o), func(x Candidate) float64 { return float64(x.Local) })
 	return (i + o) % len(c)
@@ -86,7 +86,7 @@
 type TwoChoices struct{}
 
 // Pick implements Rule.
-func (TwoChoices) Pick(_ Ask, c []Candidate, r *rand.Rand) int {
+func (TwoChoices) Pick(_ Request, c []Candidate, r *rand.Rand) int {
 	i := r.IntN(len(c))
 	j := r.IntN(len(c) - 1)
 	if j >= i {
@@ -104,7 +104,7 @@
 type IdleFirst struct{}
 
 // Pick implements Rule.
-func (IdleFirst) Pick(_ Ask, c []Candidate, r *rand.Rand) int {
+func (IdleFirst) Pick(_ Request, c []Candidate, r *rand.Rand) int {
 	n, k := 0, -1
 	for i, x := range c {
 		if x.EstimatedRequests() > 0 {
@@ -134,7 +134,7 @@
 const slack = 0.5
 
 // Pick implements Rule.
-func (f Affine[R]) Pick(a Ask, c []Candidate, r *rand.Rand) int {
+func (f Affine[R]) Pick(a Request, c []Candidate, r *rand.Rand) int {
 	if a.AffinityKey == "" {
 		return f.Else.Pick(a, c, r)
 	}
