--- a/pool/rule.go
+++ b/pool/rule.go
@@ -124,7 +124,7 @@
 // Affine prefers the replica that a session's hash names while its load is
 // bounded, and falls back to another rule.
 type Affine[R Rule] struct {
-	Else R
+	Fallback R
 	// Bound is how many times the mean relative load the preferred replica
 	// may have.
 	Bound float64
@@ -136,13 +136,13 @@
 // Pick implements Rule.
 func (f Affine[R]) Pick(a Request, c []Candidate, r *rand.Rand) int {
 	if a.AffinityKey == "" {
-		return f.Else.Pick(a, c, r)
+		return f.Fallback.Pick(a, c, r)
 	}
 	i := highest(a.AffinityKey, c)
 	if c[i].LoadPerSlot() <= max(slack, f.Bound*meanRelative(c)) {
 		return i
 	}
-	return f.Else.Pick(a, c, r)
+	return f.Fallback.Pick(a, c, r)
 }
 
 // highest is rendezvous hashing: the choice moves only if the replica goes.
