--- a/entry/backends.go
+++ b/entry/backends.go
@@ -58,7 +58,7 @@
 	return &backends{
 		state:   map[string]*backend{},
 		notices: n,
-		chooser: pool.NewChooser(sessionRule{Bound: affinityBound}, s),
+		chooser: pool.NewChooser(sessionRule{LoadFactor: affinityBound}, s),
 		homes:   pool.NewChooser(pool.Homes{Slack: homeSlack}, s),
 	}
 }
--- a/pool/rule.go
+++ b/pool/rule.go
@@ -125,9 +125,9 @@
 // bounded, and falls back to another rule.
 type Affine[R Rule] struct {
 	Fallback R
-	// Bound is how many times the mean relative load the preferred replica
+	// LoadFactor is how many times the mean relative load the preferred replica
 	// may have.
-	Bound float64
+	LoadFactor float64
 }
 
 // slack lets a preferred replica have this relative load in any case.
@@ -139,7 +139,7 @@
 		return f.Fallback.Pick(a, c, r)
 	}
 	i := highest(a.AffinityKey, c)
-	if c[i].LoadPerSlot() <= max(slack, f.Bound*meanRelative(c)) {
+	if c[i].LoadPerSlot() <= max(slack, f.LoadFactor*meanRelative(c)) {
 		return i
 	}
 	return f.Fallback.Pick(a, c, r)
