--- a/entry/backends.go
+++ b/entry/backends.go
@@ -13,7 +13,7 @@
 )
 
 // sessionRule is the rule by which replicas are chosen (docs/MEASURES.md).
-type sessionRule = pool.Affine[pool.TwoChoices]
+type sessionRule = pool.BoundedAffinity[pool.TwoChoices]
 
 // affinityBound is how far above the mean load a session's replica may be.
 const affinityBound = 1.5
--- a/pool/rule.go
+++ b/pool/rule.go
@@ -121,9 +121,9 @@
 	return r.IntN(len(c))
 }
 
-// Affine prefers the replica that a session's hash names while its load is
+// BoundedAffinity prefers the replica that a session's hash names while its load is
 // bounded, and falls back to another rule.
-type Affine[R Rule] struct {
+type BoundedAffinity[R Rule] struct {
 	Fallback R
 	// LoadFactor is how many times the mean relative load the preferred replica
 	// may have.
@@ -134,7 +134,7 @@
 const slack = 0.5
 
 // Pick implements Rule.
-func (f Affine[R]) Pick(a Request, c []Candidate, r *rand.Rand) int {
+func (f BoundedAffinity[R]) Pick(a Request, c []Candidate, r *rand.Rand) int {
 	if a.AffinityKey == "" {
 		return f.Fallback.Pick(a, c, r)
 	}
