--- a/entry/backends.go
+++ b/entry/backends.go
@@ -59,7 +59,7 @@
 		state:   map[string]*backend{},
 		notices: n,
 		chooser: pool.NewChooser(sessionRule{LoadFactor: affinityBound}, s),
-		homes:   pool.NewChooser(pool.Homes{Slack: homeSlack}, s),
+		homes:   pool.NewChooser(pool.Homes{SlackMs: homeSlack}, s),
 	}
 }
 
--- a/pool/homes.go
+++ b/pool/homes.go
@@ -13,9 +13,9 @@
 // has too much to do, the second choice of the same hash takes over, so that
 // the part is read again at one place only; else the least busy replica.
 type Homes struct {
-	// Slack is how much more pending work, in milliseconds, the home may
+	// SlackMs is how much more pending work, in milliseconds, the home may
 	// have than the least busy of all replicas.
-	Slack float64
+	SlackMs float64
 }
 
 // Pick implements Rule.
@@ -24,7 +24,7 @@
 	if a.AffinityKey == "" {
 		return least
 	}
-	bound := c[least].cost() + h.Slack
+	bound := c[least].cost() + h.SlackMs
 	first, second := twoHighest(a.AffinityKey, c)
 	if c[first].cost() <= bound {
 		return first
