--- a/entry/backends.go
+++ b/entry/backends.go
@@ -23,7 +23,7 @@
 	mu      sync.Mutex
 	state   map[string]*backend
 	chooser *pool.Chooser[sessionRule]
-	homes   *pool.Chooser[pool.Homes]
+	homes   *pool.Chooser[pool.PrefixAffinity]
 	scratch []pool.Candidate
 	// notices is what replicas said of themselves: no choice goes against it.
 	notices *notice.Tracker
@@ -59,7 +59,7 @@
 		state:   map[string]*backend{},
 		notices: n,
 		chooser: pool.NewChooser(sessionRule{LoadFactor: affinityBound}, s),
-		homes:   pool.NewChooser(pool.Homes{SlackMs: homeSlack}, s),
+		homes:   pool.NewChooser(pool.PrefixAffinity{SlackMs: homeSlack}, s),
 	}
 }
 
--- a/pool/homes.go
+++ b/pool/homes.go
@@ -8,18 +8,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Homes sends requests that share a part of their prompt to the same replica,
+// PrefixAffinity sends requests that share a part of their prompt to the same replica,
 // its home, where the part is kept and need not be read again. If the home
 // has too much to do, the second choice of the same hash takes over, so that
 // the part is read again at one place only; else the least busy replica.
-type Homes struct {
+type PrefixAffinity struct {
 	// SlackMs is how much more pending work, in milliseconds, the home may
 	// have than the least busy of all replicas.
 	SlackMs float64
 }
 
 // Pick implements Rule.
-func (h Homes) Pick(a Request, c []Candidate, r *rand.Rand) int {
+func (h PrefixAffinity) Pick(a Request, c []Candidate, r *rand.Rand) int {
 	least := leastPending(c, r)
 	if a.AffinityKey == "" {
 		return least
