--- a/entry/group.go
+++ b/entry/group.go
@@ -30,7 +30,7 @@
 	if len(l) == 0 {
 		return nil
 	}
-	l = pool.Prefer(key, l)
+	l = pool.RendezvousOrder(key, l)
 	return l[:min(len(l), maxCandidates)]
 }
 
--- a/pool/homes.go
+++ b/pool/homes.go
@@ -73,9 +73,9 @@
 	return first, second
 }
 
-// Prefer returns the replicas in the order of rendezvous hashing for the key,
+// RendezvousOrder returns the replicas in the order of rendezvous hashing for the key,
 // the same at each instance.
-func Prefer(key string, l []*Replica) []*Replica {
+func RendezvousOrder(key string, l []*Replica) []*Replica {
 	h := xxhash.Sum64String(key)
 	type weighed struct {
 		w uint64
