--- a/entry/place.go
+++ b/entry/place.go
@@ -115,7 +115,7 @@
 	if p.idle && p.tokens > 0 {
 		w.r.speeds.Saw(w.speedKey(), w.r.clock().Sub(sent), p.tokens)
 	}
-	w.r.delays.Saw(w.f.Service, p.ready, w.r.clock().Sub(sent))
+	w.r.delays.Observe(w.f.Service, p.ready, w.r.clock().Sub(sent))
 	if w.closes(p) {
 		w.r.placer.Read(p.ticket)
 	}
--- a/timing/delays.go
+++ b/timing/delays.go
@@ -32,8 +32,8 @@
 	return time.Duration(r * ready * float64(time.Millisecond))
 }
 
-// Saw learns from a prompt whose first event came.
-func (d *Delays) Saw(service string, ready float64, took time.Duration) {
+// Observe learns from a prompt whose first event came.
+func (d *Delays) Observe(service string, ready float64, took time.Duration) {
 	if ready < minReady {
 		return
 	}
