--- a/entry/router.go
+++ b/entry/router.go
@@ -64,7 +64,7 @@
 	holds      *timing.Holds
 	leads      *leads
 	answers    *answerSizes
-	delays     *timing.Delays
+	delays     *timing.FirstEventDelays
 	paces      *paces
 	releases   *releases
 	// windows bound the repeats of opaque requests by service.
--- a/timing/delays.go
+++ b/timing/delays.go
@@ -19,21 +19,21 @@
 	minReady = 100
 )
 
-// Delays learns by how much first events come later than the work before
+// FirstEventDelays learns by how much first events come later than the work before
 // them says: replicas make tokens of other streams in between.
-type Delays struct{ m *means.Means }
+type FirstEventDelays struct{ m *means.Means }
 
 // NewDelays returns what is known before the first request.
-func NewDelays() *Delays { return &Delays{m: means.New(delayWeight)} }
+func NewDelays() *FirstEventDelays { return &FirstEventDelays{m: means.New(delayWeight)} }
 
 // Expect returns the time to the first event for an estimate in milliseconds.
-func (d *Delays) Expect(service string, ready float64) time.Duration {
+func (d *FirstEventDelays) Expect(service string, ready float64) time.Duration {
 	r := d.m.Of(service, firstDelayRatio)
 	return time.Duration(r * ready * float64(time.Millisecond))
 }
 
 // Observe learns from a prompt whose first event came.
-func (d *Delays) Observe(service string, ready float64, took time.Duration) {
+func (d *FirstEventDelays) Observe(service string, ready float64, took time.Duration) {
 	if ready < minReady {
 		return
 	}
