--- a/timing/delays.go
+++ b/timing/delays.go
@@ -23,8 +23,8 @@
 // them says: replicas make tokens of other streams in between.
 type FirstEventDelays struct{ m *means.Means }
 
-// NewDelays returns what is known before the first request.
-func NewDelays() *FirstEventDelays { return &FirstEventDelays{m: means.New(delayWeight)} }
+// NewFirstEventDelays returns what is known before the first request.
+func NewFirstEventDelays() *FirstEventDelays { return &FirstEventDelays{m: means.New(delayWeight)} }
 
 // Expect returns the time to the first event for an estimate in milliseconds.
 func (d *FirstEventDelays) Expect(service string, ready float64) time.Duration {
