--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -140,9 +140,9 @@
 func (a *attempt) held() {
 	switch {
 	case a.escalated:
-		a.w.r.holds.Saw(a.kind, 0)
+		a.w.r.holds.Observe(a.kind, 0)
 	case a.served && a.read:
-		a.w.r.holds.Saw(a.kind, a.w.r.clock().Sub(a.readAt))
+		a.w.r.holds.Observe(a.kind, a.w.r.clock().Sub(a.readAt))
 	}
 }
 
--- a/timing/holds.go
+++ b/timing/holds.go
@@ -27,7 +27,7 @@
 // Of returns the milliseconds of a run of that kind.
 func (h *Holds) Of(kind string) float64 { return h.m.Of(kind, firstHold) }
 
-// Saw learns from a run that has ended.
-func (h *Holds) Saw(kind string, took time.Duration) {
+// Observe learns from a run that has ended.
+func (h *Holds) Observe(kind string, took time.Duration) {
 	h.m.Learn(kind, firstHold, func(float64) float64 { return took.Seconds() * 1000 })
 }
