--- a/entry/place.go
+++ b/entry/place.go
@@ -85,7 +85,7 @@
 func (w *forwarding) ask(e estimate, c []*pool.Replica) placement.Request {
 	return placement.Request{
 		Replicas: ids(c), RemoteBits: w.r.far(c), RemotePenaltyMs: w.away(),
-		UnsharedMs: max(1, e.own), SharedPrefix: e.shared, SlotMs: w.r.holds.Of(w.holdKey()),
+		UnsharedMs: max(1, e.own), SharedPrefix: e.shared, SlotMs: w.r.holds.ExpectedMs(w.holdKey()),
 		TimeLeftMs: w.within(),
 	}
 }
--- a/timing/holds.go
+++ b/timing/holds.go
@@ -24,8 +24,8 @@
 // NewHolds returns what is known before the first request.
 func NewHolds() *Holds { return &Holds{m: means.New(holdWeight)} }
 
-// Of returns the milliseconds of a run of that kind.
-func (h *Holds) Of(kind string) float64 { return h.m.Of(kind, firstHold) }
+// ExpectedMs returns the milliseconds of a run of that kind.
+func (h *Holds) ExpectedMs(kind string) float64 { return h.m.Of(kind, firstHold) }
 
 // Observe learns from a run that has ended.
 func (h *Holds) Observe(kind string, took time.Duration) {
