--- a/entry/router.go
+++ b/entry/router.go
@@ -61,7 +61,7 @@
 	quarantine Quarantine
 	placer     Placer
 	speeds     *timing.Speeds
-	holds      *timing.Holds
+	holds      *timing.SlotTimes
 	leads      *leads
 	answers    *answerSizes
 	delays     *timing.FirstEventDelays
--- a/timing/holds.go
+++ b/timing/holds.go
@@ -17,17 +17,17 @@
 	holdWeight = 0.03
 )
 
-// Holds learns how long runs hold their slots once their prompt is read, in
+// SlotTimes learns how long runs hold their slots once their prompt is read, in
 // milliseconds by kind. Answers that were dropped at once count as well.
-type Holds struct{ m *means.Means }
+type SlotTimes struct{ m *means.Means }
 
 // NewHolds returns what is known before the first request.
-func NewHolds() *Holds { return &Holds{m: means.New(holdWeight)} }
+func NewHolds() *SlotTimes { return &SlotTimes{m: means.New(holdWeight)} }
 
 // ExpectedMs returns the milliseconds of a run of that kind.
-func (h *Holds) ExpectedMs(kind string) float64 { return h.m.Of(kind, firstHold) }
+func (h *SlotTimes) ExpectedMs(kind string) float64 { return h.m.Of(kind, firstHold) }
 
 // Observe learns from a run that has ended.
-func (h *Holds) Observe(kind string, took time.Duration) {
+func (h *SlotTimes) Observe(kind string, took time.Duration) {
 	h.m.Learn(kind, firstHold, func(float64) float64 { return took.Seconds() * 1000 })
 }
