--- a/timing/holds.go
+++ b/timing/holds.go
@@ -21,8 +21,8 @@
 // milliseconds by kind. Answers that were dropped at once count as well.
 type SlotTimes struct{ m *means.Means }
 
-// NewHolds returns what is known before the first request.
-func NewHolds() *SlotTimes { return &SlotTimes{m: means.New(holdWeight)} }
+// NewSlotTimes returns what is known before the first request.
+func NewSlotTimes() *SlotTimes { return &SlotTimes{m: means.New(holdWeight)} }
 
 // ExpectedMs returns the milliseconds of a run of that kind.
 func (h *SlotTimes) ExpectedMs(kind string) float64 { return h.m.Of(kind, firstHold) }
