--- a/entry/place.go
+++ b/entry/place.go
@@ -113,7 +113,7 @@
 // read notes that the replica has read the prompt.
 func (w *forwarding) read(p *placed, sent time.Time) {
 	if p.idle && p.tokens > 0 {
-		w.r.speeds.Saw(w.speedKey(), w.r.clock().Sub(sent), p.tokens)
+		w.r.speeds.Observe(w.speedKey(), w.r.clock().Sub(sent), p.tokens)
 	}
 	w.r.delays.Observe(w.f.Service, p.ready, w.r.clock().Sub(sent))
 	if w.closes(p) {
--- a/timing/speeds.go
+++ b/timing/speeds.go
@@ -34,9 +34,9 @@
 	return s.m.Of(key, first)
 }
 
-// Saw learns from a prompt that was read with nothing before it. Its key's
+// Observe learns from a prompt that was read with nothing before it. Its key's
 // speed was asked for before.
-func (s *Speeds) Saw(key string, took time.Duration, tokens float64) {
+func (s *Speeds) Observe(key string, took time.Duration, tokens float64) {
 	if tokens < minSpeedTokens {
 		return
 	}
