--- a/entry/estimate.go
+++ b/entry/estimate.go
@@ -17,7 +17,7 @@
 // model.
 func (w *forwarding) estimate() estimate {
 	p := w.q.Prompt
-	s := w.r.speeds.Of(w.speedKey(), max(0, w.model))
+	s := w.r.speeds.MsPerToken(w.speedKey(), max(0, w.model))
 	e := estimate{own: float64(p.In-p.SharedTokens()) * s, speed: s}
 	for _, x := range p.Shared() {
 		e.key = w.modelName() + "/" + x.ID
--- a/timing/speeds.go
+++ b/timing/speeds.go
@@ -25,8 +25,8 @@
 // NewSpeeds returns what is known before the first request.
 func NewSpeeds() *Speeds { return &Speeds{m: means.New(speedWeight)} }
 
-// Of returns the milliseconds for a token; size is the model's rank.
-func (s *Speeds) Of(key string, size int) float64 {
+// MsPerToken returns the milliseconds for a token; size is the model's rank.
+func (s *Speeds) MsPerToken(key string, size int) float64 {
 	first := firstSpeed
 	for range size {
 		first *= firstSlowdown
