--- a/entry/router.go
+++ b/entry/router.go
@@ -60,7 +60,7 @@
 	prober     Prober
 	quarantine Quarantine
 	placer     Placer
-	speeds     *timing.Speeds
+	speeds     *timing.PrefillTimes
 	holds      *timing.SlotTimes
 	leads      *leads
 	answers    *answerSizes
--- a/timing/speeds.go
+++ b/timing/speeds.go
@@ -19,14 +19,14 @@
 	minSpeedTokens = 1000
 )
 
-// Speeds learns how long models take to read a token, in milliseconds.
-type Speeds struct{ m *means.Means }
+// PrefillTimes learns how long models take to read a token, in milliseconds.
+type PrefillTimes struct{ m *means.Means }
 
 // NewSpeeds returns what is known before the first request.
-func NewSpeeds() *Speeds { return &Speeds{m: means.New(speedWeight)} }
+func NewSpeeds() *PrefillTimes { return &PrefillTimes{m: means.New(speedWeight)} }
 
 // MsPerToken returns the milliseconds for a token; size is the model's rank.
-func (s *Speeds) MsPerToken(key string, size int) float64 {
+func (s *PrefillTimes) MsPerToken(key string, size int) float64 {
 	first := firstSpeed
 	for range size {
 		first *= firstSlowdown
@@ -36,7 +36,7 @@
 
 // Observe learns from a prompt that was read with nothing before it. Its key's
 // speed was asked for before.
-func (s *Speeds) Observe(key string, took time.Duration, tokens float64) {
+func (s *PrefillTimes) Observe(key string, took time.Duration, tokens float64) {
 	if tokens < minSpeedTokens {
 		return
 	}
