--- a/entry/router.go
+++ b/entry/router.go
@@ -139,7 +139,7 @@
 		backends: newBackends(p.Rand, p.Notices), evidence: newEvidence(p.Rater),
 		limiters: map[string]*admission.Limiter{}, budget: admission.NewRetryBudget(),
 		learner: cascade.NewLearner(), events: e,
-		upstream: p.Upstream, underway: newUnderway(), quarantine: p.Quarantine, prober: p.Prober, placer: p.Placer, speeds: timing.NewSpeeds(), holds: timing.NewSlotTimes(), leads: newLeads(), answers: newAnswerSizes(), delays: timing.NewFirstEventDelays(), paces: newPaces(),
+		upstream: p.Upstream, underway: newUnderway(), quarantine: p.Quarantine, prober: p.Prober, placer: p.Placer, speeds: timing.NewPrefillTimes(), holds: timing.NewSlotTimes(), leads: newLeads(), answers: newAnswerSizes(), delays: timing.NewFirstEventDelays(), paces: newPaces(),
 		releases: newReleases(p.Clock()), windows: map[string]*admission.Window{}, repeats: p.Retries, fleetSize: p.FleetSize,
 		acceptConfidence: p.AcceptConfidence, coldBound: p.ColdBound, quota: p.Quota, notices: p.Notices,
 	}
--- a/timing/speeds.go
+++ b/timing/speeds.go
@@ -22,8 +22,8 @@
 // PrefillTimes learns how long models take to read a token, in milliseconds.
 type PrefillTimes struct{ m *means.Means }
 
-// NewSpeeds returns what is known before the first request.
-func NewSpeeds() *PrefillTimes { return &PrefillTimes{m: means.New(speedWeight)} }
+// NewPrefillTimes returns what is known before the first request.
+func NewPrefillTimes() *PrefillTimes { return &PrefillTimes{m: means.New(speedWeight)} }
 
 // MsPerToken returns the milliseconds for a token; size is the model's rank.
 func (s *PrefillTimes) MsPerToken(key string, size int) float64 {
