--- a/adapter/codec/codec_test.go
+++ b/adapter/codec/codec_test.go
@@ -33,7 +33,7 @@
 	if len(e) > 0 {
 		t.Fatal(e)
 	}
-	r, err := rollout.New(m1, m2, []int{100, rollout.Whole}, noon, time.Minute)
+	r, err := rollout.New(m1, m2, []int{100, rollout.FullShare}, noon, time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fieldvale/rollout.go
+++ b/cmd/fieldvale/rollout.go
@@ -62,7 +62,7 @@
 		if err != nil || f <= 0 || f > 100 {
 			return nil, errors.Newf("--steps: %q is not a share in percent", x)
 		}
-		r = append(r, int32(f*rollout.Whole/100))
+		r = append(r, int32(f*rollout.FullShare/100))
 	}
 	return r, nil
 }
@@ -98,7 +98,7 @@
 			if r.NextDue != "" {
 				n = ", next step due " + r.NextDue
 			}
-			fmt.Printf("%s -> %s: %s at %g%%, step %d of %d%s\n", r.From, r.To, r.State, float64(r.Share)*100/rollout.Whole, r.Taken, r.Steps, n)
+			fmt.Printf("%s -> %s: %s at %g%%, step %d of %d%s\n", r.From, r.To, r.State, float64(r.Share)*100/rollout.FullShare, r.Taken, r.Steps, n)
 		}
 	})
 }
--- a/config/change.go
+++ b/config/change.go
@@ -225,5 +225,5 @@
 }
 
 func shareText(r rollout.Rollout) string {
-	return fmt.Sprintf("%s %s at %g%%", r.To, r.State, float64(r.Share())*100/rollout.Whole)
+	return fmt.Sprintf("%s %s at %g%%", r.To, r.State, float64(r.Share())*100/rollout.FullShare)
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -41,7 +41,7 @@
 		Base:   rapid.SampledFrom([]uint64{AnyBase, d.Part("t").Revision, 0, 1}).Draw(t, "base"),
 		Source: source("t", "m"), Key: session.NewKey(),
 	}
-	c.Rollout, _ = rollout.New(version.New("m", "1"), v, []int{100, rollout.Whole}, now, time.Second)
+	c.Rollout, _ = rollout.New(version.New("m", "1"), v, []int{100, rollout.FullShare}, now, time.Second)
 	if o, ok := d.Part("t").Rollout("m"); ok && rapid.Bool().Draw(t, "current") {
 		c.Rollout = o
 	}
--- a/entry/pace_test.go
+++ b/entry/pace_test.go
@@ -39,7 +39,7 @@
 
 // withRollout has half of the new sessions of the small model go to its second version.
 func withRollout(t *testing.T, v *CurrentView) {
-	o, err := rollout.New(versions[1], versions[2], []int{rollout.Whole / 2, rollout.Whole}, time.Now(), time.Hour)
+	o, err := rollout.New(versions[1], versions[2], []int{rollout.FullShare / 2, rollout.FullShare}, time.Now(), time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/faults/day_test.go
+++ b/faults/day_test.go
@@ -207,7 +207,7 @@
 
 func (d *day) operators(ctx context.Context) {
 	d.at(6)
-	r, err := rollout.New(cheap1, cheap2, []int{1000, 5000, rollout.Whole}, time.Now(), 4*time.Second)
+	r, err := rollout.New(cheap1, cheap2, []int{1000, 5000, rollout.FullShare}, time.Now(), 4*time.Second)
 	if err != nil {
 		panic(err)
 	}
--- a/faults/versions_test.go
+++ b/faults/versions_test.go
@@ -78,7 +78,7 @@
 func TestBadVersionIsTrippedAndMayBeTriedAgain(t *testing.T) {
 	scene(t, func(d *day, ctx context.Context) {
 		start := func(id string) {
-			r, err := rollout.New(cheap1, cheap2, []int{5000, rollout.Whole}, time.Now(), time.Hour)
+			r, err := rollout.New(cheap1, cheap2, []int{5000, rollout.FullShare}, time.Now(), time.Hour)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -122,7 +122,7 @@
 // nothing judges it.
 func TestAVersionNearToBeingFoundBadTakesNoStep(t *testing.T) {
 	scene(t, func(d *day, ctx context.Context) {
-		r, err := rollout.New(cheap1, cheap2, []int{5000, rollout.Whole}, time.Now(), 20*time.Second)
+		r, err := rollout.New(cheap1, cheap2, []int{5000, rollout.FullShare}, time.Now(), 20*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -212,7 +212,7 @@
 				t.Fatal(err)
 			}
 		}
-		r, err := rollout.New(cheap1, cheap2, []int{5000, rollout.Whole}, time.Now(), 2*time.Second)
+		r, err := rollout.New(cheap1, cheap2, []int{5000, rollout.FullShare}, time.Now(), 2*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/rollout/release.go
+++ b/rollout/release.go
@@ -89,7 +89,7 @@
 		return leastTrial
 	}
 	part := b.Part + b.Slack/(rate*r.Length.Seconds()) - (1 - wholeFrom) - trialMargin
-	return int(min(mostTrial, max(leastTrial, Whole*part/(wholeFrom-trialFrom))))
+	return int(min(mostTrial, max(leastTrial, FullShare*part/(wholeFrom-trialFrom))))
 }
 
 // NewRelease returns an order that no instance has begun.
@@ -101,11 +101,11 @@
 func (r Release) Share() int {
 	switch {
 	case r.State == Done:
-		return Whole
+		return FullShare
 	case r.State != Running || r.Phase < 0:
 		return 0
 	}
-	return []int{firstShare, max(leastTrial, r.Trial), Whole}[min(r.Phase, len(phaseEnds)-1)]
+	return []int{firstShare, max(leastTrial, r.Trial), FullShare}[min(r.Phase, len(phaseEnds)-1)]
 }
 
 // PhaseLength is how long the phase lasts.
@@ -182,12 +182,12 @@
 // request's own, go to the target. Keys only ever move to it while the release
 // runs.
 func (r Release) Takes(key string) bool {
-	return int(xxhash.Sum64String(r.Target+"/"+key)%Whole) < r.Share()
+	return int(xxhash.Sum64String(r.Target+"/"+key)%FullShare) < r.Share()
 }
 
 // IsShared reports whether both releases get requests, so that they can be
 // compared.
-func (r Release) IsShared() bool { return r.Share() > 0 && r.Share() < Whole }
+func (r Release) IsShared() bool { return r.Share() > 0 && r.Share() < FullShare }
 
 // MovesSessions reports whether requests of sessions may go to the target.
 func (r Release) MovesSessions() bool {
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -31,8 +31,8 @@
 	Due time.Time
 }
 
-// Whole is the share that means all new sessions.
-const Whole = 10_000
+// FullShare is the share that means all new sessions.
+const FullShare = 10_000
 
 // Rollout moves a model's new sessions from one version to another.
 type Rollout struct {
@@ -59,8 +59,8 @@
 	if r.From.Model != r.To.Model || r.From == r.To {
 		return errors.Newf("rollout: %s to %s is not a change between two versions of one model", r.From, r.To)
 	}
-	if len(r.Steps) == 0 || r.Steps[len(r.Steps)-1].Share != Whole {
-		return errors.Newf("rollout: the last share is not %d (all)", Whole)
+	if len(r.Steps) == 0 || r.Steps[len(r.Steps)-1].Share != FullShare {
+		return errors.Newf("rollout: the last share is not %d (all)", FullShare)
 	}
 	p := 0
 	for _, s := range r.Steps {
@@ -76,7 +76,7 @@
 func (r Rollout) Share() int {
 	switch {
 	case r.State == Done:
-		return Whole
+		return FullShare
 	case r.State != Running || r.Taken == 0:
 		return 0
 	}
@@ -111,7 +111,7 @@
 // Pick returns the version for a new session. The same session always gets
 // the same answer for one share, and growth moves no session back.
 func (r Rollout) Pick(session string) version.ID {
-	if int(xxhash.Sum64String(r.To.String()+"/"+session)%Whole) < r.Share() {
+	if int(xxhash.Sum64String(r.To.String()+"/"+session)%FullShare) < r.Share() {
 		return r.To
 	}
 	return r.From
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -23,7 +23,7 @@
 
 func TestGrowthMovesNoSessionBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r, err := rollout.New(from, to, []int{100, 1000, 5000, rollout.Whole}, noon, time.Minute)
+		r, err := rollout.New(from, to, []int{100, 1000, 5000, rollout.FullShare}, noon, time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,9 +51,9 @@
 	}{
 		{"no steps", from, nil},
 		{"not to all", from, []int{100}},
-		{"shrinking", from, []int{500, 100, rollout.Whole}},
-		{"from itself", to, []int{rollout.Whole}},
-		{"another model", version.New("n", "1"), []int{rollout.Whole}},
+		{"shrinking", from, []int{500, 100, rollout.FullShare}},
+		{"from itself", to, []int{rollout.FullShare}},
+		{"another model", version.New("n", "1"), []int{rollout.FullShare}},
 	} {
 		if _, err := rollout.New(c.from, to, c.shares, noon, time.Minute); err == nil {
 			t.Errorf("%s: no error", c.name)
@@ -115,7 +115,7 @@
 }
 
 func ExampleRollout_WithStep() {
-	r, _ := rollout.New(from, to, []int{1000, rollout.Whole}, noon, time.Minute)
+	r, _ := rollout.New(from, to, []int{1000, rollout.FullShare}, noon, time.Minute)
 	r = r.WithStep()
 	fmt.Println(r.Share(), r.State, r.Due(noon.Add(time.Minute)))
 	r = r.WithStep()
