--- a/adapter/codec/document.go
+++ b/adapter/codec/document.go
@@ -81,7 +81,7 @@
 }
 
 func rolloutToWire(r rollout.Rollout) wireRollout {
-	w := wireRollout{From: r.From.String(), To: r.To.String(), State: string(r.State), Taken: r.Taken}
+	w := wireRollout{From: r.From.String(), To: r.To.String(), State: string(r.State), Taken: r.StepsTaken}
 	for _, s := range r.Steps {
 		w.Steps = append(w.Steps, wireStep{Share: s.Share, Due: s.Due})
 	}
@@ -165,12 +165,12 @@
 	if err != nil {
 		return rollout.Rollout{}, err
 	}
-	r := rollout.Rollout{From: f, To: t, State: rollout.State(w.State), Taken: w.Taken}
+	r := rollout.Rollout{From: f, To: t, State: rollout.State(w.State), StepsTaken: w.Taken}
 	for _, s := range w.Steps {
 		r.Steps = append(r.Steps, rollout.Step{Share: s.Share, Due: s.Due})
 	}
-	if len(r.Steps) == 0 || r.Taken < 0 || r.Taken > len(r.Steps) {
-		return r, errors.Newf("roll-out to %s has taken %d of %d steps", t, r.Taken, len(r.Steps))
+	if len(r.Steps) == 0 || r.StepsTaken < 0 || r.StepsTaken > len(r.Steps) {
+		return r, errors.Newf("roll-out to %s has taken %d of %d steps", t, r.StepsTaken, len(r.Steps))
 	}
 	return r, nil
 }
--- a/adapter/rpc/admin.go
+++ b/adapter/rpc/admin.go
@@ -215,10 +215,10 @@
 func rolloutToWire(r rollout.Rollout) *fieldvalev1.Rollout {
 	w := &fieldvalev1.Rollout{
 		From: r.From.String(), To: r.To.String(), State: string(r.State),
-		Share: int32(r.Share()), Taken: int32(r.Taken), Steps: int32(len(r.Steps)),
+		Share: int32(r.Share()), Taken: int32(r.StepsTaken), Steps: int32(len(r.Steps)),
 	}
-	if r.State == rollout.Running && r.Taken < len(r.Steps) {
-		w.NextDue = r.Steps[r.Taken].Due.UTC().Format(time.RFC3339)
+	if r.State == rollout.Running && r.StepsTaken < len(r.Steps) {
+		w.NextDue = r.Steps[r.StepsTaken].Due.UTC().Format(time.RFC3339)
 	}
 	return w
 }
--- a/config/change.go
+++ b/config/change.go
@@ -42,7 +42,7 @@
 // instance, so that the step is taken once.
 func StepChange(team string, r rollout.Rollout) Change {
 	return Change{
-		ID:      fmt.Sprintf("step/%s/%s/%d/%d", team, r.To, r.Taken, r.Steps[0].Due.UnixNano()),
+		ID:      fmt.Sprintf("step/%s/%s/%d/%d", team, r.To, r.StepsTaken, r.Steps[0].Due.UnixNano()),
 		Team:    team,
 		Who:     "fieldvale",
 		Why:     "step is due",
@@ -203,8 +203,8 @@
 	if !ok || r.To != c.Rollout.To || r.State != rollout.Running {
 		return d, "", "", errors.Newf("no roll-out to %s is under way", c.Rollout.To)
 	}
-	if c.Action == audit.StepRoll && r.Taken != c.Rollout.Taken {
-		return d, "", "", errors.Newf("step %d of the roll-out to %s was taken already", c.Rollout.Taken, r.To)
+	if c.Action == audit.StepRoll && r.StepsTaken != c.Rollout.StepsTaken {
+		return d, "", "", errors.Newf("step %d of the roll-out to %s was taken already", c.Rollout.StepsTaken, r.To)
 	}
 	n := movedRollout(r, c.Action)
 	q := p.withRollout(n)
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -18,7 +18,7 @@
 	t := n.Clock()
 	d, _ := n.Document()
 	for _, c := range d.DueSteps(t) {
-		if n.isTripped(c.Rollout.To) || n.isSuspect(c.Rollout.To) || t.Before(n.turn("rollout/"+c.ID, c.Rollout.Steps[c.Rollout.Taken].Due)) {
+		if n.isTripped(c.Rollout.To) || n.isSuspect(c.Rollout.To) || t.Before(n.turn("rollout/"+c.ID, c.Rollout.Steps[c.Rollout.StepsTaken].Due)) {
 			continue
 		}
 		n.drive(ctx, c)
--- a/faults/versions_test.go
+++ b/faults/versions_test.go
@@ -141,8 +141,8 @@
 		}
 		send(0, 8)
 		time.Sleep(30 * time.Second)
-		if x := now(); x.State != rollout.Running || x.Taken != 1 {
-			t.Errorf("after few answers, all bad, the roll-out is %s and has taken %d steps", x.State, x.Taken)
+		if x := now(); x.State != rollout.Running || x.StepsTaken != 1 {
+			t.Errorf("after few answers, all bad, the roll-out is %s and has taken %d steps", x.State, x.StepsTaken)
 		}
 		for _, b := range d.engines() {
 			b.SetBad(cheap2, false)
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -39,8 +39,8 @@
 	From  version.ID
 	To    version.ID
 	State State
-	// Taken counts the steps in force; Steps[Taken-1] holds the share.
-	Taken int
+	// StepsTaken counts the steps in force; Steps[StepsTaken-1] holds the share.
+	StepsTaken int
 	Steps []Step
 }
 
@@ -77,24 +77,24 @@
 	switch {
 	case r.State == Done:
 		return FullShare
-	case r.State != Running || r.Taken == 0:
+	case r.State != Running || r.StepsTaken == 0:
 		return 0
 	}
-	return r.Steps[r.Taken-1].Share
+	return r.Steps[r.StepsTaken-1].Share
 }
 
 // Due reports whether the next step may be taken at now.
 func (r Rollout) Due(now time.Time) bool {
-	return r.State == Running && r.Taken < len(r.Steps) && !now.Before(r.Steps[r.Taken].Due)
+	return r.State == Running && r.StepsTaken < len(r.Steps) && !now.Before(r.Steps[r.StepsTaken].Due)
 }
 
 // WithStep returns r one step on. The step to Whole is the last and ends it.
 func (r Rollout) WithStep() Rollout {
-	if r.State != Running || r.Taken >= len(r.Steps) {
+	if r.State != Running || r.StepsTaken >= len(r.Steps) {
 		return r
 	}
-	r.Taken++
-	if r.Taken == len(r.Steps) {
+	r.StepsTaken++
+	if r.StepsTaken == len(r.Steps) {
 		r.State = Done
 	}
 	return r
