--- a/config/document.go
+++ b/config/document.go
@@ -178,7 +178,7 @@
 	var c []Change
 	for _, t := range d.Teams() {
 		for _, r := range d.Parts[t].Rollouts {
-			if r.Due(now) {
+			if r.IsStepDue(now) {
 				c = append(c, StepChange(t, r))
 			}
 		}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -83,8 +83,8 @@
 	return r.Steps[r.StepsTaken-1].Share
 }
 
-// Due reports whether the next step may be taken at now.
-func (r Rollout) Due(now time.Time) bool {
+// IsStepDue reports whether the next step may be taken at now.
+func (r Rollout) IsStepDue(now time.Time) bool {
 	return r.State == Running && r.StepsTaken < len(r.Steps) && !now.Before(r.Steps[r.StepsTaken].Due)
 }
 
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -117,7 +117,7 @@
 func ExampleRollout_WithStep() {
 	r, _ := rollout.New(from, to, []int{1000, rollout.FullShare}, noon, time.Minute)
 	r = r.WithStep()
-	fmt.Println(r.Share(), r.State, r.Due(noon.Add(time.Minute)))
+	fmt.Println(r.Share(), r.State, r.IsStepDue(noon.Add(time.Minute)))
 	r = r.WithStep()
 	fmt.Println(r.Share(), r.State)
 	// Output:
