--- a/config/active.go
+++ b/config/active.go
@@ -153,7 +153,7 @@
 	}
 	r, under := p.Rollout(model)
 	if under && r.State == rollout.Running && r.From == v && !tripped(r.To) {
-		if n := r.Pick(s.ID); a.MayRun(c, n) {
+		if n := r.VersionFor(s.ID); a.MayRun(c, n) {
 			return n, true
 		}
 	}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -108,9 +108,9 @@
 	return r
 }
 
-// Pick returns the version for a new session. The same session always gets
+// VersionFor returns the version for a new session. The same session always gets
 // the same answer for one share, and growth moves no session back.
-func (r Rollout) Pick(session string) version.ID {
+func (r Rollout) VersionFor(session string) version.ID {
 	if int(xxhash.Sum64String(r.To.String()+"/"+session)%FullShare) < r.Share() {
 		return r.To
 	}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -31,7 +31,7 @@
 		was := from
 		for r.State == rollout.Running {
 			r = r.WithStep()
-			now := r.Pick(s)
+			now := r.VersionFor(s)
 			if was == to && now == from {
 				t.Fatalf("session %q went back at %d", s, r.Share())
 			}
