--- a/config/change.go
+++ b/config/change.go
@@ -193,7 +193,7 @@
 	if err := r.Validate(); err != nil {
 		return d, "", "", err
 	}
-	return d.withPart(p.withRollout(r.WithStep()), c.ID), r.From.String(), r.To.String(), nil
+	return d.withPart(p.withRollout(r.WithNextStep()), c.ID), r.From.String(), r.To.String(), nil
 }
 
 // moveRollout steps, trips or halts a roll-out that still stands where the
@@ -221,7 +221,7 @@
 	case audit.HaltRoll:
 		return r.WithState(rollout.Halted)
 	}
-	return r.WithStep()
+	return r.WithNextStep()
 }
 
 func shareText(r rollout.Rollout) string {
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -88,8 +88,8 @@
 	return r.State == Running && r.StepsTaken < len(r.Steps) && !now.Before(r.Steps[r.StepsTaken].Due)
 }
 
-// WithStep returns r one step on. The step to Whole is the last and ends it.
-func (r Rollout) WithStep() Rollout {
+// WithNextStep returns r one step on. The step to Whole is the last and ends it.
+func (r Rollout) WithNextStep() Rollout {
 	if r.State != Running || r.StepsTaken >= len(r.Steps) {
 		return r
 	}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -30,7 +30,7 @@
 		s := rapid.String().Draw(t, "session")
 		was := from
 		for r.State == rollout.Running {
-			r = r.WithStep()
+			r = r.WithNextStep()
 			now := r.VersionFor(s)
 			if was == to && now == from {
 				t.Fatalf("session %q went back at %d", s, r.Share())
@@ -116,9 +116,9 @@
 
 func ExampleRollout_WithStep() {
 	r, _ := rollout.New(from, to, []int{1000, rollout.FullShare}, noon, time.Minute)
-	r = r.WithStep()
+	r = r.WithNextStep()
 	fmt.Println(r.Share(), r.State, r.IsStepDue(noon.Add(time.Minute)))
-	r = r.WithStep()
+	r = r.WithNextStep()
 	fmt.Println(r.Share(), r.State)
 	// Output:
 	// 1000 running true
