--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -114,7 +114,7 @@
 	})
 }
 
-func ExampleRollout_WithStep() {
+func ExampleRollout_WithNextStep() {
 	r, _ := rollout.New(from, to, []int{1000, rollout.FullShare}, noon, time.Minute)
 	r = r.WithNextStep()
 	fmt.Println(r.Share(), r.State, r.IsStepDue(noon.Add(time.Minute)))
