--- a/cmd/fieldvale-node/releases.go
+++ b/cmd/fieldvale-node/releases.go
@@ -43,7 +43,7 @@
 func (n *node) tried(c state.Record) state.Record {
 	if r := &c.Release; r.Phase > 0 && r.Trial == 0 {
 		b := rollout.Bound{Part: n.s.ExposedPart, Slack: n.s.ExposedSlack}
-		r.Trial = r.TrialShare(b, n.router.SendRate(*r, r.Ran))
+		r.Trial = r.ComputeTrialShare(b, n.router.SendRate(*r, r.Ran))
 	}
 	return c
 }
--- a/rollout/release.go
+++ b/rollout/release.go
@@ -81,10 +81,10 @@
 	Part, Slack float64
 }
 
-// TrialShare is the share of requests that the release gets while it is tried, for a
+// ComputeTrialShare is the share of requests that the release gets while it is tried, for a
 // service whose replicas get so many a second: what the bound leaves of the part in
 // which it gets all, so that even one that shows nothing stays within it.
-func (r Release) TrialShare(b Bound, rate float64) int {
+func (r Release) ComputeTrialShare(b Bound, rate float64) int {
 	if rate <= 0 {
 		return leastTrial
 	}
--- a/rollout/release_test.go
+++ b/rollout/release_test.go
@@ -108,7 +108,7 @@
 	r := rollout.NewRelease("s", "v2", 1, 14*time.Second)
 	b := rollout.Bound{Part: 0.15, Slack: 30}
 	for _, rate := range []float64{10, 30, 70, 1000} {
-		fmt.Println(rate, r.TrialShare(b, rate))
+		fmt.Println(rate, r.ComputeTrialShare(b, rate))
 	}
 	// Output:
 	// 10 3000
