--- a/rollout/release_test.go
+++ b/rollout/release_test.go
@@ -104,7 +104,7 @@
 
 // A release that nothing is found against stays within the bound until its length
 // is over, whatever the service's rate; few requests leave it more of them.
-func ExampleRelease_TrialShare() {
+func ExampleRelease_ComputeTrialShare() {
 	r := rollout.NewRelease("s", "v2", 1, 14*time.Second)
 	b := rollout.Bound{Part: 0.15, Slack: 30}
 	for _, rate := range []float64{10, 30, 70, 1000} {
