--- a/entry/bounded_test.go
+++ b/entry/bounded_test.go
@@ -236,7 +236,7 @@
 // goes to the old one's, unless its session must not. One that is meant for the old one never
 // goes to the new one for that.
 func TestLimitedReleaseLeavesRequestsToTheOld(t *testing.T) {
-	rel := rollout.Release{Service: "s", Target: "v2", Order: 1, Length: time.Minute, State: rollout.Running, Phase: 1, Trial: 5000}
+	rel := rollout.Release{Service: "s", Target: "v2", Order: 1, Length: time.Minute, State: rollout.Running, Phase: 1, TrialShare: 5000}
 	for _, c := range []struct {
 		limited, session string
 		wants            map[string]bool
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -154,7 +154,7 @@
 	for step := 0; rel.State == rollout.Running && time.Since(start) < 2*rel.Length && !f.found(); step++ {
 		if rel.State == rollout.Running && rel.IsDue(time.Since(start), time.Since(since), f.standing(rel)) {
 			rel, since = rel.Next(), time.Now()
-			rel.Trial = rel.ComputeTrialShare(rollout.Bound{Part: 0.15, Slack: 30}, float64(rate))
+			rel.TrialShare = rel.ComputeTrialShare(rollout.Bound{Part: 0.15, Slack: 30}, float64(rate))
 			f.phase(rel)
 		}
 		f.run(fmt.Sprint("s", step, "-"), a, rate, 100*time.Millisecond, patience)
@@ -227,7 +227,7 @@
 			return 50 * time.Millisecond, http.StatusOK
 		}
 		rel := rollout.NewRelease("s", "v2", 1, 20*time.Second).Next().Next()
-		rel.Trial = 3000
+		rel.TrialShare = 3000
 		f.phase(rel)
 		judge := f.routers[0]
 		seen := f.routers[1:]
--- a/rollout/release.go
+++ b/rollout/release.go
@@ -25,8 +25,8 @@
 	// Ran is how long the release had run at least when its progress was
 	// recorded. Instances that start later know by it where it stands.
 	Ran time.Duration
-	// Trial is the share of requests that it gets while it is tried, out of Whole.
-	Trial int
+	// TrialShare is the share of requests that it gets while it is tried, out of Whole.
+	TrialShare int
 	// Avoid is the release that the order before wanted and that was taken
 	// back; its replicas may still be there.
 	Avoid string
@@ -105,7 +105,7 @@
 	case r.State != Running || r.Phase < 0:
 		return 0
 	}
-	return []int{firstShare, max(leastTrial, r.Trial), FullShare}[min(r.Phase, len(phaseEnds)-1)]
+	return []int{firstShare, max(leastTrial, r.TrialShare), FullShare}[min(r.Phase, len(phaseEnds)-1)]
 }
 
 // PhaseLength is how long the phase lasts.
--- a/state/releases.go
+++ b/state/releases.go
@@ -22,7 +22,7 @@
 	p := r.record.Release
 	switch {
 	case p.Order == c.Order:
-		c.Phase, c.State, c.Ran, c.Trial, c.Avoid = p.Phase, p.State, p.Ran, p.Trial, p.Avoid
+		c.Phase, c.State, c.Ran, c.TrialShare, c.Avoid = p.Phase, p.State, p.Ran, p.TrialShare, p.Avoid
 	case p.State == rollout.Tripped || p.State == rollout.Halted:
 		c.Avoid = p.Target
 	default:
