--- a/cmd/fieldvale-node/releases.go
+++ b/cmd/fieldvale-node/releases.go
@@ -43,7 +43,7 @@
 func (n *node) tried(c state.Record) state.Record {
 	if r := &c.Release; r.Phase > 0 && r.TrialShare == 0 {
 		b := rollout.Bound{Part: n.s.ExposedPart, Slack: n.s.ExposedSlack}
-		r.TrialShare = r.ComputeTrialShare(b, n.router.SendRate(*r, r.Ran))
+		r.TrialShare = r.ComputeTrialShare(b, n.router.SendRate(*r, r.Elapsed))
 	}
 	return c
 }
@@ -97,5 +97,5 @@
 	x, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	ok, err := n.releases.Advance(x, c.Release, c.Version)
-	n.event("release_record", "service", c.Release.Service, "release", c.Release.Target, "phase", c.Release.Phase, "trial", c.Release.TrialShare, "ran", c.Release.Ran, "state", c.Release.State, "version", c.Version, "won", ok, "error", err)
+	n.event("release_record", "service", c.Release.Service, "release", c.Release.Target, "phase", c.Release.Phase, "trial", c.Release.TrialShare, "ran", c.Release.Elapsed, "state", c.Release.State, "version", c.Version, "won", ok, "error", err)
 }
--- a/rollout/release.go
+++ b/rollout/release.go
@@ -22,9 +22,9 @@
 	State  State
 	// Phase is below 0 for an order that no instance has begun.
 	Phase int
-	// Ran is how long the release had run at least when its progress was
+	// Elapsed is how long the release had run at least when its progress was
 	// recorded. Instances that start later know by it where it stands.
-	Ran time.Duration
+	Elapsed time.Duration
 	// TrialShare is the share of requests that it gets while it is tried, out of Whole.
 	TrialShare int
 	// Avoid is the release that the order before wanted and that was taken
--- a/state/releases.go
+++ b/state/releases.go
@@ -22,7 +22,7 @@
 	p := r.record.Release
 	switch {
 	case p.Order == c.Order:
-		c.Phase, c.State, c.Ran, c.TrialShare, c.Avoid = p.Phase, p.State, p.Ran, p.TrialShare, p.Avoid
+		c.Phase, c.State, c.Elapsed, c.TrialShare, c.Avoid = p.Phase, p.State, p.Elapsed, p.TrialShare, p.Avoid
 	case p.State == rollout.Tripped || p.State == rollout.Halted:
 		c.Avoid = p.Target
 	default:
@@ -38,7 +38,7 @@
 func (r *release) ran(now time.Time) time.Duration {
 	d := now.Sub(r.ordered)
 	if r.record.Release.Order == r.order.Order {
-		d = max(d, r.record.Release.Ran+now.Sub(r.recorded))
+		d = max(d, r.record.Release.Elapsed+now.Sub(r.recorded))
 	}
 	return d
 }
@@ -63,12 +63,12 @@
 	if c.IsDue(ran, lasted, s) {
 		return r.next(c.Next(), ran), true
 	}
-	return r.next(c, ran), ran-c.Ran >= time.Duration(keepEvery*float64(c.Length))
+	return r.next(c, ran), ran-c.Elapsed >= time.Duration(keepEvery*float64(c.Length))
 }
 
 // next is the record of the release that takes the place of the one known.
 func (r *release) next(c rollout.Release, ran time.Duration) Record {
-	c.Ran = max(c.Ran, ran)
+	c.Elapsed = max(c.Elapsed, ran)
 	return Record{Release: c, Version: r.record.Version}
 }
 
