--- a/rollout/release.go
+++ b/rollout/release.go
@@ -27,9 +27,9 @@
 	Elapsed time.Duration
 	// TrialShare is the share of requests that it gets while it is tried, out of Whole.
 	TrialShare int
-	// Avoid is the release that the order before wanted and that was taken
+	// RolledBack is the release that the order before wanted and that was taken
 	// back; its replicas may still be there.
-	Avoid string
+	RolledBack string
 }
 
 // The parts of a release's length at which its phases begin and end. In the first
@@ -195,7 +195,7 @@
 }
 
 // Allows reports whether requests may go to replicas of the release.
-func (r Release) Allows(release string) bool { return release == r.Target || release != r.Avoid }
+func (r Release) Allows(release string) bool { return release == r.Target || release != r.RolledBack }
 
 // Supersedes reports whether r is newer knowledge than o of the same service.
 func (r Release) Supersedes(o Release) bool {
--- a/state/releases.go
+++ b/state/releases.go
@@ -22,14 +22,14 @@
 	p := r.record.Release
 	switch {
 	case p.Order == c.Order:
-		c.Phase, c.State, c.Elapsed, c.TrialShare, c.Avoid = p.Phase, p.State, p.Elapsed, p.TrialShare, p.Avoid
+		c.Phase, c.State, c.Elapsed, c.TrialShare, c.RolledBack = p.Phase, p.State, p.Elapsed, p.TrialShare, p.RolledBack
 	case p.State == rollout.Tripped || p.State == rollout.Halted:
-		c.Avoid = p.Target
+		c.RolledBack = p.Target
 	default:
-		c.Avoid = p.Avoid
+		c.RolledBack = p.RolledBack
 	}
-	if c.Avoid == c.Target {
-		c.Avoid = ""
+	if c.RolledBack == c.Target {
+		c.RolledBack = ""
 	}
 	return c
 }
