--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -152,7 +152,7 @@
 	start := time.Now()
 	since := start
 	for step := 0; rel.State == rollout.Running && time.Since(start) < 2*rel.Length && !f.found(); step++ {
-		if rel.State == rollout.Running && rel.IsDue(time.Since(start), time.Since(since), f.standing(rel)) {
+		if rel.State == rollout.Running && rel.IsNextPhaseDue(time.Since(start), time.Since(since), f.standing(rel)) {
 			rel, since = rel.Next(), time.Now()
 			rel.TrialShare = rel.ComputeTrialShare(rollout.Bound{Part: 0.15, Slack: 30}, float64(rate))
 			f.phase(rel)
--- a/rollout/release.go
+++ b/rollout/release.go
@@ -129,7 +129,7 @@
 	Suspect, Doubt bool
 }
 
-// IsDue reports whether the next phase may begin, for a release that was ordered
+// IsNextPhaseDue reports whether the next phase may begin, for a release that was ordered
 // ran ago and is in its phase for lasted. Phases that are late, as after an outage,
 // are made up for, but none is left out. A suspect one waits a little longer, and is
 // not done: it has all requests by then, and shows what it is within a second. Of 35
@@ -137,7 +137,7 @@
 // One in doubt stays in its trial, as only there it can be compared, also beyond its
 // length: a comparison that could not be made lets no release pass, and a good one that
 // is late costs less than a bad one that is done.
-func (r Release) IsDue(ran, lasted time.Duration, s Standing) bool {
+func (r Release) IsNextPhaseDue(ran, lasted time.Duration, s Standing) bool {
 	if r.Phase < 0 {
 		return true
 	}
--- a/rollout/release_test.go
+++ b/rollout/release_test.go
@@ -50,10 +50,10 @@
 	const length = 100 * time.Second
 	suspect := rollout.Standing{Suspect: true}
 	r := rollout.NewRelease("s", "v2", 1, length).Next().Next()
-	if r.IsDue(91*time.Second, time.Minute, suspect) || !r.IsDue(91*time.Second, time.Minute, rollout.Standing{}) || !r.IsDue(93*time.Second, time.Minute, suspect) {
+	if r.IsNextPhaseDue(91*time.Second, time.Minute, suspect) || !r.IsNextPhaseDue(91*time.Second, time.Minute, rollout.Standing{}) || !r.IsNextPhaseDue(93*time.Second, time.Minute, suspect) {
 		t.Error("a suspect release does not wait for 3 in 100 of its length")
 	}
-	if r = r.Next(); r.IsDue(length, time.Minute, suspect) || !r.IsDue(length, time.Minute, rollout.Standing{}) {
+	if r = r.Next(); r.IsNextPhaseDue(length, time.Minute, suspect) || !r.IsNextPhaseDue(length, time.Minute, rollout.Standing{}) {
 		t.Error("a suspect release is done")
 	}
 }
@@ -65,22 +65,22 @@
 	const length = 20 * time.Second
 	doubt := rollout.Standing{Doubt: true}
 	r := rollout.NewRelease("s", "v2", 1, length).Next().Next()
-	if r.IsDue(length, time.Minute, doubt) || r.IsDue(149*time.Second, time.Minute, doubt) {
+	if r.IsNextPhaseDue(length, time.Minute, doubt) || r.IsNextPhaseDue(149*time.Second, time.Minute, doubt) {
 		t.Error("a release in doubt leaves its trial")
 	}
-	if r.IsDue(10*length, time.Minute, doubt) {
+	if r.IsNextPhaseDue(10*length, time.Minute, doubt) {
 		t.Error("a release in doubt passes when its length is long over")
 	}
-	if r.IsDue(length, time.Second, rollout.Standing{}) {
+	if r.IsNextPhaseDue(length, time.Second, rollout.Standing{}) {
 		t.Error("one that has just learnt of the trial ends it before others can tell it of their doubt")
 	}
-	if !r.IsDue(length, time.Minute, rollout.Standing{}) {
+	if !r.IsNextPhaseDue(length, time.Minute, rollout.Standing{}) {
 		t.Error("a release that is late for its doubt does not go on once that is over")
 	}
-	if r.IsDue(time.Hour, time.Minute, rollout.Standing{Doubt: true, Suspect: true}) {
+	if r.IsNextPhaseDue(time.Hour, time.Minute, rollout.Standing{Doubt: true, Suspect: true}) {
 		t.Error("a release in doubt that is suspect gets all requests")
 	}
-	if !r.Next().IsDue(length, time.Minute, doubt) {
+	if !r.Next().IsNextPhaseDue(length, time.Minute, doubt) {
 		t.Error("doubt holds a release that can't be compared any more")
 	}
 }
--- a/state/releases.go
+++ b/state/releases.go
@@ -60,7 +60,7 @@
 	if r.record.Release.Order != r.order.Order {
 		return r.next(c.Next(), ran), ran >= 0
 	}
-	if c.IsDue(ran, lasted, s) {
+	if c.IsNextPhaseDue(ran, lasted, s) {
 		return r.next(c.Next(), ran), true
 	}
 	return r.next(c, ran), ran-c.Elapsed >= time.Duration(keepEvery*float64(c.Length))
