--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -170,7 +170,7 @@
 	v := NewCurrentView()
 	rel := map[string]rollout.Release{}
 	if rapid.Bool().Draw(w.t, "release") {
-		rel["s"] = rollout.NewRelease("s", "v1", 1, time.Minute).Next().Next()
+		rel["s"] = rollout.NewRelease("s", "v1", 1, time.Minute).WithNextPhase().WithNextPhase()
 	}
 	v.Put(NewView(nil, w.all, nil, nil).WithRoutes(route.New(1, nil, nil, nil, route.Limits{}), rel))
 	p := Ports{View: v, Clock: w.clock, Rand: rand.NewPCG(1, 1), Upstream: w, Retries: admission.Repeats{Burst: 1000}, AcceptConfidence: 60, Notices: w.book}
--- a/entry/release_test.go
+++ b/entry/release_test.go
@@ -34,7 +34,7 @@
 	now := time.Unix(1_700_000_000, 0)
 	u := &anyReplica{}
 	r := NewRouter(Ports{View: v, Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}})
-	rel := rollout.NewRelease("s", "v2", 1, time.Minute).Next()
+	rel := rollout.NewRelease("s", "v2", 1, time.Minute).WithNextPhase()
 	send := func(id, session string) string {
 		q := &OpaqueRequest{ID: id, Session: session, Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: now, Deadline: time.Now().Add(time.Hour), TimeoutAt: time.Now().Add(time.Hour)}
 		if _, err := r.Forward(t.Context(), q, &clientSink{}); err != nil {
@@ -57,7 +57,7 @@
 			t.Fatalf("a request of the share without a session ran on %s", g)
 		}
 	}
-	v.Put(view.WithRoutes(nil, map[string]rollout.Release{"s": rel.Next()}))
+	v.Put(view.WithRoutes(nil, map[string]rollout.Release{"s": rel.WithNextPhase()}))
 	for _, x := range share {
 		if g := send("q", x); g != "v2" {
 			t.Fatalf("in the second phase a session of the share ran on %s", g)
@@ -77,9 +77,9 @@
 // Clients that leave are no evidence against the replica or its release.
 func TestClientsThatLeaveCountAgainstNobody(t *testing.T) {
 	v := NewCurrentView()
-	rel := rollout.NewRelease("s", "v2", 1, time.Minute).Next()
+	rel := rollout.NewRelease("s", "v2", 1, time.Minute).WithNextPhase()
 	v.Put(NewView(nil, []pool.Replica{{ID: "new", Kind: pool.Service, Service: "s", Release: "v2"}}, nil, nil).
-		WithRoutes(nil, map[string]rollout.Release{"s": rel.Next()}))
+		WithRoutes(nil, map[string]rollout.Release{"s": rel.WithNextPhase()}))
 	u := hangingReplica{began: make(chan struct{})}
 	r := NewRouter(Ports{View: v, Clock: time.Now, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}})
 	for range 20 {
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -153,7 +153,7 @@
 	since := start
 	for step := 0; rel.State == rollout.Running && time.Since(start) < 2*rel.Length && !f.found(); step++ {
 		if rel.State == rollout.Running && rel.IsNextPhaseDue(time.Since(start), time.Since(since), f.standing(rel)) {
-			rel, since = rel.Next(), time.Now()
+			rel, since = rel.WithNextPhase(), time.Now()
 			rel.TrialShare = rel.ComputeTrialShare(rollout.Bound{Part: 0.15, Slack: 30}, float64(rate))
 			f.phase(rel)
 		}
@@ -226,7 +226,7 @@
 			}
 			return 50 * time.Millisecond, http.StatusOK
 		}
-		rel := rollout.NewRelease("s", "v2", 1, 20*time.Second).Next().Next()
+		rel := rollout.NewRelease("s", "v2", 1, 20*time.Second).WithNextPhase().WithNextPhase()
 		rel.TrialShare = 3000
 		f.phase(rel)
 		judge := f.routers[0]
@@ -345,7 +345,7 @@
 // that to others is not.
 func TestAJudgeThatHearsFewIsInDoubtByItself(t *testing.T) {
 	f := newTrialFleet(t, 5)
-	rel := rollout.NewRelease("s", "v2", 1, 6*time.Second).Next().Next()
+	rel := rollout.NewRelease("s", "v2", 1, 6*time.Second).WithNextPhase().WithNextPhase()
 	f.phase(rel)
 	r := f.routers[0]
 	for range 60 {
--- a/rollout/release.go
+++ b/rollout/release.go
@@ -158,8 +158,8 @@
 	return ran >= until && lasted >= least
 }
 
-// Next returns r one phase on; after the last one it is done.
-func (r Release) Next() Release {
+// WithNextPhase returns r one phase on; after the last one it is done.
+func (r Release) WithNextPhase() Release {
 	if r.State != Running {
 		return r
 	}
--- a/rollout/release_test.go
+++ b/rollout/release_test.go
@@ -16,7 +16,7 @@
 		r := rollout.NewRelease("s", "v2", 1, time.Minute)
 		was := r.Takes(s)
 		for r.State == rollout.Running {
-			n := r.Next()
+			n := r.WithNextPhase()
 			if !n.Supersedes(r) || r.Supersedes(n) {
 				t.Fatalf("phase %d does not supersede phase %d", n.Phase, r.Phase)
 			}
@@ -35,7 +35,7 @@
 }
 
 func TestTrippedReleaseGetsNothing(t *testing.T) {
-	r := rollout.NewRelease("s", "v2", 1, time.Minute).Next().Next().WithState(rollout.Tripped)
+	r := rollout.NewRelease("s", "v2", 1, time.Minute).WithNextPhase().WithNextPhase().WithState(rollout.Tripped)
 	if r.Share() != 0 || r.Takes("x") {
 		t.Errorf("a tripped release has share %d", r.Share())
 	}
@@ -49,11 +49,11 @@
 func TestASuspectReleaseWaits(t *testing.T) {
 	const length = 100 * time.Second
 	suspect := rollout.Standing{Suspect: true}
-	r := rollout.NewRelease("s", "v2", 1, length).Next().Next()
+	r := rollout.NewRelease("s", "v2", 1, length).WithNextPhase().WithNextPhase()
 	if r.IsNextPhaseDue(91*time.Second, time.Minute, suspect) || !r.IsNextPhaseDue(91*time.Second, time.Minute, rollout.Standing{}) || !r.IsNextPhaseDue(93*time.Second, time.Minute, suspect) {
 		t.Error("a suspect release does not wait for 3 in 100 of its length")
 	}
-	if r = r.Next(); r.IsNextPhaseDue(length, time.Minute, suspect) || !r.IsNextPhaseDue(length, time.Minute, rollout.Standing{}) {
+	if r = r.WithNextPhase(); r.IsNextPhaseDue(length, time.Minute, suspect) || !r.IsNextPhaseDue(length, time.Minute, rollout.Standing{}) {
 		t.Error("a suspect release is done")
 	}
 }
@@ -64,7 +64,7 @@
 func TestAReleaseInDoubtStaysInItsTrial(t *testing.T) {
 	const length = 20 * time.Second
 	doubt := rollout.Standing{Doubt: true}
-	r := rollout.NewRelease("s", "v2", 1, length).Next().Next()
+	r := rollout.NewRelease("s", "v2", 1, length).WithNextPhase().WithNextPhase()
 	if r.IsNextPhaseDue(length, time.Minute, doubt) || r.IsNextPhaseDue(149*time.Second, time.Minute, doubt) {
 		t.Error("a release in doubt leaves its trial")
 	}
@@ -80,7 +80,7 @@
 	if r.IsNextPhaseDue(time.Hour, time.Minute, rollout.Standing{Doubt: true, Suspect: true}) {
 		t.Error("a release in doubt that is suspect gets all requests")
 	}
-	if !r.Next().IsNextPhaseDue(length, time.Minute, doubt) {
+	if !r.WithNextPhase().IsNextPhaseDue(length, time.Minute, doubt) {
 		t.Error("doubt holds a release that can't be compared any more")
 	}
 }
@@ -91,7 +91,7 @@
 	for r.State == rollout.Running {
 		fmt.Println(at.Round(time.Second), r.Share())
 		at += r.PhaseLength()
-		r = r.Next()
+		r = r.WithNextPhase()
 	}
 	fmt.Println(at.Round(time.Second), r.State)
 	// Output:
--- a/state/releases.go
+++ b/state/releases.go
@@ -58,10 +58,10 @@
 	c := r.current()
 	ran, lasted := r.ran(now)-wait, now.Sub(r.since)-wait
 	if r.record.Release.Order != r.order.Order {
-		return r.next(c.Next(), ran), ran >= 0
+		return r.next(c.WithNextPhase(), ran), ran >= 0
 	}
 	if c.IsNextPhaseDue(ran, lasted, s) {
-		return r.next(c.Next(), ran), true
+		return r.next(c.WithNextPhase(), ran), true
 	}
 	return r.next(c, ran), ran-c.Elapsed >= time.Duration(keepEvery*float64(c.Length))
 }
