--- a/entry/release_test.go
+++ b/entry/release_test.go
@@ -44,7 +44,7 @@
 	}
 	var share []string
 	for i := range 2000 {
-		if x := fmt.Sprint("key", i); rel.Takes(x) {
+		if x := fmt.Sprint("key", i); rel.RoutesToTarget(x) {
 			share = append(share, x)
 		}
 	}
--- a/rollout/release.go
+++ b/rollout/release.go
@@ -178,10 +178,10 @@
 	return r
 }
 
-// Takes reports whether requests with that key, a session's name or the
+// RoutesToTarget reports whether requests with that key, a session's name or the
 // request's own, go to the target. Keys only ever move to it while the release
 // runs.
-func (r Release) Takes(key string) bool {
+func (r Release) RoutesToTarget(key string) bool {
 	return int(xxhash.Sum64String(r.Target+"/"+key)%FullShare) < r.Share()
 }
 
--- a/rollout/release_test.go
+++ b/rollout/release_test.go
@@ -14,16 +14,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := rapid.String().Draw(t, "session")
 		r := rollout.NewRelease("s", "v2", 1, time.Minute)
-		was := r.Takes(s)
+		was := r.RoutesToTarget(s)
 		for r.State == rollout.Running {
 			n := r.WithNextPhase()
 			if !n.Supersedes(r) || r.Supersedes(n) {
 				t.Fatalf("phase %d does not supersede phase %d", n.Phase, r.Phase)
 			}
-			if was && !n.Takes(s) {
+			if was && !n.RoutesToTarget(s) {
 				t.Fatalf("session %q went back in phase %d", s, n.Phase)
 			}
-			was, r = n.Takes(s), n
+			was, r = n.RoutesToTarget(s), n
 		}
 		if !was {
 			t.Fatal("a session is on the old release at the end")
@@ -36,7 +36,7 @@
 
 func TestTrippedReleaseGetsNothing(t *testing.T) {
 	r := rollout.NewRelease("s", "v2", 1, time.Minute).WithNextPhase().WithNextPhase().WithState(rollout.Tripped)
-	if r.Share() != 0 || r.Takes("x") {
+	if r.Share() != 0 || r.RoutesToTarget("x") {
 		t.Errorf("a tripped release has share %d", r.Share())
 	}
 	if o := rollout.NewRelease("s", "v3", 2, time.Minute); !o.Supersedes(r) || r.Supersedes(o) {
