--- a/entry/allowed.go
+++ b/entry/allowed.go
@@ -29,7 +29,7 @@
 // the old replicas stay for some time. The other way would give a release that may be bad
 // more than its share.
 func (w *forwarding) mayStay(rel rollout.Release) bool {
-	return w.q.Session == "" && rel.State == rollout.Running && rel.IsShared() && rel.RoutesToTarget(w.q.sessionKey()) && !w.r.trippedHere(rel)
+	return w.q.Session == "" && rel.State == rollout.Running && rel.SplitsTraffic() && rel.RoutesToTarget(w.q.sessionKey()) && !w.r.trippedHere(rel)
 }
 
 // ofOld returns the replicas of other releases than the new one that may be used.
--- a/entry/wait.go
+++ b/entry/wait.go
@@ -34,7 +34,7 @@
 func (a *attempt) await() {
 	r := a.w.r
 	rel, ok := r.view.Get().Releases[a.w.f.Service]
-	if !ok || !rel.IsShared() {
+	if !ok || !rel.SplitsTraffic() {
 		return
 	}
 	a.wait = &wait{release: a.replica.Release, kind: rollout.KindOf(a.waitKind()), since: a.sent, ends: rollout.SpanEnds(a.span())}
--- a/rollout/release.go
+++ b/rollout/release.go
@@ -185,9 +185,9 @@
 	return int(xxhash.Sum64String(r.Target+"/"+key)%FullShare) < r.Share()
 }
 
-// IsShared reports whether both releases get requests, so that they can be
+// SplitsTraffic reports whether both releases get requests, so that they can be
 // compared.
-func (r Release) IsShared() bool { return r.Share() > 0 && r.Share() < FullShare }
+func (r Release) SplitsTraffic() bool { return r.Share() > 0 && r.Share() < FullShare }
 
 // MovesSessions reports whether requests of sessions may go to the target.
 func (r Release) MovesSessions() bool {
