--- a/entry/allowed.go
+++ b/entry/allowed.go
@@ -8,7 +8,7 @@
 // ofRelease returns the replicas that the request may go to while its service
 // changes its release.
 func (w *forwarding) ofRelease(l []*pool.Replica, rel rollout.Release) []*pool.Replica {
-	takes := rel.RoutesToTarget(w.q.sessionKey()) && (w.q.Session == "" || rel.MovesSessions())
+	takes := rel.RoutesToTarget(w.q.sessionKey()) && (w.q.Session == "" || rel.IncludesSessions())
 	if rel.State == rollout.Running && w.r.trippedHere(rel) {
 		takes = false
 	}
--- a/rollout/release.go
+++ b/rollout/release.go
@@ -189,8 +189,8 @@
 // compared.
 func (r Release) SplitsTraffic() bool { return r.Share() > 0 && r.Share() < FullShare }
 
-// MovesSessions reports whether requests of sessions may go to the target.
-func (r Release) MovesSessions() bool {
+// IncludesSessions reports whether requests of sessions may go to the target.
+func (r Release) IncludesSessions() bool {
 	return r.State == Done || r.State == Running && r.Phase > 0
 }
 
