--- a/rollout/release.go
+++ b/rollout/release.go
@@ -77,8 +77,8 @@
 
 // Bound is how many of the requests of a release's length a bad one may get.
 type Bound struct {
-	// Part is of all requests, and Slack a number on top.
-	Part, Slack float64
+	// Fraction is of all requests, and Slack a number on top.
+	Fraction, Slack float64
 }
 
 // ComputeTrialShare is the share of requests that the release gets while it is tried, for a
@@ -88,7 +88,7 @@
 	if rate <= 0 {
 		return leastTrial
 	}
-	part := b.Part + b.Slack/(rate*r.Length.Seconds()) - (1 - wholeFrom) - trialMargin
+	part := b.Fraction + b.Slack/(rate*r.Length.Seconds()) - (1 - wholeFrom) - trialMargin
 	return int(min(mostTrial, max(leastTrial, FullShare*part/(wholeFrom-trialFrom))))
 }
 
