--- a/cmd/fieldvale-node/releases.go
+++ b/cmd/fieldvale-node/releases.go
@@ -42,7 +42,7 @@
 // tried sets the share with which a release is tried, once its trial begins.
 func (n *node) tried(c state.Record) state.Record {
 	if r := &c.Release; r.Phase > 0 && r.TrialShare == 0 {
-		b := rollout.Bound{Fraction: n.s.ExposedPart, Slack: n.s.ExposedSlack}
+		b := rollout.ExposureLimit{Fraction: n.s.ExposedPart, Slack: n.s.ExposedSlack}
 		r.TrialShare = r.ComputeTrialShare(b, n.router.SendRate(*r, r.Elapsed))
 	}
 	return c
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -154,7 +154,7 @@
 	for step := 0; rel.State == rollout.Running && time.Since(start) < 2*rel.Length && !f.found(); step++ {
 		if rel.State == rollout.Running && rel.IsNextPhaseDue(time.Since(start), time.Since(since), f.standing(rel)) {
 			rel, since = rel.WithNextPhase(), time.Now()
-			rel.TrialShare = rel.ComputeTrialShare(rollout.Bound{Fraction: 0.15, Slack: 30}, float64(rate))
+			rel.TrialShare = rel.ComputeTrialShare(rollout.ExposureLimit{Fraction: 0.15, Slack: 30}, float64(rate))
 			f.phase(rel)
 		}
 		f.run(fmt.Sprint("s", step, "-"), a, rate, 100*time.Millisecond, patience)
--- a/rollout/release.go
+++ b/rollout/release.go
@@ -75,8 +75,8 @@
 // phaseEnds are the parts of the length at which the next phase may begin.
 var phaseEnds = []float64{trialFrom, wholeFrom, doneFrom}
 
-// Bound is how many of the requests of a release's length a bad one may get.
-type Bound struct {
+// ExposureLimit is how many of the requests of a release's length a bad one may get.
+type ExposureLimit struct {
 	// Fraction is of all requests, and Slack a number on top.
 	Fraction, Slack float64
 }
@@ -84,7 +84,7 @@
 // ComputeTrialShare is the share of requests that the release gets while it is tried, for a
 // service whose replicas get so many a second: what the bound leaves of the part in
 // which it gets all, so that even one that shows nothing stays within it.
-func (r Release) ComputeTrialShare(b Bound, rate float64) int {
+func (r Release) ComputeTrialShare(b ExposureLimit, rate float64) int {
 	if rate <= 0 {
 		return leastTrial
 	}
--- a/rollout/release_test.go
+++ b/rollout/release_test.go
@@ -106,7 +106,7 @@
 // is over, whatever the service's rate; few requests leave it more of them.
 func ExampleRelease_ComputeTrialShare() {
 	r := rollout.NewRelease("s", "v2", 1, 14*time.Second)
-	b := rollout.Bound{Fraction: 0.15, Slack: 30}
+	b := rollout.ExposureLimit{Fraction: 0.15, Slack: 30}
 	for _, rate := range []float64{10, 30, 70, 1000} {
 		fmt.Println(rate, r.ComputeTrialShare(b, rate))
 	}
