--- a/entry/releases.go
+++ b/entry/releases.go
@@ -247,7 +247,7 @@
 		return rollout.Standing{}
 	}
 	x := t.judge.Finding().Standing()
-	x.Doubt = x.Doubt && (judges || r.hearsMost(t)) || r.clock().Before(t.doubted.Add(doubtLasts))
+	x.Inconclusive = x.Inconclusive && (judges || r.hearsMost(t)) || r.clock().Before(t.doubted.Add(doubtLasts))
 	return x
 }
 
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -165,7 +165,7 @@
 func (f *trialFleet) standing(rel rollout.Release) (s rollout.Standing) {
 	for _, r := range f.routers {
 		x := r.Standing(rel, false)
-		s.Suspect, s.Doubt = s.Suspect || x.Suspect, s.Doubt || x.Doubt
+		s.Suspect, s.Inconclusive = s.Suspect || x.Suspect, s.Inconclusive || x.Inconclusive
 	}
 	return s
 }
@@ -354,10 +354,10 @@
 		r.releases.answered(rel, w, true, w.since)
 	}
 	r.releases.weigh(rel, saw{release: "v1", outcome: showsGood}, time.Now(), r.events)
-	if s := r.Standing(rel, false); s.Doubt {
+	if s := r.Standing(rel, false); s.Inconclusive {
 		t.Error("one that leaves it to others is in doubt")
 	}
-	if s := r.Standing(rel, true); !s.Doubt {
+	if s := r.Standing(rel, true); !s.Inconclusive {
 		t.Error("a judge that hears nobody is not in doubt of a release of which nothing was seen")
 	}
 }
--- a/rollout/before_test.go
+++ b/rollout/before_test.go
@@ -73,7 +73,7 @@
 		for seed := range uint64(30) {
 			j := c.day.play(seed, c.trial)
 			s := j.Finding().Standing()
-			if passes := !j.Bad() && !s.Doubt; passes != c.passes {
+			if passes := !j.Bad() && !s.Inconclusive; passes != c.passes {
 				wrong++
 			}
 		}
@@ -103,7 +103,7 @@
 			}
 			j.Report("a", l, at(i))
 		}
-		if g := j.Finding().Standing().Doubt; g != c.want {
+		if g := j.Finding().Standing().Inconclusive; g != c.want {
 			t.Errorf("%d requests beside %d: in doubt %t, want %t", c.now, c.old, g, c.want)
 		}
 	}
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -198,7 +198,7 @@
 
 // Standing returns what keeps the release from its next phase.
 func (f Finding) Standing() Standing {
-	return Standing{Suspect: max(f.Whose, f.Kind, f.Answers, f.Pace) >= suspectLevel, Doubt: f.Doubt}
+	return Standing{Suspect: max(f.Whose, f.Kind, f.Answers, f.Pace) >= suspectLevel, Inconclusive: f.Doubt}
 }
 
 // Bad reports whether the release was found bad.
--- a/rollout/release.go
+++ b/rollout/release.go
@@ -124,9 +124,9 @@
 
 // Standing is what a release shows that is not found bad.
 type Standing struct {
-	// Suspect says that it is near to being found bad, Doubt that it looks slow and
+	// Suspect says that it is near to being found bad, Inconclusive that it looks slow and
 	// had too few requests to tell.
-	Suspect, Doubt bool
+	Suspect, Inconclusive bool
 }
 
 // IsNextPhaseDue reports whether the next phase may begin, for a release that was ordered
@@ -144,7 +144,7 @@
 	if r.Phase >= len(phaseEnds) {
 		return false
 	}
-	if s.Suspect && r.Phase == len(phaseEnds)-1 || s.Doubt && r.Phase == trialPhase {
+	if s.Suspect && r.Phase == len(phaseEnds)-1 || s.Inconclusive && r.Phase == trialPhase {
 		return false
 	}
 	until := r.part(phaseEnds[r.Phase])
--- a/rollout/release_test.go
+++ b/rollout/release_test.go
@@ -63,7 +63,7 @@
 // on nothing could tell: there was no old release to compare it with.
 func TestAReleaseInDoubtStaysInItsTrial(t *testing.T) {
 	const length = 20 * time.Second
-	doubt := rollout.Standing{Doubt: true}
+	doubt := rollout.Standing{Inconclusive: true}
 	r := rollout.NewRelease("s", "v2", 1, length).WithNextPhase().WithNextPhase()
 	if r.IsNextPhaseDue(length, time.Minute, doubt) || r.IsNextPhaseDue(149*time.Second, time.Minute, doubt) {
 		t.Error("a release in doubt leaves its trial")
@@ -77,7 +77,7 @@
 	if !r.IsNextPhaseDue(length, time.Minute, rollout.Standing{}) {
 		t.Error("a release that is late for its doubt does not go on once that is over")
 	}
-	if r.IsNextPhaseDue(time.Hour, time.Minute, rollout.Standing{Doubt: true, Suspect: true}) {
+	if r.IsNextPhaseDue(time.Hour, time.Minute, rollout.Standing{Inconclusive: true, Suspect: true}) {
 		t.Error("a release in doubt that is suspect gets all requests")
 	}
 	if !r.WithNextPhase().IsNextPhaseDue(length, time.Minute, doubt) {
