--- a/entry/releases.go
+++ b/entry/releases.go
@@ -246,7 +246,7 @@
 	if t == nil {
 		return rollout.Standing{}
 	}
-	x := t.judge.Finding().Standing()
+	x := t.judge.Finding().Concerns()
 	x.Inconclusive = x.Inconclusive && (judges || r.hearsMost(t)) || r.clock().Before(t.doubted.Add(doubtLasts))
 	return x
 }
--- a/rollout/before_test.go
+++ b/rollout/before_test.go
@@ -72,7 +72,7 @@
 		wrong := 0
 		for seed := range uint64(30) {
 			j := c.day.play(seed, c.trial)
-			s := j.Finding().Standing()
+			s := j.Finding().Concerns()
 			if passes := !j.Bad() && !s.Inconclusive; passes != c.passes {
 				wrong++
 			}
@@ -103,7 +103,7 @@
 			}
 			j.Report("a", l, at(i))
 		}
-		if g := j.Finding().Standing().Inconclusive; g != c.want {
+		if g := j.Finding().Concerns().Inconclusive; g != c.want {
 			t.Errorf("%d requests beside %d: in doubt %t, want %t", c.now, c.old, g, c.want)
 		}
 	}
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -196,8 +196,8 @@
 // suspectLevel is how near a test must be for a release to be suspect.
 const suspectLevel = 0.5
 
-// Standing returns what keeps the release from its next phase.
-func (f Finding) Standing() Standing {
+// Concerns returns what keeps the release from its next phase.
+func (f Finding) Concerns() Standing {
 	return Standing{Suspect: max(f.Whose, f.Kind, f.Answers, f.Pace) >= suspectLevel, Inconclusive: f.Doubt}
 }
 
