--- a/cmd/fieldvale-node/releases.go
+++ b/cmd/fieldvale-node/releases.go
@@ -78,7 +78,7 @@
 // turn is how long this instance lets those ranked before it write a record
 // of the service's release. Those that don't judge it, and don't know whether it
 // is suspect, leave the judges time. One that knows no other instance is a judge.
-func (n *node) turn(rel rollout.Release) (wait time.Duration, s rollout.Standing) {
+func (n *node) turn(rel rollout.Release) (wait time.Duration, s rollout.Concerns) {
 	m := n.ranked(rel.Service)
 	i := slices.IndexFunc(m, func(x peer.Member) bool { return x.ID == n.s.ID })
 	if i < 0 {
--- a/entry/releases.go
+++ b/entry/releases.go
@@ -238,13 +238,13 @@
 // Standing returns what a release under way shows here, and in doubt also what
 // others told of it. One that is not to judge it has too few answers of its own to be
 // in doubt by; one that is has no others to rely on, also where it hears of few.
-func (r *Router) Standing(rel rollout.Release, judges bool) rollout.Standing {
+func (r *Router) Standing(rel rollout.Release, judges bool) rollout.Concerns {
 	s := r.releases
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.of(rel)
 	if t == nil {
-		return rollout.Standing{}
+		return rollout.Concerns{}
 	}
 	x := t.judge.Finding().Concerns()
 	x.Inconclusive = x.Inconclusive && (judges || r.hearsMost(t)) || r.clock().Before(t.doubted.Add(doubtLasts))
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -162,7 +162,7 @@
 	}
 }
 
-func (f *trialFleet) standing(rel rollout.Release) (s rollout.Standing) {
+func (f *trialFleet) standing(rel rollout.Release) (s rollout.Concerns) {
 	for _, r := range f.routers {
 		x := r.Standing(rel, false)
 		s.Suspect, s.Inconclusive = s.Suspect || x.Suspect, s.Inconclusive || x.Inconclusive
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -197,8 +197,8 @@
 const suspectLevel = 0.5
 
 // Concerns returns what keeps the release from its next phase.
-func (f Finding) Concerns() Standing {
-	return Standing{Suspect: max(f.Whose, f.Kind, f.Answers, f.Pace) >= suspectLevel, Inconclusive: f.Doubt}
+func (f Finding) Concerns() Concerns {
+	return Concerns{Suspect: max(f.Whose, f.Kind, f.Answers, f.Pace) >= suspectLevel, Inconclusive: f.Doubt}
 }
 
 // Bad reports whether the release was found bad.
--- a/rollout/release.go
+++ b/rollout/release.go
@@ -122,8 +122,8 @@
 
 func (r Release) part(f float64) time.Duration { return time.Duration(f * float64(r.Length)) }
 
-// Standing is what a release shows that is not found bad.
-type Standing struct {
+// Concerns is what a release shows that is not found bad.
+type Concerns struct {
 	// Suspect says that it is near to being found bad, Inconclusive that it looks slow and
 	// had too few requests to tell.
 	Suspect, Inconclusive bool
@@ -137,7 +137,7 @@
 // One in doubt stays in its trial, as only there it can be compared, also beyond its
 // length: a comparison that could not be made lets no release pass, and a good one that
 // is late costs less than a bad one that is done.
-func (r Release) IsNextPhaseDue(ran, lasted time.Duration, s Standing) bool {
+func (r Release) IsNextPhaseDue(ran, lasted time.Duration, s Concerns) bool {
 	if r.Phase < 0 {
 		return true
 	}
--- a/rollout/release_test.go
+++ b/rollout/release_test.go
@@ -48,12 +48,12 @@
 // is not done while it is.
 func TestASuspectReleaseWaits(t *testing.T) {
 	const length = 100 * time.Second
-	suspect := rollout.Standing{Suspect: true}
+	suspect := rollout.Concerns{Suspect: true}
 	r := rollout.NewRelease("s", "v2", 1, length).WithNextPhase().WithNextPhase()
-	if r.IsNextPhaseDue(91*time.Second, time.Minute, suspect) || !r.IsNextPhaseDue(91*time.Second, time.Minute, rollout.Standing{}) || !r.IsNextPhaseDue(93*time.Second, time.Minute, suspect) {
+	if r.IsNextPhaseDue(91*time.Second, time.Minute, suspect) || !r.IsNextPhaseDue(91*time.Second, time.Minute, rollout.Concerns{}) || !r.IsNextPhaseDue(93*time.Second, time.Minute, suspect) {
 		t.Error("a suspect release does not wait for 3 in 100 of its length")
 	}
-	if r = r.WithNextPhase(); r.IsNextPhaseDue(length, time.Minute, suspect) || !r.IsNextPhaseDue(length, time.Minute, rollout.Standing{}) {
+	if r = r.WithNextPhase(); r.IsNextPhaseDue(length, time.Minute, suspect) || !r.IsNextPhaseDue(length, time.Minute, rollout.Concerns{}) {
 		t.Error("a suspect release is done")
 	}
 }
@@ -63,7 +63,7 @@
 // on nothing could tell: there was no old release to compare it with.
 func TestAReleaseInDoubtStaysInItsTrial(t *testing.T) {
 	const length = 20 * time.Second
-	doubt := rollout.Standing{Inconclusive: true}
+	doubt := rollout.Concerns{Inconclusive: true}
 	r := rollout.NewRelease("s", "v2", 1, length).WithNextPhase().WithNextPhase()
 	if r.IsNextPhaseDue(length, time.Minute, doubt) || r.IsNextPhaseDue(149*time.Second, time.Minute, doubt) {
 		t.Error("a release in doubt leaves its trial")
@@ -71,13 +71,13 @@
 	if r.IsNextPhaseDue(10*length, time.Minute, doubt) {
 		t.Error("a release in doubt passes when its length is long over")
 	}
-	if r.IsNextPhaseDue(length, time.Second, rollout.Standing{}) {
+	if r.IsNextPhaseDue(length, time.Second, rollout.Concerns{}) {
 		t.Error("one that has just learnt of the trial ends it before others can tell it of their doubt")
 	}
-	if !r.IsNextPhaseDue(length, time.Minute, rollout.Standing{}) {
+	if !r.IsNextPhaseDue(length, time.Minute, rollout.Concerns{}) {
 		t.Error("a release that is late for its doubt does not go on once that is over")
 	}
-	if r.IsNextPhaseDue(time.Hour, time.Minute, rollout.Standing{Inconclusive: true, Suspect: true}) {
+	if r.IsNextPhaseDue(time.Hour, time.Minute, rollout.Concerns{Inconclusive: true, Suspect: true}) {
 		t.Error("a release in doubt that is suspect gets all requests")
 	}
 	if !r.WithNextPhase().IsNextPhaseDue(length, time.Minute, doubt) {
--- a/state/releases.go
+++ b/state/releases.go
@@ -54,7 +54,7 @@
 
 // due returns what is to be recorded of a running release after the wait for
 // this instance's turn, and whether that is so by now.
-func (r *release) due(now time.Time, wait time.Duration, s rollout.Standing) (Record, bool) {
+func (r *release) due(now time.Time, wait time.Duration, s rollout.Concerns) (Record, bool) {
 	c := r.current()
 	ran, lasted := r.ran(now)-wait, now.Sub(r.since)-wait
 	if r.record.Release.Order != r.order.Order {
@@ -108,7 +108,7 @@
 
 // Turn is how long this instance waits for each service's release while others
 // may record what is due, and what the release shows.
-type Turn func(rel rollout.Release) (wait time.Duration, s rollout.Standing)
+type Turn func(rel rollout.Release) (wait time.Duration, s rollout.Concerns)
 
 // DueRecords returns the releases of which something is to be recorded by now: those
 // that no record tells of yet, those whose phase has lasted, each one phase
