--- a/entry/releases.go
+++ b/entry/releases.go
@@ -289,7 +289,7 @@
 			continue
 		}
 		s.mu.Lock()
-		if t := s.of(rel); t != nil && t.judge.Finding().Doubt && r.hearsMost(t) {
+		if t := s.of(rel); t != nil && t.judge.Finding().Inconclusive && r.hearsMost(t) {
 			l = append(l, rel)
 		}
 		s.mu.Unlock()
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -178,8 +178,8 @@
 	// Whose, Kind, Answers and Pace are how near the tests are to
 	// finding the release bad; from 1 on they have.
 	Whose, Kind, Answers, Pace float64
-	// Doubt says that its answers look slow, and are too few to tell.
-	Doubt bool
+	// Inconclusive says that its answers look slow, and are too few to tell.
+	Inconclusive bool
 	// Cause says for what it was found bad; empty if it was not.
 	Cause string
 }
@@ -189,7 +189,7 @@
 	return Finding{
 		Origins: len(j.told.from), Whose: j.whose.level(), Kind: j.kindLevel(),
 		Answers: j.answer.Sum() / j.answer.Limit(),
-		Pace:    j.slow, Doubt: j.doubt, Cause: j.cause,
+		Pace:    j.slow, Inconclusive: j.doubt, Cause: j.cause,
 	}
 }
 
@@ -198,7 +198,7 @@
 
 // Concerns returns what keeps the release from its next phase.
 func (f Finding) Concerns() Concerns {
-	return Concerns{Suspect: max(f.Whose, f.Kind, f.Answers, f.Pace) >= suspectLevel, Inconclusive: f.Doubt}
+	return Concerns{Suspect: max(f.Whose, f.Kind, f.Answers, f.Pace) >= suspectLevel, Inconclusive: f.Inconclusive}
 }
 
 // Bad reports whether the release was found bad.
