--- a/entry/releases.go
+++ b/entry/releases.go
@@ -253,7 +253,7 @@
 
 // hearsMost reports whether most of the fleet tell this instance what they see of the
 // release. One that hears few has too few answers to be in doubt by.
-func (r *Router) hearsMost(t *trial) bool { return 2*t.judge.Finding().Origins > r.fleet() }
+func (r *Router) hearsMost(t *trial) bool { return 2*t.judge.Finding().Reporters > r.fleet() }
 
 // RecordPeerDoubt takes in that another instance, which judges the release, is in doubt
 // of it.
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -173,8 +173,8 @@
 
 // Finding is what a judge makes of what it was told, for the log.
 type Finding struct {
-	// Origins is how many instances have reported.
-	Origins int
+	// Reporters is how many instances have reported.
+	Reporters int
 	// Whose, Kind, Answers and Pace are how near the tests are to
 	// finding the release bad; from 1 on they have.
 	Whose, Kind, Answers, Pace float64
@@ -187,7 +187,7 @@
 // Finding returns what the judge makes of the reports so far.
 func (j *Judge) Finding() Finding {
 	return Finding{
-		Origins: len(j.told.from), Whose: j.whose.level(), Kind: j.kindLevel(),
+		Reporters: len(j.told.from), Whose: j.whose.level(), Kind: j.kindLevel(),
 		Answers: j.answer.Sum() / j.answer.Limit(),
 		Pace:    j.slow, Inconclusive: j.doubt, Cause: j.cause,
 	}
