--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -175,9 +175,9 @@
 type Finding struct {
 	// Reporters is how many instances have reported.
 	Reporters int
-	// BadShareLevel, KindLevel, FailureLevel and Pace are how near the tests are to
+	// BadShareLevel, KindLevel, FailureLevel and SlownessLevel are how near the tests are to
 	// finding the release bad; from 1 on they have.
-	BadShareLevel, KindLevel, FailureLevel, Pace float64
+	BadShareLevel, KindLevel, FailureLevel, SlownessLevel float64
 	// Inconclusive says that its answers look slow, and are too few to tell.
 	Inconclusive bool
 	// Cause says for what it was found bad; empty if it was not.
@@ -189,7 +189,7 @@
 	return Finding{
 		Reporters: len(j.told.from), BadShareLevel: j.whose.level(), KindLevel: j.kindLevel(),
 		FailureLevel: j.answer.Sum() / j.answer.Limit(),
-		Pace:    j.slow, Inconclusive: j.doubt, Cause: j.cause,
+		SlownessLevel:    j.slow, Inconclusive: j.doubt, Cause: j.cause,
 	}
 }
 
@@ -198,7 +198,7 @@
 
 // Concerns returns what keeps the release from its next phase.
 func (f Finding) Concerns() Concerns {
-	return Concerns{Suspect: max(f.BadShareLevel, f.KindLevel, f.FailureLevel, f.Pace) >= suspectLevel, Inconclusive: f.Inconclusive}
+	return Concerns{Suspect: max(f.BadShareLevel, f.KindLevel, f.FailureLevel, f.SlownessLevel) >= suspectLevel, Inconclusive: f.Inconclusive}
 }
 
 // Bad reports whether the release was found bad.
