--- a/entry/releases.go
+++ b/entry/releases.go
@@ -53,7 +53,7 @@
 }
 
 // isBad reports whether the release was found bad, here or elsewhere.
-func (t *trial) isBad() bool { return t.told || t.judge.Bad() }
+func (t *trial) isBad() bool { return t.told || t.judge.IsBad() }
 
 // ownOrigin names this instance's tally in its judge.
 const ownOrigin = ""
--- a/rollout/before_test.go
+++ b/rollout/before_test.go
@@ -73,7 +73,7 @@
 		for seed := range uint64(30) {
 			j := c.day.play(seed, c.trial)
 			s := j.Finding().Concerns()
-			if passes := !j.Bad() && !s.Inconclusive; passes != c.passes {
+			if passes := !j.IsBad() && !s.Inconclusive; passes != c.passes {
 				wrong++
 			}
 		}
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -62,13 +62,13 @@
 // release was found bad by it. An older report changes nothing.
 func (j *Judge) Report(origin string, t Tally, now time.Time) bool {
 	j.told.take(origin, t)
-	was := j.Bad()
+	was := j.IsBad()
 	l := j.lately(now)
 	j.test(now)
 	if !was {
 		j.cause = j.why(l)
 	}
-	return !was && j.Bad()
+	return !was && j.IsBad()
 }
 
 // test takes in what was told.
@@ -201,8 +201,8 @@
 	return Concerns{Suspect: max(f.BadShareLevel, f.KindLevel, f.FailureLevel, f.SlownessLevel) >= suspectLevel, Inconclusive: f.Inconclusive}
 }
 
-// Bad reports whether the release was found bad.
-func (j *Judge) Bad() bool { return j.cause != "" }
+// IsBad reports whether the release was found bad.
+func (j *Judge) IsBad() bool { return j.cause != "" }
 
 // Total is what all origins saw.
 func (j *Judge) Total() Tally { return j.told.total }
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -87,7 +87,7 @@
 			j := rollout.NewJudge()
 			var l [7]rollout.Tally
 			n := 0
-			for ; n < 3000 && !j.Bad(); n++ {
+			for ; n < 3000 && !j.IsBad(); n++ {
 				i, k := r.IntN(len(l)), r.IntN(6)
 				l[i].New[k] = draw(r, l[i].New[k], c.now)
 				for range c.olds {
@@ -96,8 +96,8 @@
 				}
 				j.Report(fmt.Sprint(i), l[i], at(n))
 			}
-			if c.want == 0 && j.Bad() || c.want > 0 && n > c.want {
-				t.Errorf("%s, seed %d: bad %t after %d answers, want within %d; %+v", c.name, seed, j.Bad(), n, c.want, j.Finding())
+			if c.want == 0 && j.IsBad() || c.want > 0 && n > c.want {
+				t.Errorf("%s, seed %d: bad %t after %d answers, want within %d; %+v", c.name, seed, j.IsBad(), n, c.want, j.Finding())
 			}
 		}
 	}
@@ -117,7 +117,7 @@
 		j := rollout.NewJudge()
 		var l rollout.Tally
 		n := 0
-		for ; n < 500 && !j.Bad(); n++ {
+		for ; n < 500 && !j.IsBad(); n++ {
 			k := r.IntN(6)
 			b := behaviour{}
 			if k == 2 {
@@ -130,7 +130,7 @@
 			}
 			j.Report("a", l, at(n))
 		}
-		if !j.Bad() {
+		if !j.IsBad() {
 			t.Errorf("seed %d: not found: %+v", seed, j.Finding())
 		}
 	}
@@ -159,11 +159,11 @@
 				l.Old[0] = draw(r, l.Old[0], old)
 			}
 			j.Report("a", l, at(n))
-			if n < 600 && j.Bad() {
+			if n < 600 && j.IsBad() {
 				t.Fatalf("seed %d: found bad at answer %d: %+v", seed, n, j.Finding())
 			}
 		}
-		if !j.Bad() {
+		if !j.IsBad() {
 			t.Errorf("seed %d: not found bad", seed)
 		}
 	}
@@ -178,14 +178,14 @@
 		l.Old[0] = rollout.Counts{Good: 600, Failed: 400}
 		j.Report("a", l, at(-1000))
 		n := 0
-		for ; n < 80 && !j.Bad(); n++ {
+		for ; n < 80 && !j.IsBad(); n++ {
 			l.New[0] = draw(r, l.New[0], behaviour{failed: 0.4})
 			for range 6 {
 				l.Old[0] = draw(r, l.Old[0], behaviour{failed: 0.01})
 			}
 			j.Report("a", l, at(n))
 		}
-		if !j.Bad() {
+		if !j.IsBad() {
 			t.Errorf("seed %d: not found: %+v", seed, j.Finding())
 		}
 	}
