--- a/cmd/fieldvale-node/report.go
+++ b/cmd/fieldvale-node/report.go
@@ -28,7 +28,7 @@
 // errKind says that a report names a kind that there is none of.
 var errKind = errors.New("decodeReport: no such kind of request")
 
-func newWireCounts(l [rollout.Kinds]rollout.Counts) []wireCounts {
+func newWireCounts(l [rollout.KindCount]rollout.Counts) []wireCounts {
 	var w []wireCounts
 	for i, c := range l {
 		if c != (rollout.Counts{}) {
@@ -41,9 +41,9 @@
 	return w
 }
 
-func counts(w []wireCounts) (l [rollout.Kinds]rollout.Counts, err error) {
+func counts(w []wireCounts) (l [rollout.KindCount]rollout.Counts, err error) {
 	for _, c := range w {
-		if c[0] >= rollout.Kinds {
+		if c[0] >= rollout.KindCount {
 			return l, errKind
 		}
 		x := rollout.Counts{Good: c[1], Failed: c[2], Broken: c[3]}
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -40,7 +40,7 @@
 	past   []sample
 	answer Detector
 	whose  relative
-	kinds  [Kinds]relative
+	kinds  [KindCount]relative
 	pace   moments
 	slow   float64
 	doubt  bool
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -6,21 +6,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kinds is into how many kinds a tally deals the requests: those of a kind are
+// KindCount is into how many kinds a tally deals the requests: those of a kind are
 // compared with each other only, since unlike ones take unlike times. Few
 // services have more than 16 pairs of a route and a model; where two pairs share
 // a kind, the comparison is less sharp.
-const Kinds = 16
+const KindCount = 16
 
 // KindOf returns the kind of requests with that name.
-func KindOf(name string) int { return int(xxhash.Sum64String(name) % Kinds) }
+func KindOf(name string) int { return int(xxhash.Sum64String(name) % KindCount) }
 
 // Tally is what one instance saw of a service while it changes its release.
 type Tally struct {
 	// Life tells one run of the instance from others, in which counts begin at 0
 	// again.
 	Life     int64
-	New, Old [Kinds]Counts
+	New, Old [KindCount]Counts
 }
 
 // Counts are of the answers to one kind of request. They only grow.
