--- a/cmd/fieldvale-node/report.go
+++ b/cmd/fieldvale-node/report.go
@@ -23,7 +23,7 @@
 
 // wireCounts are a kind and its good, failed and broken answers, and for each span
 // of waiting how many answers came in it and how many requests passed it.
-type wireCounts [4 + 2*rollout.Spans]uint64
+type wireCounts [4 + 2*rollout.IntervalCount]uint64
 
 // errKind says that a report names a kind that there is none of.
 var errKind = errors.New("decodeReport: no such kind of request")
@@ -34,7 +34,7 @@
 		if c != (rollout.Counts{}) {
 			x := wireCounts{uint64(i), c.Good, c.Failed, c.Broken}
 			copy(x[4:], c.Waits.Came[:])
-			copy(x[4+rollout.Spans:], c.Waits.Passed[:])
+			copy(x[4+rollout.IntervalCount:], c.Waits.Passed[:])
 			w = append(w, x)
 		}
 	}
@@ -48,7 +48,7 @@
 		}
 		x := rollout.Counts{Good: c[1], Failed: c[2], Broken: c[3]}
 		copy(x.Waits.Came[:], c[4:])
-		copy(x.Waits.Passed[:], c[4+rollout.Spans:])
+		copy(x.Waits.Passed[:], c[4+rollout.IntervalCount:])
 		l[c[0]] = x
 	}
 	return l, nil
--- a/entry/wait.go
+++ b/entry/wait.go
@@ -13,7 +13,7 @@
 	release string
 	kind    int
 	since   time.Time
-	ends    [rollout.Spans]time.Duration
+	ends    [rollout.IntervalCount]time.Duration
 	// passed is how many spans are counted as waited to their ends.
 	passed int
 }
@@ -101,7 +101,7 @@
 	}
 	delete(t.waits, w)
 	t.pass(w, now)
-	if came && w.passed < rollout.Spans {
+	if came && w.passed < rollout.IntervalCount {
 		t.count(w, func(c rollout.Counts) rollout.Counts { return c.WithCame(w.passed) })
 	}
 }
@@ -121,7 +121,7 @@
 
 // pass counts the spans that the wait has passed.
 func (t *trial) pass(w *wait, now time.Time) {
-	for w.passed < rollout.Spans && now.Sub(w.since) >= w.ends[w.passed] {
+	for w.passed < rollout.IntervalCount && now.Sub(w.since) >= w.ends[w.passed] {
 		t.count(w, func(c rollout.Counts) rollout.Counts { return c.WithPassed(w.passed) })
 		w.passed++
 	}
--- a/rollout/pace.go
+++ b/rollout/pace.go
@@ -40,7 +40,7 @@
 // count, kinds that take unlike times are not mixed, nor are moments of unlike load,
 // and no instance needs to know what is usual.
 type comparison struct {
-	spans [Spans]span
+	spans [IntervalCount]span
 	// now and old are how many waits there were, and kinds of how many kinds in one
 	// moment.
 	now, old, kinds uint64
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -32,21 +32,21 @@
 	Waits          Waits
 }
 
-// Spans is into how many spans the wait for an answer is divided: the first ends
+// IntervalCount is into how many spans the wait for an answer is divided: the first ends
 // at a 64th of the time in which it should come, each next one is as long as all
 // before, and the last ends with that time.
-const Spans = 7
+const IntervalCount = 7
 
 // Waits tell for each span how many answers came in it, and how many requests
 // waited on to its end. A request that still waits is counted in the spans that it
 // has passed, so that slow answers show before they come, or if they never do.
-type Waits struct{ Came, Passed [Spans]uint64 }
+type Waits struct{ Came, Passed [IntervalCount]uint64 }
 
 // SpanEnds returns the ends of the spans for answers that should come within
 // target.
-func SpanEnds(target time.Duration) (l [Spans]time.Duration) {
+func SpanEnds(target time.Duration) (l [IntervalCount]time.Duration) {
 	for i := range l {
-		l[i] = target >> (Spans - 1 - i)
+		l[i] = target >> (IntervalCount - 1 - i)
 	}
 	return l
 }
