--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -349,7 +349,7 @@
 	f.phase(rel)
 	r := f.routers[0]
 	for range 60 {
-		w := &wait{release: "v1", since: time.Now(), ends: rollout.SpanEnds(time.Second)}
+		w := &wait{release: "v1", since: time.Now(), ends: rollout.IntervalEnds(time.Second)}
 		r.releases.await(rel, w)
 		r.releases.answered(rel, w, true, w.since)
 	}
--- a/entry/wait.go
+++ b/entry/wait.go
@@ -37,7 +37,7 @@
 	if !ok || !rel.SplitsTraffic() {
 		return
 	}
-	a.wait = &wait{release: a.replica.Release, kind: rollout.KindOf(a.waitKind()), since: a.sent, ends: rollout.SpanEnds(a.span())}
+	a.wait = &wait{release: a.replica.Release, kind: rollout.KindOf(a.waitKind()), since: a.sent, ends: rollout.IntervalEnds(a.span())}
 	r.releases.await(rel, a.wait)
 }
 
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -50,7 +50,7 @@
 
 // wait counts a wait for an answer.
 func wait(c rollout.Counts, d time.Duration) rollout.Counts {
-	for i, end := range rollout.SpanEnds(target) {
+	for i, end := range rollout.IntervalEnds(target) {
 		if d < end {
 			return c.WithCame(i)
 		}
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -42,9 +42,9 @@
 // has passed, so that slow answers show before they come, or if they never do.
 type Waits struct{ Came, Passed [IntervalCount]uint64 }
 
-// SpanEnds returns the ends of the spans for answers that should come within
+// IntervalEnds returns the ends of the spans for answers that should come within
 // target.
-func SpanEnds(target time.Duration) (l [IntervalCount]time.Duration) {
+func IntervalEnds(target time.Duration) (l [IntervalCount]time.Duration) {
 	for i := range l {
 		l[i] = target >> (IntervalCount - 1 - i)
 	}
