--- a/cmd/fieldvale-node/report.go
+++ b/cmd/fieldvale-node/report.go
@@ -33,7 +33,7 @@
 	for i, c := range l {
 		if c != (rollout.Counts{}) {
 			x := wireCounts{uint64(i), c.Good, c.Failed, c.Broken}
-			copy(x[4:], c.Waits.Came[:])
+			copy(x[4:], c.Waits.Answered[:])
 			copy(x[4+rollout.IntervalCount:], c.Waits.Passed[:])
 			w = append(w, x)
 		}
@@ -47,7 +47,7 @@
 			return l, errKind
 		}
 		x := rollout.Counts{Good: c[1], Failed: c[2], Broken: c[3]}
-		copy(x.Waits.Came[:], c[4:])
+		copy(x.Waits.Answered[:], c[4:])
 		copy(x.Waits.Passed[:], c[4+rollout.IntervalCount:])
 		l[c[0]] = x
 	}
--- a/rollout/pace.go
+++ b/rollout/pace.go
@@ -63,8 +63,8 @@
 		c.now += waits
 		c.old += before
 		c.kinds += min(1, waits+before)
-		for s := range n.Came {
-			c.spans[s] = c.spans[s].plus(spanOf(float64(n.Came[s]), float64(n.Passed[s]), float64(o.Came[s]), float64(o.Passed[s])))
+		for s := range n.Answered {
+			c.spans[s] = c.spans[s].plus(spanOf(float64(n.Answered[s]), float64(n.Passed[s]), float64(o.Answered[s]), float64(o.Passed[s])))
 		}
 	}
 	return c
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -40,7 +40,7 @@
 // Waits tell for each span how many answers came in it, and how many requests
 // waited on to its end. A request that still waits is counted in the spans that it
 // has passed, so that slow answers show before they come, or if they never do.
-type Waits struct{ Came, Passed [IntervalCount]uint64 }
+type Waits struct{ Answered, Passed [IntervalCount]uint64 }
 
 // IntervalEnds returns the ends of the spans for answers that should come within
 // target.
@@ -52,8 +52,8 @@
 }
 
 func (w Waits) plus(o Waits) Waits {
-	for i := range w.Came {
-		w.Came[i] += o.Came[i]
+	for i := range w.Answered {
+		w.Answered[i] += o.Answered[i]
 		w.Passed[i] += o.Passed[i]
 	}
 	return w
@@ -61,19 +61,19 @@
 
 // minus returns what came since o, which w grew from.
 func (w Waits) minus(o Waits) Waits {
-	for i := range w.Came {
-		w.Came[i] -= o.Came[i]
+	for i := range w.Answered {
+		w.Answered[i] -= o.Answered[i]
 		w.Passed[i] -= o.Passed[i]
 	}
 	return w
 }
 
 // begun is how many waits there were.
-func (w Waits) begun() uint64 { return w.Came[0] + w.Passed[0] }
+func (w Waits) begun() uint64 { return w.Answered[0] + w.Passed[0] }
 
 func (w Waits) size() (n uint64) {
-	for i := range w.Came {
-		n += w.Came[i] + w.Passed[i]
+	for i := range w.Answered {
+		n += w.Answered[i] + w.Passed[i]
 	}
 	return n
 }
@@ -98,7 +98,7 @@
 
 // WithCame returns c with one more answer that came in the span.
 func (c Counts) WithCame(span int) Counts {
-	c.Waits.Came[span]++
+	c.Waits.Answered[span]++
 	return c
 }
 
