--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -46,8 +46,8 @@
 	now, old := t.All()
 	return []any{
 		"service", r.Service, "release", r.Target, "order", r.Order, "phase", r.Phase, "origins", f.Reporters,
-		"good", now.Good, "failed", now.Failed, "broken", now.Broken, "waits", now.Waits.Answered, "waited", now.Waits.Passed,
-		"good_before", old.Good, "failed_before", old.Failed, "broken_before", old.Broken, "waits_before", old.Waits.Answered, "waited_before", old.Waits.Passed,
+		"good", now.Good, "failed", now.Failed, "broken", now.Broken, "waits", now.Waits.Answered, "waited", now.Waits.Outlasted,
+		"good_before", old.Good, "failed_before", old.Failed, "broken_before", old.Broken, "waits_before", old.Waits.Answered, "waited_before", old.Waits.Outlasted,
 		"whose", f.BadShareLevel, "kind", f.KindLevel, "answers", f.FailureLevel, "pace", f.SlownessLevel, "doubt", f.Inconclusive,
 	}
 }
--- a/cmd/fieldvale-node/report.go
+++ b/cmd/fieldvale-node/report.go
@@ -34,7 +34,7 @@
 		if c != (rollout.Counts{}) {
 			x := wireCounts{uint64(i), c.Good, c.Failed, c.Broken}
 			copy(x[4:], c.Waits.Answered[:])
-			copy(x[4+rollout.IntervalCount:], c.Waits.Passed[:])
+			copy(x[4+rollout.IntervalCount:], c.Waits.Outlasted[:])
 			w = append(w, x)
 		}
 	}
@@ -48,7 +48,7 @@
 		}
 		x := rollout.Counts{Good: c[1], Failed: c[2], Broken: c[3]}
 		copy(x.Waits.Answered[:], c[4:])
-		copy(x.Waits.Passed[:], c[4+rollout.IntervalCount:])
+		copy(x.Waits.Outlasted[:], c[4+rollout.IntervalCount:])
 		l[c[0]] = x
 	}
 	return l, nil
--- a/rollout/pace.go
+++ b/rollout/pace.go
@@ -64,7 +64,7 @@
 		c.old += before
 		c.kinds += min(1, waits+before)
 		for s := range n.Answered {
-			c.spans[s] = c.spans[s].plus(spanOf(float64(n.Answered[s]), float64(n.Passed[s]), float64(o.Answered[s]), float64(o.Passed[s])))
+			c.spans[s] = c.spans[s].plus(spanOf(float64(n.Answered[s]), float64(n.Outlasted[s]), float64(o.Answered[s]), float64(o.Outlasted[s])))
 		}
 	}
 	return c
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -40,7 +40,7 @@
 // Waits tell for each span how many answers came in it, and how many requests
 // waited on to its end. A request that still waits is counted in the spans that it
 // has passed, so that slow answers show before they come, or if they never do.
-type Waits struct{ Answered, Passed [IntervalCount]uint64 }
+type Waits struct{ Answered, Outlasted [IntervalCount]uint64 }
 
 // IntervalEnds returns the ends of the spans for answers that should come within
 // target.
@@ -54,7 +54,7 @@
 func (w Waits) plus(o Waits) Waits {
 	for i := range w.Answered {
 		w.Answered[i] += o.Answered[i]
-		w.Passed[i] += o.Passed[i]
+		w.Outlasted[i] += o.Outlasted[i]
 	}
 	return w
 }
@@ -63,17 +63,17 @@
 func (w Waits) minus(o Waits) Waits {
 	for i := range w.Answered {
 		w.Answered[i] -= o.Answered[i]
-		w.Passed[i] -= o.Passed[i]
+		w.Outlasted[i] -= o.Outlasted[i]
 	}
 	return w
 }
 
 // begun is how many waits there were.
-func (w Waits) begun() uint64 { return w.Answered[0] + w.Passed[0] }
+func (w Waits) begun() uint64 { return w.Answered[0] + w.Outlasted[0] }
 
 func (w Waits) size() (n uint64) {
 	for i := range w.Answered {
-		n += w.Answered[i] + w.Passed[i]
+		n += w.Answered[i] + w.Outlasted[i]
 	}
 	return n
 }
@@ -104,7 +104,7 @@
 
 // WithPassed returns c with one more request that waited to the span's end.
 func (c Counts) WithPassed(span int) Counts {
-	c.Waits.Passed[span]++
+	c.Waits.Outlasted[span]++
 	return c
 }
 
