--- a/entry/wait.go
+++ b/entry/wait.go
@@ -102,7 +102,7 @@
 	delete(t.waits, w)
 	t.pass(w, now)
 	if came && w.passed < rollout.IntervalCount {
-		t.count(w, func(c rollout.Counts) rollout.Counts { return c.WithCame(w.passed) })
+		t.count(w, func(c rollout.Counts) rollout.Counts { return c.WithAnswered(w.passed) })
 	}
 }
 
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -52,7 +52,7 @@
 func wait(c rollout.Counts, d time.Duration) rollout.Counts {
 	for i, end := range rollout.IntervalEnds(target) {
 		if d < end {
-			return c.WithCame(i)
+			return c.WithAnswered(i)
 		}
 		c = c.WithPassed(i)
 	}
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -96,8 +96,8 @@
 	return c
 }
 
-// WithCame returns c with one more answer that came in the span.
-func (c Counts) WithCame(span int) Counts {
+// WithAnswered returns c with one more answer that came in the span.
+func (c Counts) WithAnswered(span int) Counts {
 	c.Waits.Answered[span]++
 	return c
 }
