--- a/entry/wait.go
+++ b/entry/wait.go
@@ -122,7 +122,7 @@
 // pass counts the spans that the wait has passed.
 func (t *trial) pass(w *wait, now time.Time) {
 	for w.passed < rollout.IntervalCount && now.Sub(w.since) >= w.ends[w.passed] {
-		t.count(w, func(c rollout.Counts) rollout.Counts { return c.WithPassed(w.passed) })
+		t.count(w, func(c rollout.Counts) rollout.Counts { return c.WithOutlasted(w.passed) })
 		w.passed++
 	}
 }
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -54,7 +54,7 @@
 		if d < end {
 			return c.WithAnswered(i)
 		}
-		c = c.WithPassed(i)
+		c = c.WithOutlasted(i)
 	}
 	return c
 }
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -102,8 +102,8 @@
 	return c
 }
 
-// WithPassed returns c with one more request that waited to the span's end.
-func (c Counts) WithPassed(span int) Counts {
+// WithOutlasted returns c with one more request that waited to the span's end.
+func (c Counts) WithOutlasted(span int) Counts {
 	c.Waits.Outlasted[span]++
 	return c
 }
