--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -76,11 +76,11 @@
 	t := j.told.total
 	if d, ok := j.slot.next(t, now, slotLength); ok {
 		n, o := d.All()
-		j.whose = j.whose.with(n.Evidence().Bad, o.Evidence().Bad, shareOf(n, o))
+		j.whose = j.whose.with(n.Outcomes().Bad, o.Outcomes().Bad, shareOf(n, o))
 	}
 	if d, ok := j.kindSlot.next(t, now, kindSlotLength); ok {
 		for i := range d.New {
-			j.kinds[i] = j.kinds[i].with(d.New[i].Evidence().Bad, d.Old[i].Evidence().Bad, shareOf(d.New[i], d.Old[i]))
+			j.kinds[i] = j.kinds[i].with(d.New[i].Outcomes().Bad, d.Old[i].Outcomes().Bad, shareOf(d.New[i], d.Old[i]))
 		}
 	}
 	total, _ := t.All()
@@ -108,7 +108,7 @@
 
 // shareOf is the new release's part of the answers.
 func shareOf(now, old Counts) float64 {
-	n, o := now.Evidence().count(), old.Evidence().count()
+	n, o := now.Outcomes().count(), old.Outcomes().count()
 	if n+o == 0 {
 		return 1
 	}
@@ -150,10 +150,10 @@
 // excused reports whether the old release fails lately about as the new one.
 func excused(l Tally) bool {
 	n, o := l.All()
-	if o.Evidence().count() < minBaseline {
+	if o.Outcomes().count() < minBaseline {
 		return false
 	}
-	return n.Evidence().rate() < excuse*min(maxExcuse, o.Evidence().rate())
+	return n.Outcomes().rate() < excuse*min(maxExcuse, o.Outcomes().rate())
 }
 
 // lately returns what was counted in the last span.
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -108,8 +108,8 @@
 	return c
 }
 
-// Evidence is c as good and bad answers.
-func (c Counts) Evidence() Evidence { return Evidence{Good: c.Good, Bad: c.Failed + c.Broken} }
+// Outcomes is c as good and bad answers.
+func (c Counts) Outcomes() Evidence { return Evidence{Good: c.Good, Bad: c.Failed + c.Broken} }
 
 func (c Counts) plus(o Counts) Counts {
 	return Counts{Good: c.Good + o.Good, Failed: c.Failed + o.Failed, Broken: c.Broken + o.Broken, Waits: c.Waits.plus(o.Waits)}
@@ -150,7 +150,7 @@
 // Answers is how many answers of both releases there were.
 func (t Tally) Answers() uint64 {
 	n, o := t.All()
-	return n.Evidence().count() + o.Evidence().count()
+	return n.Outcomes().count() + o.Outcomes().count()
 }
 
 // size grows with each thing that is counted.
