--- a/cmd/fieldvale-node/report.go
+++ b/cmd/fieldvale-node/report.go
@@ -58,7 +58,7 @@
 func encodeReport(from string, t entry.ReleaseTally) ([]byte, error) {
 	x := t.Tally
 	b, err := json.Marshal(report{
-		From: from, Service: t.Service, Order: t.Order, Life: x.Life,
+		From: from, Service: t.Service, Order: t.Order, Life: x.Incarnation,
 		New: newWireCounts(x.New), Old: newWireCounts(x.Old),
 	})
 	return b, errors.Wrap(err, "encodeReport")
@@ -71,7 +71,7 @@
 		return "", t, errors.Wrap(err, "decodeReport")
 	}
 	t = entry.ReleaseTally{Service: r.Service, Order: r.Order}
-	t.Tally.Life = r.Life
+	t.Tally.Incarnation = r.Life
 	if t.Tally.New, err = counts(r.New); err != nil {
 		return "", t, err
 	}
--- a/entry/releases.go
+++ b/entry/releases.go
@@ -127,7 +127,7 @@
 func (s *releases) weigh(rel rollout.Release, v saw, now time.Time, on *Hooks) {
 	s.update(rel, on, func(t *trial) bool {
 		t.own = v.in(t.own, rel.Target)
-		t.own.Life = s.life
+		t.own.Incarnation = s.life
 		t.changed = true
 		t.urgent = t.urgent || v.release == rel.Target && v.outcome > showsGood
 		return t.judge.Report(ownOrigin, t.own, now)
--- a/entry/wait.go
+++ b/entry/wait.go
@@ -115,7 +115,7 @@
 	if !t.changed {
 		return false
 	}
-	t.own.Life = life
+	t.own.Incarnation = life
 	return t.judge.Report(ownOrigin, t.own, now)
 }
 
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -209,7 +209,7 @@
 func TestJudgeAddsUpLives(t *testing.T) {
 	j := rollout.NewJudge()
 	tell := func(life int64, good, failed uint64) {
-		x := rollout.Tally{Life: life}
+		x := rollout.Tally{Incarnation: life}
 		x.New[0] = rollout.Counts{Good: good, Failed: failed}
 		j.Report("a", x, at(0))
 	}
--- a/rollout/origins.go
+++ b/rollout/origins.go
@@ -24,11 +24,11 @@
 func (o *origins) take(origin string, t Tally) {
 	k := o.from[origin]
 	switch {
-	case k.past[t.Life] || t.Life == k.now.Life && t.size() <= k.now.size():
+	case k.past[t.Incarnation] || t.Incarnation == k.now.Incarnation && t.size() <= k.now.size():
 		return
-	case t.Life != k.now.Life:
-		k.past = withLife(k.past, k.now.Life)
-		k.now = Tally{Life: t.Life}
+	case t.Incarnation != k.now.Incarnation:
+		k.past = withLife(k.past, k.now.Incarnation)
+		k.now = Tally{Incarnation: t.Incarnation}
 	}
 	o.total = o.total.Plus(t.minus(k.now))
 	k.now = t
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -17,9 +17,9 @@
 
 // Tally is what one instance saw of a service while it changes its release.
 type Tally struct {
-	// Life tells one run of the instance from others, in which counts begin at 0
+	// Incarnation tells one run of the instance from others, in which counts begin at 0
 	// again.
-	Life     int64
+	Incarnation     int64
 	New, Old [KindCount]Counts
 }
 
