--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -43,7 +43,7 @@
 
 // seen are the fields of what is made of a release.
 func seen(r rollout.Release, t rollout.Tally, f rollout.Finding) []any {
-	now, old := t.All()
+	now, old := t.Totals()
 	return []any{
 		"service", r.Service, "release", r.Target, "order", r.Order, "phase", r.Phase, "origins", f.Reporters,
 		"good", now.Good, "failed", now.Failed, "broken", now.Broken, "waits", now.Waits.Answered, "waited", now.Waits.Outlasted,
--- a/entry/ended_test.go
+++ b/entry/ended_test.go
@@ -44,7 +44,7 @@
 	}
 	var broken uint64
 	for _, y := range r.CollectTallies() {
-		n, _ := y.Tally.All()
+		n, _ := y.Tally.Totals()
 		broken += n.Broken
 	}
 	if broken != 1 {
--- a/rollout/before.go
+++ b/rollout/before.go
@@ -22,7 +22,7 @@
 
 // take takes the total in as long as the new release has had next to nothing.
 func (b *before) take(t Tally) {
-	n, _ := t.All()
+	n, _ := t.Totals()
 	if b.known {
 		return
 	}
@@ -37,7 +37,7 @@
 // old one was before, where that has turned slower too; and whether slowness can't be
 // ruled out by them.
 func (b *before) level(t Tally) (level float64, doubt bool) {
-	_, o := b.total.All()
+	_, o := b.total.Totals()
 	if !b.known || o.Waits.begun() < leastBefore {
 		return 0, false
 	}
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -75,7 +75,7 @@
 func (j *Judge) test(now time.Time) {
 	t := j.told.total
 	if d, ok := j.slot.next(t, now, slotLength); ok {
-		n, o := d.All()
+		n, o := d.Totals()
 		j.whose = j.whose.with(n.Outcomes().Bad, o.Outcomes().Bad, shareOf(n, o))
 	}
 	if d, ok := j.kindSlot.next(t, now, kindSlotLength); ok {
@@ -83,7 +83,7 @@
 			j.kinds[i] = j.kinds[i].with(d.New[i].Outcomes().Bad, d.Old[i].Outcomes().Bad, shareOf(d.New[i], d.Old[i]))
 		}
 	}
-	total, _ := t.All()
+	total, _ := t.Totals()
 	j.answer = j.answer.With(Evidence{Good: total.Good + total.Broken, Bad: total.Failed})
 	j.slow, j.doubt = j.pace.level(t, now)
 }
@@ -149,7 +149,7 @@
 
 // excused reports whether the old release fails lately about as the new one.
 func excused(l Tally) bool {
-	n, o := l.All()
+	n, o := l.Totals()
 	if o.Outcomes().count() < minBaseline {
 		return false
 	}
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -219,13 +219,13 @@
 	tell(2, 3, 1)
 	tell(2, 2, 1)
 	want := rollout.Counts{Good: 13, Failed: 3}
-	if g, _ := j.Total().All(); g != want {
+	if g, _ := j.Total().Totals(); g != want {
 		t.Errorf("total %+v, want %+v", g, want)
 	}
 	// Its clock was set back before it was started again.
 	tell(-5, 4, 1)
 	want = rollout.Counts{Good: 17, Failed: 4}
-	if g, _ := j.Total().All(); g != want {
+	if g, _ := j.Total().Totals(); g != want {
 		t.Errorf("total %+v, want %+v", g, want)
 	}
 }
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -138,8 +138,8 @@
 	return t
 }
 
-// All are the counts of all kinds, of the new and the old release.
-func (t Tally) All() (now, old Counts) {
+// Totals are the counts of all kinds, of the new and the old release.
+func (t Tally) Totals() (now, old Counts) {
 	for i := range t.New {
 		now = now.plus(t.New[i])
 		old = old.plus(t.Old[i])
@@ -149,13 +149,13 @@
 
 // Answers is how many answers of both releases there were.
 func (t Tally) Answers() uint64 {
-	n, o := t.All()
+	n, o := t.Totals()
 	return n.Outcomes().count() + o.Outcomes().count()
 }
 
 // size grows with each thing that is counted.
 func (t Tally) size() uint64 {
-	n, o := t.All()
+	n, o := t.Totals()
 	return n.size() + o.size()
 }
 
