--- a/entry/releases.go
+++ b/entry/releases.go
@@ -222,7 +222,7 @@
 	var n uint64
 	known := false
 	if t := s.of(rel); t != nil {
-		n, known = t.judge.Total().Answers(), r.hearsMost(t)
+		n, known = t.judge.Total().AnswerCount(), r.hearsMost(t)
 	}
 	s.mu.Unlock()
 	if known && ran > 0 {
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -147,8 +147,8 @@
 	return now, old
 }
 
-// Answers is how many answers of both releases there were.
-func (t Tally) Answers() uint64 {
+// AnswerCount is how many answers of both releases there were.
+func (t Tally) AnswerCount() uint64 {
 	n, o := t.Totals()
 	return n.Outcomes().count() + o.Outcomes().count()
 }
