--- a/adapter/codec/codec_test.go
+++ b/adapter/codec/codec_test.go
@@ -83,8 +83,8 @@
 	if x := cmp.Diff(h, j); err != nil || x != "" {
 		t.Error(err, x)
 	}
-	v, err := codec.DecodeEvidence(codec.EncodeEvidence(rollout.Evidence{Good: 300, Bad: 2}))
-	if err != nil || v != (rollout.Evidence{Good: 300, Bad: 2}) {
+	v, err := codec.DecodeEvidence(codec.EncodeEvidence(rollout.Outcomes{Good: 300, Bad: 2}))
+	if err != nil || v != (rollout.Outcomes{Good: 300, Bad: 2}) {
 		t.Error(v, err)
 	}
 }
--- a/adapter/codec/heartbeat.go
+++ b/adapter/codec/heartbeat.go
@@ -35,19 +35,19 @@
 }
 
 // EncodeEvidence returns the bytes that an item of evidence carries.
-func EncodeEvidence(e rollout.Evidence) []byte {
+func EncodeEvidence(e rollout.Outcomes) []byte {
 	return binary.AppendUvarint(binary.AppendUvarint(nil, e.Good), e.Bad)
 }
 
 // DecodeEvidence reads what EncodeEvidence wrote.
-func DecodeEvidence(b []byte) (rollout.Evidence, error) {
+func DecodeEvidence(b []byte) (rollout.Outcomes, error) {
 	g, n := binary.Uvarint(b)
 	if n <= 0 {
-		return rollout.Evidence{}, errors.New("codec.DecodeEvidence: no good count")
+		return rollout.Outcomes{}, errors.New("codec.DecodeEvidence: no good count")
 	}
 	d, m := binary.Uvarint(b[n:])
 	if m <= 0 {
-		return rollout.Evidence{}, errors.New("codec.DecodeEvidence: no bad count")
+		return rollout.Outcomes{}, errors.New("codec.DecodeEvidence: no bad count")
 	}
-	return rollout.Evidence{Good: g, Bad: d}, nil
+	return rollout.Outcomes{Good: g, Bad: d}, nil
 }
--- a/adapter/rpc/mapping.go
+++ b/adapter/rpc/mapping.go
@@ -135,7 +135,7 @@
 	return r
 }
 
-func evidenceToWire(m map[version.ID]rollout.Evidence) []*fieldvalev1.Evidence {
+func evidenceToWire(m map[version.ID]rollout.Outcomes) []*fieldvalev1.Evidence {
 	var r []*fieldvalev1.Evidence
 	for v, e := range m {
 		r = append(r, &fieldvalev1.Evidence{Version: v.String(), Good: e.Good, Bad: e.Bad})
@@ -143,11 +143,11 @@
 	return r
 }
 
-func evidenceFromWire(l []*fieldvalev1.Evidence) map[version.ID]rollout.Evidence {
-	r := map[version.ID]rollout.Evidence{}
+func evidenceFromWire(l []*fieldvalev1.Evidence) map[version.ID]rollout.Outcomes {
+	r := map[version.ID]rollout.Outcomes{}
 	for _, x := range l {
 		if v, err := version.Parse(x.Version); err == nil {
-			r[v] = rollout.Evidence{Good: x.Good, Bad: x.Bad}
+			r[v] = rollout.Outcomes{Good: x.Good, Bad: x.Bad}
 		}
 	}
 	return r
--- a/control/facts.go
+++ b/control/facts.go
@@ -100,7 +100,7 @@
 	}
 }
 
-func (n *Node) report(origin string, v version.ID, e rollout.Evidence) {
+func (n *Node) report(origin string, v version.ID, e rollout.Outcomes) {
 	p, ok := n.pooled[v]
 	if !ok {
 		p = rollout.NewPooled()
@@ -159,7 +159,7 @@
 
 // tellEvidence makes the entry's own evidence known, for versions that are
 // under a roll-out.
-func (n *Node) tellEvidence(v version.ID, e rollout.Evidence, t time.Time) {
+func (n *Node) tellEvidence(v version.ID, e rollout.Outcomes, t time.Time) {
 	if _, ok := n.rolloutTo(v); !ok {
 		return
 	}
@@ -178,7 +178,7 @@
 
 // evidenceDue reports whether evidence is worth telling now: bad outcomes at
 // once, good ones as rarely as heartbeats.
-func (n *Node) evidenceDue(old peer.Item, e rollout.Evidence, t time.Time) bool {
+func (n *Node) evidenceDue(old peer.Item, e rollout.Outcomes, t time.Time) bool {
 	o, err := codec.DecodeEvidence(old.Value)
 	if err != nil || e.Bad > o.Bad {
 		return true
--- a/control/sync.go
+++ b/control/sync.go
@@ -22,7 +22,7 @@
 	// AloneUpto is the number of the entry's last bill record that no other
 	// instance holds.
 	AloneUpto uint64
-	Evidence  map[version.ID]rollout.Evidence
+	Evidence  map[version.ID]rollout.Outcomes
 	// Running is the entry's own requests by replica.
 	Running map[string]int
 	// Stopping says that the entry is finishing what it has.
--- a/entry/evidence.go
+++ b/entry/evidence.go
@@ -23,7 +23,7 @@
 // or bad once: by its rating where there is one, else by having come whole.
 type evidence struct {
 	mu    sync.Mutex
-	count map[version.ID]rollout.Evidence
+	count map[version.ID]rollout.Outcomes
 	rater Rater
 	queue *ring.Ring[ratingJob]
 }
@@ -35,7 +35,7 @@
 }
 
 func newEvidence(r Rater) *evidence {
-	return &evidence{count: map[version.ID]rollout.Evidence{}, rater: r, queue: ring.New[ratingJob](maxRatings)}
+	return &evidence{count: map[version.ID]rollout.Outcomes{}, rater: r, queue: ring.New[ratingJob](maxRatings)}
 }
 
 func (e *evidence) good(v version.ID) {
@@ -85,10 +85,10 @@
 }
 
 // all returns the counts.
-func (e *evidence) all() map[version.ID]rollout.Evidence {
+func (e *evidence) all() map[version.ID]rollout.Outcomes {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := make(map[version.ID]rollout.Evidence, len(e.count))
+	r := make(map[version.ID]rollout.Outcomes, len(e.count))
 	for k, v := range e.count {
 		r[k] = v
 	}
--- a/entry/router.go
+++ b/entry/router.go
@@ -156,7 +156,7 @@
 }
 
 // Evidence returns the counts of good and bad outcomes by version.
-func (r *Router) Evidence() map[version.ID]rollout.Evidence { return r.evidence.all() }
+func (r *Router) Evidence() map[version.ID]rollout.Outcomes { return r.evidence.all() }
 
 // InFlight returns this entry's requests by replica.
 func (r *Router) InFlight() map[string]int { return r.backends.running() }
--- a/measure/rollout.go
+++ b/measure/rollout.go
@@ -47,12 +47,12 @@
 // time. Alone, each instance knows its own evidence only.
 func exposure(g *rand.Rand, share, bad float64, pooled bool) (float64, float64) {
 	d := make([]rollout.Detector, routers)
-	e := make([]rollout.Evidence, routers)
+	e := make([]rollout.Outcomes, routers)
 	stopped := make([]float64, routers)
 	for i := range d {
 		d[i] = rollout.NewDetector(rollout.DefaultRates())
 	}
-	var all rollout.Evidence
+	var all rollout.Outcomes
 	t, n, alive := 0.0, 0.0, routers
 	for alive > 0 {
 		t += g.ExpFloat64() / (rolloutRate * share)
@@ -86,7 +86,7 @@
 	return n, t
 }
 
-func count(g *rand.Rand, bad float64, a, b rollout.Evidence) (rollout.Evidence, rollout.Evidence) {
+func count(g *rand.Rand, bad float64, a, b rollout.Outcomes) (rollout.Outcomes, rollout.Outcomes) {
 	if g.Float64() < bad {
 		return a.WithBad(1), b.WithBad(1)
 	}
@@ -96,13 +96,13 @@
 // falseTrips counts the trips of a version with a steady rate of bad answers,
 // the test starting anew after each, in a million requests.
 func falseTrips(g *rand.Rand, p float64) float64 {
-	d, e, n := rollout.NewDetector(rollout.DefaultRates()), rollout.Evidence{}, 0
+	d, e, n := rollout.NewDetector(rollout.DefaultRates()), rollout.Outcomes{}, 0
 	for range longRun {
 		e, _ = count(g, p, e, e)
 		d = d.With(e)
 		if d.Tripped() {
 			n++
-			d, e = rollout.NewDetector(rollout.DefaultRates()), rollout.Evidence{}
+			d, e = rollout.NewDetector(rollout.DefaultRates()), rollout.Outcomes{}
 		}
 	}
 	return float64(n) * 1e6 / longRun
--- a/rollout/detector.go
+++ b/rollout/detector.go
@@ -2,28 +2,28 @@
 
 import "math"
 
-// Evidence counts outcomes of one version since the start of its counting.
+// Outcomes counts outcomes of one version since the start of its counting.
 // It only grows, so that pooled copies merge by maximum.
-type Evidence struct {
+type Outcomes struct {
 	Good uint64
 	Bad  uint64
 }
 
 // WithGood returns e with n more good outcomes.
-func (e Evidence) WithGood(n uint64) Evidence {
+func (e Outcomes) WithGood(n uint64) Outcomes {
 	e.Good += n
 	return e
 }
 
 // WithBad returns e with n more bad outcomes.
-func (e Evidence) WithBad(n uint64) Evidence {
+func (e Outcomes) WithBad(n uint64) Outcomes {
 	e.Bad += n
 	return e
 }
 
 // Max returns the larger of both counts.
-func (e Evidence) Max(o Evidence) Evidence {
-	return Evidence{Good: max(e.Good, o.Good), Bad: max(e.Bad, o.Bad)}
+func (e Outcomes) Max(o Outcomes) Outcomes {
+	return Outcomes{Good: max(e.Good, o.Good), Bad: max(e.Bad, o.Bad)}
 }
 
 // Rates are the two hypotheses that the test tells apart, and how sure it
@@ -49,7 +49,7 @@
 type Detector struct {
 	rates Rates
 	sum   float64
-	seen  Evidence
+	seen  Outcomes
 }
 
 // NewDetector returns a detector that has seen nothing.
@@ -59,7 +59,7 @@
 
 // With returns d after the pooled evidence has grown to e. Counts that went
 // back are ignored.
-func (d Detector) With(e Evidence) Detector {
+func (d Detector) With(e Outcomes) Detector {
 	n := d.seen.Max(e)
 	g, b := float64(n.Good-d.seen.Good), float64(n.Bad-d.seen.Bad)
 	d.seen = n
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -84,7 +84,7 @@
 		}
 	}
 	total, _ := t.Totals()
-	j.answer = j.answer.With(Evidence{Good: total.Good + total.Broken, Bad: total.Failed})
+	j.answer = j.answer.With(Outcomes{Good: total.Good + total.Broken, Bad: total.Failed})
 	j.slow, j.doubt = j.pace.level(t, now)
 }
 
--- a/rollout/pooled.go
+++ b/rollout/pooled.go
@@ -4,18 +4,18 @@
 // which no instance sees much of is judged by all of its answers. It is not
 // safe for concurrent use.
 type Pooled struct {
-	from  map[string]Evidence
-	total Evidence
+	from  map[string]Outcomes
+	total Outcomes
 }
 
 // NewPooled returns a pool without reports.
 func NewPooled() *Pooled {
-	return &Pooled{from: map[string]Evidence{}}
+	return &Pooled{from: map[string]Outcomes{}}
 }
 
 // Report takes the origin's cumulative evidence in. An older report changes
 // nothing.
-func (p *Pooled) Report(origin string, e Evidence) {
+func (p *Pooled) Report(origin string, e Outcomes) {
 	o := p.from[origin]
 	n := o.Max(e)
 	p.total = p.total.WithGood(n.Good - o.Good).WithBad(n.Bad - o.Bad)
@@ -23,8 +23,8 @@
 }
 
 // Total returns the evidence of all origins.
-func (p *Pooled) Total() Evidence { return p.total }
+func (p *Pooled) Total() Outcomes { return p.total }
 
 // Restart forgets the total and keeps what each origin has reported, so that
 // only what comes after counts.
-func (p *Pooled) Restart() { p.total = Evidence{} }
+func (p *Pooled) Restart() { p.total = Outcomes{} }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -76,7 +76,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(7, 7))
-			d, e := rollout.NewDetector(rollout.DefaultRates()), rollout.Evidence{}
+			d, e := rollout.NewDetector(rollout.DefaultRates()), rollout.Outcomes{}
 			n := 0
 			for n < 200_000 && !d.Tripped() {
 				n++
@@ -97,14 +97,14 @@
 func TestPooledCountsEachReportOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := rollout.NewPooled()
-		last := map[string]rollout.Evidence{}
+		last := map[string]rollout.Outcomes{}
 		for range rapid.IntRange(1, 50).Draw(t, "reports") {
 			o := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "origin")
-			e := rollout.Evidence{Good: uint64(rapid.IntRange(0, 9).Draw(t, "good")), Bad: uint64(rapid.IntRange(0, 9).Draw(t, "bad"))}
+			e := rollout.Outcomes{Good: uint64(rapid.IntRange(0, 9).Draw(t, "good")), Bad: uint64(rapid.IntRange(0, 9).Draw(t, "bad"))}
 			p.Report(o, e)
 			last[o] = last[o].Max(e)
 		}
-		var want rollout.Evidence
+		var want rollout.Outcomes
 		for _, e := range last {
 			want = want.WithGood(e.Good).WithBad(e.Bad)
 		}
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -109,7 +109,7 @@
 }
 
 // Outcomes is c as good and bad answers.
-func (c Counts) Outcomes() Evidence { return Evidence{Good: c.Good, Bad: c.Failed + c.Broken} }
+func (c Counts) Outcomes() Outcomes { return Outcomes{Good: c.Good, Bad: c.Failed + c.Broken} }
 
 func (c Counts) plus(o Counts) Counts {
 	return Counts{Good: c.Good + o.Good, Failed: c.Failed + o.Failed, Broken: c.Broken + o.Broken, Waits: c.Waits.plus(o.Waits)}
@@ -162,10 +162,10 @@
 func (c Counts) size() uint64 { return c.Good + c.Failed + c.Broken + c.Waits.size() }
 
 // count is how many outcomes there are.
-func (e Evidence) count() uint64 { return e.Good + e.Bad }
+func (e Outcomes) count() uint64 { return e.Good + e.Bad }
 
 // rate is the part of bad outcomes; 0 if there are none.
-func (e Evidence) rate() float64 {
+func (e Outcomes) rate() float64 {
 	if e.count() == 0 {
 		return 0
 	}
