--- a/control/facts.go
+++ b/control/facts.go
@@ -110,7 +110,7 @@
 	if under && n.trials[v] != tripKey(r).Name {
 		// What was counted before this roll-out began says nothing of it.
 		n.trials[v] = tripKey(r).Name
-		p.Restart()
+		p.Reset()
 		n.detectors[v] = rollout.NewDetector(n.Rates)
 	}
 	p.Report(origin, e)
--- a/rollout/pooled.go
+++ b/rollout/pooled.go
@@ -25,6 +25,6 @@
 // Total returns the evidence of all origins.
 func (p *Pooled) Total() Outcomes { return p.total }
 
-// Restart forgets the total and keeps what each origin has reported, so that
+// Reset forgets the total and keeps what each origin has reported, so that
 // only what comes after counts.
-func (p *Pooled) Restart() { p.total = Outcomes{} }
+func (p *Pooled) Reset() { p.total = Outcomes{} }
