--- a/control/node.go
+++ b/control/node.go
@@ -116,7 +116,7 @@
 	book    *bill.Book
 	seenAt  map[string]time.Time
 
-	pooled    map[version.ID]*rollout.Pooled
+	pooled    map[version.ID]*rollout.PooledOutcomes
 	detectors map[version.ID]rollout.Detector
 	tripped   map[version.ID]bool
 	// held are the versions whose next step waits as they are near to being found
@@ -164,7 +164,7 @@
 		ledgers:   map[string]*flushState{},
 		book:      bill.NewBook(),
 		seenAt:    map[string]time.Time{},
-		pooled:    map[version.ID]*rollout.Pooled{},
+		pooled:    map[version.ID]*rollout.PooledOutcomes{},
 		detectors: map[version.ID]rollout.Detector{},
 		tripped:   map[version.ID]bool{},
 		held:      map[version.ID]bool{},
