--- a/control/facts.go
+++ b/control/facts.go
@@ -103,7 +103,7 @@
 func (n *Node) report(origin string, v version.ID, e rollout.Outcomes) {
 	p, ok := n.pooled[v]
 	if !ok {
-		p = rollout.NewPooled()
+		p = rollout.NewPooledOutcomes()
 		n.pooled[v] = p
 	}
 	r, under := n.rolloutTo(v)
--- a/rollout/pooled.go
+++ b/rollout/pooled.go
@@ -8,8 +8,8 @@
 	total Outcomes
 }
 
-// NewPooled returns a pool without reports.
-func NewPooled() *PooledOutcomes {
+// NewPooledOutcomes returns a pool without reports.
+func NewPooledOutcomes() *PooledOutcomes {
 	return &PooledOutcomes{from: map[string]Outcomes{}}
 }
 
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -96,7 +96,7 @@
 
 func TestPooledCountsEachReportOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := rollout.NewPooled()
+		p := rollout.NewPooledOutcomes()
 		last := map[string]rollout.Outcomes{}
 		for range rapid.IntRange(1, 50).Draw(t, "reports") {
 			o := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "origin")
