--- a/cmd/fieldvale-node/main.go
+++ b/cmd/fieldvale-node/main.go
@@ -80,7 +80,7 @@
 		return o, err
 	}
 	if o.Config == "" {
-		o.Config = os.Getenv(platform.SettingsVariable)
+		o.Config = os.Getenv(platform.SettingsEnv)
 	}
 	return o, nil
 }
