--- a/cmd/fieldvale-node/cloud.go
+++ b/cmd/fieldvale-node/cloud.go
@@ -238,7 +238,7 @@
 		x, cancel := context.WithTimeout(ctx, cloudTimeout)
 		counts, err := c.record(x, w)
 		if err == nil && counts != nil {
-			err = c.client.Report(x, fence, w, counts)
+			err = c.client.ReportUsage(x, fence, w, counts)
 		}
 		cancel()
 		c.n.event("usage_reported", "window", w, "customers", len(counts), "fence", fence, "error", err)
