--- a/cmd/fieldvale-node/cloud.go
+++ b/cmd/fieldvale-node/cloud.go
@@ -72,7 +72,7 @@
 		return nil
 	}
 	return &cloud{
-		n: n, client: platform.NewCloud(exchange.New(n.clock), n.s.Cloud, n.s.ID), tenure: duty.New(n.s.ID), tally: usage.NewTally(n.s.UsageWindow), book: usage.NewBook(),
+		n: n, client: platform.NewDutyClient(exchange.New(n.clock), n.s.Cloud, n.s.ID), tenure: duty.New(n.s.ID), tally: usage.NewTally(n.s.UsageWindow), book: usage.NewBook(),
 		life: startID(), reported: map[int64]bool{}, planners: map[string]*scaling.Planner{}, recorded: map[int64]usage.Counts{}, loads: map[string]running{},
 	}
 }
