--- a/cmd/fieldvale-node/cloud.go
+++ b/cmd/fieldvale-node/cloud.go
@@ -42,7 +42,7 @@
 // replicas.
 type cloud struct {
 	n      *node
-	client *platform.Cloud
+	client *platform.DutyClient
 	tenure *duty.Tenure
 	tally  *usage.Tally
 	book   *usage.Book
