--- a/cmd/fieldvale-node/cloud.go
+++ b/cmd/fieldvale-node/cloud.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// Seen implements platform.Duties.
-func (c *cloud) Seen(h duty.Holder) { c.tenure.Seen(h, c.n.clock()) }
+// HolderChanged implements platform.Duties.
+func (c *cloud) HolderChanged(h duty.Holder) { c.tenure.Seen(h, c.n.clock()) }
 
 // Free implements platform.Duties.
 func (c *cloud) Free(now time.Time) { c.tenure.Free(now) }
