--- a/cmd/fieldvale-node/cloud.go
+++ b/cmd/fieldvale-node/cloud.go
@@ -80,8 +80,8 @@
 // HolderChanged implements platform.Duties.
 func (c *cloud) HolderChanged(h duty.Holder) { c.tenure.Seen(h, c.n.clock()) }
 
-// Free implements platform.Duties.
-func (c *cloud) Free(now time.Time) { c.tenure.Free(now) }
+// HolderGone implements platform.Duties.
+func (c *cloud) HolderGone(now time.Time) { c.tenure.Free(now) }
 
 // Recorded implements platform.Duties.
 func (c *cloud) Recorded(window int64, x usage.Counts) {
