--- a/cmd/fieldvale-node/cloud.go
+++ b/cmd/fieldvale-node/cloud.go
@@ -83,8 +83,8 @@
 // HolderGone implements platform.Duties.
 func (c *cloud) HolderGone(now time.Time) { c.tenure.Free(now) }
 
-// Recorded implements platform.Duties.
-func (c *cloud) Recorded(window int64, x usage.Counts) {
+// UsageRecorded implements platform.Duties.
+func (c *cloud) UsageRecorded(window int64, x usage.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.recorded[window] = x
@@ -266,7 +266,7 @@
 	if err != nil || !ok {
 		return nil, err
 	}
-	c.Recorded(w, x)
+	c.UsageRecorded(w, x)
 	return x, nil
 }
 
