--- a/cmd/fieldvale-node/follow.go
+++ b/cmd/fieldvale-node/follow.go
@@ -68,7 +68,7 @@
 
 // mirror returns the mirror that follows what the store holds.
 func (n *node) mirror() *mirror.Mirror {
-	var d platform.Duties
+	var d platform.DutyListener
 	if n.cloud != nil {
 		d = n.cloud
 	}
