--- a/cmd/fieldvale-node/follow.go
+++ b/cmd/fieldvale-node/follow.go
@@ -73,5 +73,5 @@
 		d = n.cloud
 	}
 	on := relay.Tee{ChangeLog: n.changes, Listener: platform.NewListener(n.state, n.quarantine, d, n.clock, n.event), Event: n.event}
-	return mirror.New(n.relay, platform.Prefix, relay.TimingFor(n.s.ApplyWithin).StoreWait, n.clock, on)
+	return mirror.New(n.relay, platform.WatchPrefix, relay.TimingFor(n.s.ApplyWithin).StoreWait, n.clock, on)
 }
