--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -136,7 +136,7 @@
 	n.releases = platform.NewReleases(n.store)
 	n.cloud = newCloud(n)
 	n.router = entry.NewRouter(n.routerPorts())
-	n.ingress = platform.NewIngress(platform.Ports{Router: n.router, View: n.view, Lease: n.lease, Clock: n.clock, AwaitConfig: n.state.AwaitFirstConfig, RetryDelay: n.state.StartRetryAfter, OnRouted: n.answered(), OnRefused: n.refused()})
+	n.ingress = platform.NewIngress(platform.IngressConfig{Router: n.router, View: n.view, Lease: n.lease, Clock: n.clock, AwaitConfig: n.state.AwaitFirstConfig, RetryDelay: n.state.StartRetryAfter, OnRouted: n.answered(), OnRefused: n.refused()})
 	return n
 }
 
