--- a/cmd/fieldvale-node/stop.go
+++ b/cmd/fieldvale-node/stop.go
@@ -43,7 +43,7 @@
 	n.event("stopping")
 	end := n.clock().Add(n.s.StopWithin - stopMargin)
 	close(n.stopping)
-	n.ingress.Leave()
+	n.ingress.StartDraining()
 	time.Sleep(min(leaveDelay, n.s.StopWithin/2))
 	x, cancel := context.WithTimeout(context.Background(), end.Sub(n.clock()))
 	defer cancel()
