--- a/cmd/fieldvale-node/quarantine.go
+++ b/cmd/fieldvale-node/quarantine.go
@@ -75,10 +75,10 @@
 	x, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	if c.over {
-		err := platform.NewQuarantine(n.store).Release(x, c.entry.Fingerprint)
+		err := platform.NewQuarantineWriter(n.store).Release(x, c.entry.Fingerprint)
 		n.event("held_released", "content", c.entry.Fingerprint, "error", err)
 		return
 	}
-	won, err := platform.NewQuarantine(n.store).Hold(x, c.entry)
+	won, err := platform.NewQuarantineWriter(n.store).Hold(x, c.entry)
 	n.event("held_record", "content", c.entry.Fingerprint, "score", c.entry.Record.Score, "won", won, "error", err)
 }
