--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -133,7 +133,7 @@
 	n.gaugeKnowledge()
 	n.metrics.Gauge("replicas_cold", "Replicas that have just started, as this instance knows.", func() float64 { return float64(n.state.ColdCount()) })
 	n.metrics.Gauge("data_centres_evacuated", "Data centres whose replicas get nothing.", func() float64 { return float64(n.state.EvacuatedCount()) })
-	n.releases = platform.NewReleases(n.store)
+	n.releases = platform.NewReleaseWriter(n.store)
 	n.cloud = newCloud(n)
 	n.router = entry.NewRouter(n.routerPorts())
 	n.ingress = platform.NewIngress(platform.IngressConfig{Router: n.router, View: n.view, Lease: n.lease, Clock: n.clock, AwaitConfig: n.state.AwaitFirstConfig, RetryDelay: n.state.StartRetryAfter, OnRouted: n.answered(), OnRefused: n.refused()})
