--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -71,7 +71,7 @@
 	router   *entry.Router
 	ingress  *platform.Ingress
 	store    *platform.Store
-	releases *platform.Releases
+	releases *platform.ReleaseWriter
 	// records are releases' progress that is to be written.
 	records chan state.Record
 	// seen is what was last logged of each service's release; only the
