--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -116,7 +116,7 @@
 	}
 	n.lease = lease.New(time.Duration(honourPart*float64(s.HonourFor)), s.ApplyWithin, keyRule(s), n.clock())
 	n.placer = placement.NewNode(s.ID, startID(), tagged{n, tagPlacement}, n.clock, n.event)
-	n.store = platform.NewStore(exchange.New(c.Now), s.Store, c.Now).WithEnded(n.storeCalls())
+	n.store = platform.NewStore(exchange.New(c.Now), s.Store, c.Now).WithCallObserver(n.storeCalls())
 	n.traffic = n.newTraffic()
 	n.held = make(chan heldChange, mostHeldWaiting)
 	n.changes = relay.NewChangeLog()
