--- a/cmd/fieldvale-node/node_test.go
+++ b/cmd/fieldvale-node/node_test.go
@@ -27,7 +27,7 @@
 	}
 	h := l[0].Header
 	for k, want := range map[string]string{
-		sitetest.HeaderKey: "", sitetest.HeaderTenant: "acme", sitetest.HeaderHold: "", sitetest.HeaderPin: "", sitetest.HeaderKvFrom: "",
+		sitetest.HeaderAPIKey: "", sitetest.HeaderTenant: "acme", sitetest.HeaderHold: "", sitetest.HeaderPin: "", sitetest.HeaderKvFrom: "",
 		sitetest.HeaderExpectReplica: "a", "X-Other": "kept",
 	} {
 		if g := h.Get(k); g != want {
@@ -47,7 +47,7 @@
 	}{
 		{"no route", "/none/", "", []string{key}, 404},
 		{"no key", "/once/", "", nil, 401},
-		{"an unknown key", "/once/", "", []string{sitetest.HeaderKey + ": no"}, 401},
+		{"an unknown key", "/once/", "", []string{sitetest.HeaderAPIKey + ": no"}, 401},
 		{"no id", "/once/", "", []string{key, sitetest.HeaderRequest + ": "}, 400},
 		{"a bad deadline", "/once/", "", []string{key, sitetest.HeaderDeadline + ": soon"}, 400},
 		{"a long body", "/once/", strings.Repeat("x", 3000), []string{key}, 413},
--- a/cmd/fieldvale-node/site_test.go
+++ b/cmd/fieldvale-node/site_test.go
@@ -194,4 +194,4 @@
 	return reply{status: r.StatusCode, header: r.Header, body: string(b), closes: r.Close, err: err}
 }
 
-const key = sitetest.HeaderKey + ": k1"
+const key = sitetest.HeaderAPIKey + ": k1"
--- a/cmd/fieldvale-node/store_test.go
+++ b/cmd/fieldvale-node/store_test.go
@@ -15,7 +15,7 @@
 	s := newSite(t)
 	a := s.replica("a", "v1")
 	s.start()
-	status := func(k string) int { return s.send("POST", "/once/", "", sitetest.HeaderKey+": "+k).status }
+	status := func(k string) int { return s.send("POST", "/once/", "", sitetest.HeaderAPIKey+": "+k).status }
 	s.store.PutConfig(2, "k2")
 	s.eventually("a key that was taken away is refused", func() bool { return status("k1") == 401 })
 	s.store.Forget()
@@ -84,14 +84,14 @@
 			t.Errorf("a key after the lease: %d", r.status)
 		}
 	}
-	if r := s.send("POST", "/once/", "", sitetest.HeaderKey+": unknown"); r.status != 503 || r.header.Get("Retry-After") == "" {
+	if r := s.send("POST", "/once/", "", sitetest.HeaderAPIKey+": unknown"); r.status != 503 || r.header.Get("Retry-After") == "" {
 		t.Errorf("a key that a newer configuration may name: %d", r.status)
 	}
 	s.eventually("a request is routed by old knowledge", func() bool {
 		s.send("POST", "/once/", "", key)
 		return strings.Contains(s.metrics(), `fieldvale_stale_answers_total{act="routed"}`)
 	})
-	s.send("POST", "/once/", "", sitetest.HeaderKey+": unknown")
+	s.send("POST", "/once/", "", sitetest.HeaderAPIKey+": unknown")
 	if m := s.metrics(); strings.Contains(m, `fieldvale_stale_answers_total{act="denied"}`) {
 		t.Errorf("a request was denied by old knowledge:\n%s", m)
 	}
