--- a/cmd/fieldvale-node/cloud_test.go
+++ b/cmd/fieldvale-node/cloud_test.go
@@ -106,7 +106,7 @@
 	p.mu.Unlock()
 	const requests = 30
 	for i := range requests {
-		if r := l[i%3].send("POST", "/again/x", "x", key, sitetest.HeaderRequest+": "+strconv.Itoa(i)); r.status != 200 {
+		if r := l[i%3].send("POST", "/again/x", "x", key, sitetest.HeaderRequestID+": "+strconv.Itoa(i)); r.status != 200 {
 			t.Fatalf("request %d: %d %s", i, r.status, r.body)
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/cmd/fieldvale-node/crash_test.go
+++ b/cmd/fieldvale-node/crash_test.go
@@ -142,7 +142,7 @@
 		g.Go(func() {
 			for n := 0; x.Err() == nil; n++ {
 				body := fmt.Sprintf("innocent %d of %d", n, i)
-				r := l[(i+n)%len(l)].send("POST", "/again/x", body, key, sitetest.HeaderRequest+": "+body)
+				r := l[(i+n)%len(l)].send("POST", "/again/x", body, key, sitetest.HeaderRequestID+": "+body)
 				if r.status != 200 {
 					mu.Lock()
 					refused = append(refused, fmt.Sprint(r.status, " ", r.body))
@@ -154,7 +154,7 @@
 	}
 	for i := range 25 {
 		o := l[rand.IntN(len(l))]
-		r := o.send("POST", "/stream/x", crashing, key, sitetest.HeaderRequest+": "+fmt.Sprint("c", i))
+		r := o.send("POST", "/stream/x", crashing, key, sitetest.HeaderRequestID+": "+fmt.Sprint("c", i))
 		if r.status == 200 && r.err == nil {
 			t.Fatalf("the crashing request was served: %q", r.body)
 		}
--- a/cmd/fieldvale-node/limit_test.go
+++ b/cmd/fieldvale-node/limit_test.go
@@ -64,7 +64,7 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				o := l[(i+n)%len(l)]
 				method, path := http.MethodPost, "/again/x"
-				head := []string{key, sitetest.HeaderRequest + ": " + fmt.Sprint("q", i, "-", n)}
+				head := []string{key, sitetest.HeaderRequestID + ": " + fmt.Sprint("q", i, "-", n)}
 				switch n % 3 {
 				case 1:
 					path = "/once/x"
@@ -151,7 +151,7 @@
 	refused, served := 0, 0
 	for n := 0; time.Since(began) < 9*time.Second; n++ {
 		at := time.Now()
-		r := l[n%3].send(http.MethodPost, []string{"/again/x", "/once/x"}[n%2], "x", key, sitetest.HeaderRequest+": "+fmt.Sprint("q", n))
+		r := l[n%3].send(http.MethodPost, []string{"/again/x", "/once/x"}[n%2], "x", key, sitetest.HeaderRequestID+": "+fmt.Sprint("q", n))
 		took := time.Since(at)
 		switch {
 		case r.status == http.StatusOK:
--- a/cmd/fieldvale-node/node_test.go
+++ b/cmd/fieldvale-node/node_test.go
@@ -48,7 +48,7 @@
 		{"no route", "/none/", "", []string{key}, 404},
 		{"no key", "/once/", "", nil, 401},
 		{"an unknown key", "/once/", "", []string{sitetest.HeaderAPIKey + ": no"}, 401},
-		{"no id", "/once/", "", []string{key, sitetest.HeaderRequest + ": "}, 400},
+		{"no id", "/once/", "", []string{key, sitetest.HeaderRequestID + ": "}, 400},
 		{"a bad deadline", "/once/", "", []string{key, sitetest.HeaderDeadline + ": soon"}, 400},
 		{"a long body", "/once/", strings.Repeat("x", 3000), []string{key}, 413},
 		{"a public route without a key", "/open/", "", nil, 200},
@@ -184,7 +184,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprint(c, "GET /again/ HTTP/1.1\r\nHost: h.example\r\n"+key+"\r\n"+sitetest.HeaderRequest+": leaves\r\n"+sitetest.HeaderDeadline+": 60000\r\n\r\n")
+	fmt.Fprint(c, "GET /again/ HTTP/1.1\r\nHost: h.example\r\n"+key+"\r\n"+sitetest.HeaderRequestID+": leaves\r\n"+sitetest.HeaderDeadline+": 60000\r\n\r\n")
 	s.eventually("the replica has the request", func() bool { return len(a.Seen()) == 1 })
 	_ = c.Close()
 	select {
--- a/cmd/fieldvale-node/quarantine_test.go
+++ b/cmd/fieldvale-node/quarantine_test.go
@@ -25,7 +25,7 @@
 			f := quarantine.RequestContent{Caller: "acme", Method: "POST", Host: "h.example", Target: "/" + kind + "/x?a=1", Body: []byte("bad")}.Fingerprint()
 			s.store.PutHeld(f.String(), 5, time.Now())
 			s.start()
-			a := s.send("POST", "/"+kind+"/x?a=1", "bad", key, sitetest.HeaderRequest+": q7")
+			a := s.send("POST", "/"+kind+"/x?a=1", "bad", key, sitetest.HeaderRequestID+": q7")
 			if a.status != http.StatusServiceUnavailable {
 				t.Fatalf("%d %q, want 503", a.status, a.body)
 			}
--- a/cmd/fieldvale-node/site_test.go
+++ b/cmd/fieldvale-node/site_test.go
@@ -174,7 +174,7 @@
 		s.t.Fatal(err)
 	}
 	q.Host = "h.example"
-	q.Header.Set(sitetest.HeaderRequest, fmt.Sprint("id", time.Now().UnixNano()))
+	q.Header.Set(sitetest.HeaderRequestID, fmt.Sprint("id", time.Now().UnixNano()))
 	q.Header.Set(sitetest.HeaderDeadline, "5000")
 	for _, h := range head {
 		k, v, _ := strings.Cut(h, ": ")
