--- a/cmd/fieldvale-node/node_test.go
+++ b/cmd/fieldvale-node/node_test.go
@@ -18,7 +18,7 @@
 	a := s.replica("a", "v1")
 	s.start()
 	r := s.send("POST", "/once/x%20y?q=1&r", "body", key, sitetest.HeaderTenant+": forged", sitetest.HeaderHold+": 7", sitetest.HeaderExpectReplica+": other", sitetest.HeaderPin+": 5", sitetest.HeaderKvFrom+": 1.2.3.4:5/6", "X-Other: kept")
-	if r.status != 200 || r.body != "ok" || r.header.Get(sitetest.HeaderStamp) != "a" {
+	if r.status != 200 || r.body != "ok" || r.header.Get(sitetest.HeaderReplicaStamp) != "a" {
 		t.Fatalf("%+v", r)
 	}
 	l := a.Seen()
