--- a/cmd/fieldvale-node/node_test.go
+++ b/cmd/fieldvale-node/node_test.go
@@ -17,7 +17,7 @@
 	s := newSite(t)
 	a := s.replica("a", "v1")
 	s.start()
-	r := s.send("POST", "/once/x%20y?q=1&r", "body", key, sitetest.HeaderTenant+": forged", sitetest.HeaderHold+": 7", sitetest.HeaderExpectReplica+": other", sitetest.HeaderPin+": 5", sitetest.HeaderKvFrom+": 1.2.3.4:5/6", "X-Other: kept")
+	r := s.send("POST", "/once/x%20y?q=1&r", "body", key, sitetest.HeaderTenant+": forged", sitetest.HeaderKvHold+": 7", sitetest.HeaderExpectReplica+": other", sitetest.HeaderPin+": 5", sitetest.HeaderKvFrom+": 1.2.3.4:5/6", "X-Other: kept")
 	if r.status != 200 || r.body != "ok" || r.header.Get(sitetest.HeaderReplicaStamp) != "a" {
 		t.Fatalf("%+v", r)
 	}
@@ -27,7 +27,7 @@
 	}
 	h := l[0].Header
 	for k, want := range map[string]string{
-		sitetest.HeaderAPIKey: "", sitetest.HeaderTenant: "acme", sitetest.HeaderHold: "", sitetest.HeaderPin: "", sitetest.HeaderKvFrom: "",
+		sitetest.HeaderAPIKey: "", sitetest.HeaderTenant: "acme", sitetest.HeaderKvHold: "", sitetest.HeaderPin: "", sitetest.HeaderKvFrom: "",
 		sitetest.HeaderExpectReplica: "a", "X-Other": "kept",
 	} {
 		if g := h.Get(k); g != want {
