--- a/cmd/fieldvale-node/limit_test.go
+++ b/cmd/fieldvale-node/limit_test.go
@@ -70,7 +70,7 @@
 					path = "/once/x"
 				case 2:
 					method, path = http.MethodPut, "/stream/x"
-					head = append(head, sitetest.HeaderModel+": m", sitetest.HeaderTokenCounts+": 40,10", sitetest.HeaderParts+": "+fmt.Sprintf("%x:40", i*1000+n))
+					head = append(head, sitetest.HeaderModel+": m", sitetest.HeaderTokenCounts+": 40,10", sitetest.HeaderPromptPrefix+": "+fmt.Sprintf("%x:40", i*1000+n))
 				}
 				if r := o.send(method, path, "x", head...); r.status != http.StatusOK || r.err != nil {
 					mu.Lock()
