--- a/cmd/fieldvale-node/cloud_test.go
+++ b/cmd/fieldvale-node/cloud_test.go
@@ -40,7 +40,7 @@
 		Counts map[string]int `json:"counts"`
 	}
 	_ = json.Unmarshal(b, &u)
-	fence, _ := strconv.ParseInt(r.Header.Get(sitetest.HeaderFence), 10, 64)
+	fence, _ := strconv.ParseInt(r.Header.Get(sitetest.HeaderFencingToken), 10, 64)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.holders[fence] == nil {
