--- a/cmd/fieldvale-node/announce_test.go
+++ b/cmd/fieldvale-node/announce_test.go
@@ -69,12 +69,12 @@
 		t.Fatal(err)
 	}
 	s.done <- nil
-	leases, kept := s.store.Calls(sitetest.PathLease), s.store.Calls(sitetest.PathKeep+"1")
+	leases, kept := s.store.Calls(sitetest.PathLease), s.store.Calls(sitetest.PathRenew+"1")
 	again := newNode(s.node.s, "", s.node.log)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- again.run(ctx, nil) }()
-	s.eventually("renewed", func() bool { return s.store.Calls(sitetest.PathKeep+"1") > kept })
+	s.eventually("renewed", func() bool { return s.store.Calls(sitetest.PathRenew+"1") > kept })
 	if n := s.store.Calls(sitetest.PathLease) - leases; n != 0 {
 		t.Errorf("%d leases were made, want none", n)
 	}
