--- a/cmd/fieldvale-node/releases_test.go
+++ b/cmd/fieldvale-node/releases_test.go
@@ -20,7 +20,7 @@
 	bad.Unlock()
 	s.start()
 	s.store.PutRelease("svc", "v2", 600)
-	s.eventually("the operator reads that it runs", func() bool { return strings.Contains(s.store.Release("svc"), sitetest.ReleaseRuns) })
+	s.eventually("the operator reads that it runs", func() bool { return strings.Contains(s.store.Release("svc"), sitetest.ReleaseInProgress) })
 	// The finding is written until the store takes it.
 	s.store.Lock()
 	s.store.FailWrites = 3
