--- a/cmd/fieldvale-node/releases_test.go
+++ b/cmd/fieldvale-node/releases_test.go
@@ -19,7 +19,7 @@
 	}
 	bad.Unlock()
 	s.start()
-	s.store.PutRelease("svc", "v2", 600)
+	s.store.OrderRelease("svc", "v2", 600)
 	s.eventually("the operator reads that it runs", func() bool { return strings.Contains(s.store.Release("svc"), sitetest.ReleaseInProgress) })
 	// The finding is written until the store takes it.
 	s.store.Lock()
@@ -45,7 +45,7 @@
 	s.replica("old", "v1")
 	s.replica("new", "v2")
 	s.start()
-	s.store.PutRelease("svc", "v2", 2)
+	s.store.OrderRelease("svc", "v2", 2)
 	s.eventually("the operator reads that it is complete", func() bool {
 		s.send("GET", "/open/", "")
 		return strings.Contains(s.store.Release("svc"), sitetest.ReleaseCompleted)
