--- a/cmd/fieldvale-node/releases_test.go
+++ b/cmd/fieldvale-node/releases_test.go
@@ -20,7 +20,7 @@
 	bad.Unlock()
 	s.start()
 	s.store.OrderRelease("svc", "v2", 600)
-	s.eventually("the operator reads that it runs", func() bool { return strings.Contains(s.store.Release("svc"), sitetest.ReleaseInProgress) })
+	s.eventually("the operator reads that it runs", func() bool { return strings.Contains(s.store.ReleaseStatus("svc"), sitetest.ReleaseInProgress) })
 	// The finding is written until the store takes it.
 	s.store.Lock()
 	s.store.FailWrites = 3
@@ -29,7 +29,7 @@
 		for range 50 {
 			s.send("GET", "/open/", "")
 		}
-		return strings.Contains(s.store.Release("svc"), sitetest.ReleaseRolledBack)
+		return strings.Contains(s.store.ReleaseStatus("svc"), sitetest.ReleaseRolledBack)
 	})
 	n := len(bad.Seen())
 	for range 200 {
@@ -48,6 +48,6 @@
 	s.store.OrderRelease("svc", "v2", 2)
 	s.eventually("the operator reads that it is complete", func() bool {
 		s.send("GET", "/open/", "")
-		return strings.Contains(s.store.Release("svc"), sitetest.ReleaseCompleted)
+		return strings.Contains(s.store.ReleaseStatus("svc"), sitetest.ReleaseCompleted)
 	})
 }
