--- a/cmd/fieldvale-node/notice_test.go
+++ b/cmd/fieldvale-node/notice_test.go
@@ -53,7 +53,7 @@
 	}
 	late := 0
 	for _, q := range r.Seen() {
-		if q.At.After(said.Add(drainFor)) {
+		if q.ReceivedAt.After(said.Add(drainFor)) {
 			late++
 		}
 	}
@@ -84,11 +84,11 @@
 	var all, asked []time.Time
 	after := 0
 	for _, q := range r.Seen() {
-		all = append(all, q.At)
+		all = append(all, q.ReceivedAt)
 		if q.Rest {
-			asked = append(asked, q.At)
+			asked = append(asked, q.ReceivedAt)
 		}
-		if q.At.After(over) {
+		if q.ReceivedAt.After(over) {
 			after++
 		}
 	}
