--- a/cmd/fieldvale-node/notice_test.go
+++ b/cmd/fieldvale-node/notice_test.go
@@ -85,7 +85,7 @@
 	after := 0
 	for _, q := range r.Seen() {
 		all = append(all, q.ReceivedAt)
-		if q.Rest {
+		if q.BackoffRequested {
 			asked = append(asked, q.ReceivedAt)
 		}
 		if q.ReceivedAt.After(over) {
