--- a/cmd/fieldvale-node/node_test.go
+++ b/cmd/fieldvale-node/node_test.go
@@ -21,7 +21,7 @@
 	if r.status != 200 || r.body != "ok" || r.header.Get(sitetest.HeaderReplicaStamp) != "a" {
 		t.Fatalf("%+v", r)
 	}
-	l := a.Seen()
+	l := a.Requests()
 	if len(l) != 1 || l[0].Method != "POST" || l[0].Target != "/once/x%20y?q=1&r" || l[0].Body != "body" {
 		t.Fatalf("the replica saw %+v", l)
 	}
@@ -57,7 +57,7 @@
 			t.Errorf("%s: %d %q, want %d", c.name, r.status, r.body, c.want)
 		}
 	}
-	if n := len(a.Seen()); n != 1 {
+	if n := len(a.Requests()); n != 1 {
 		t.Errorf("%d requests reached the replica, want 1", n)
 	}
 }
@@ -136,7 +136,7 @@
 				r.Unlock()
 			}
 			r := s.send("POST", c.path, "x", key)
-			if n := len(a.Seen()) + len(b.Seen()); r.status != c.want || n != c.sends {
+			if n := len(a.Requests()) + len(b.Requests()); r.status != c.want || n != c.sends {
 				t.Errorf("%d after %d sends, want %d after %d", r.status, n, c.want, c.sends)
 			}
 		})
@@ -185,7 +185,7 @@
 		t.Fatal(err)
 	}
 	fmt.Fprint(c, "GET /again/ HTTP/1.1\r\nHost: h.example\r\n"+key+"\r\n"+sitetest.HeaderRequestID+": leaves\r\n"+sitetest.HeaderDeadline+": 60000\r\n\r\n")
-	s.eventually("the replica has the request", func() bool { return len(a.Seen()) == 1 })
+	s.eventually("the replica has the request", func() bool { return len(a.Requests()) == 1 })
 	_ = c.Close()
 	select {
 	case <-ended:
@@ -211,7 +211,7 @@
 	a.Unlock()
 	got := make(chan reply, 1)
 	go func() { got <- s.send("POST", "/stream/", "x", key) }()
-	s.eventually("the stream runs", func() bool { return len(a.Seen()) == 1 })
+	s.eventually("the stream runs", func() bool { return len(a.Requests()) == 1 })
 	s.stop()
 	s.eventually("it is not ready", func() bool { return s.readiness() != 200 })
 	if r := s.send("GET", "/open/", ""); r.status != 200 || !r.closes {
--- a/cmd/fieldvale-node/notice_test.go
+++ b/cmd/fieldvale-node/notice_test.go
@@ -52,7 +52,7 @@
 		t.Errorf("%d requests failed while two replicas were fit", n)
 	}
 	late := 0
-	for _, q := range r.Seen() {
+	for _, q := range r.Requests() {
 		if q.ReceivedAt.After(said.Add(drainFor)) {
 			late++
 		}
@@ -83,7 +83,7 @@
 	}
 	var all, asked []time.Time
 	after := 0
-	for _, q := range r.Seen() {
+	for _, q := range r.Requests() {
 		all = append(all, q.ReceivedAt)
 		if q.BackoffRequested {
 			asked = append(asked, q.ReceivedAt)
--- a/cmd/fieldvale-node/quarantine_test.go
+++ b/cmd/fieldvale-node/quarantine_test.go
@@ -35,7 +35,7 @@
 			s.eventually("the refusal is logged", func() bool {
 				return strings.Contains(s.logs.String(), "event=request_quarantined") && strings.Contains(s.logs.String(), "request=q7")
 			})
-			if n := len(r.Seen()); n > 0 {
+			if n := len(r.Requests()); n > 0 {
 				t.Errorf("%d requests reached the replica", n)
 			}
 			for what, o := range map[string]reply{
--- a/cmd/fieldvale-node/releases_test.go
+++ b/cmd/fieldvale-node/releases_test.go
@@ -31,12 +31,12 @@
 		}
 		return strings.Contains(s.store.ReleaseStatus("svc"), sitetest.ReleaseRolledBack)
 	})
-	n := len(bad.Seen())
+	n := len(bad.Requests())
 	for range 200 {
 		s.send("GET", "/open/", "")
 	}
-	if len(bad.Seen()) != n {
-		t.Errorf("the bad release got %d requests after it was rolled back", len(bad.Seen())-n)
+	if len(bad.Requests()) != n {
+		t.Errorf("the bad release got %d requests after it was rolled back", len(bad.Requests())-n)
 	}
 }
 
--- a/cmd/fieldvale-node/store_test.go
+++ b/cmd/fieldvale-node/store_test.go
@@ -25,11 +25,11 @@
 	b := s.replica("b", "v1")
 	s.store.PutReplica(a, "svc", "v1", sitetest.ReplicaDraining)
 	s.eventually("a draining replica gets nothing", func() bool {
-		n := len(a.Seen())
+		n := len(a.Requests())
 		for range 6 {
 			status("k2")
 		}
-		return len(a.Seen()) == n && len(b.Seen()) > 0
+		return len(a.Requests()) == n && len(b.Requests()) > 0
 	})
 	if g := status("k1"); g != 200 {
 		t.Errorf("an older configuration was taken: %d", g)
