--- a/cmd/fieldvale-node/node_test.go
+++ b/cmd/fieldvale-node/node_test.go
@@ -69,7 +69,7 @@
 	s.start()
 	a.Lock()
 	n := 0
-	a.Answer = func(c net.Conn, q sitetest.Seen) {
+	a.Answer = func(c net.Conn, q sitetest.Request) {
 		n++
 		a.Whole(fmt.Sprint("answer ", n))(c, q)
 		if n == 1 {
@@ -87,28 +87,28 @@
 func TestNodeOnRefusalsAndBrokenAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name, path string
-		answer     func(*sitetest.Replica) func(net.Conn, sitetest.Seen)
+		answer     func(*sitetest.Replica) func(net.Conn, sitetest.Request)
 		want       int
 		sends      int
 	}{
-		{"refused once, goes elsewhere", "/once/", func(r *sitetest.Replica) func(net.Conn, sitetest.Seen) { return r.Refuse("503 Service Unavailable") }, 200, 2},
-		{"reset after a request that may not be repeated", "/once/", func(*sitetest.Replica) func(net.Conn, sitetest.Seen) {
-			return func(c net.Conn, _ sitetest.Seen) { _ = c.Close() }
+		{"refused once, goes elsewhere", "/once/", func(r *sitetest.Replica) func(net.Conn, sitetest.Request) { return r.Refuse("503 Service Unavailable") }, 200, 2},
+		{"reset after a request that may not be repeated", "/once/", func(*sitetest.Replica) func(net.Conn, sitetest.Request) {
+			return func(c net.Conn, _ sitetest.Request) { _ = c.Close() }
 		}, 502, 1},
-		{"reset after one that may", "/again/", func(*sitetest.Replica) func(net.Conn, sitetest.Seen) {
-			return func(c net.Conn, _ sitetest.Seen) { _ = c.Close() }
+		{"reset after one that may", "/again/", func(*sitetest.Replica) func(net.Conn, sitetest.Request) {
+			return func(c net.Conn, _ sitetest.Request) { _ = c.Close() }
 		}, 200, 2},
-		{"an answer that is cut", "/again/", func(r *sitetest.Replica) func(net.Conn, sitetest.Seen) {
-			return func(c net.Conn, q sitetest.Seen) {
+		{"an answer that is cut", "/again/", func(r *sitetest.Replica) func(net.Conn, sitetest.Request) {
+			return func(c net.Conn, q sitetest.Request) {
 				_, _ = io.WriteString(c, r.Head(q, "200 OK", "Content-Length: 100")+"half")
 				_ = c.Close()
 			}
 		}, 200, 2},
-		{"bytes that are no answer", "/again/", func(*sitetest.Replica) func(net.Conn, sitetest.Seen) {
-			return func(c net.Conn, _ sitetest.Seen) { _, _ = io.WriteString(c, "nonsense\r\n\r\n") }
+		{"bytes that are no answer", "/again/", func(*sitetest.Replica) func(net.Conn, sitetest.Request) {
+			return func(c net.Conn, _ sitetest.Request) { _, _ = io.WriteString(c, "nonsense\r\n\r\n") }
 		}, 200, 2},
-		{"a success without a stamp", "/again/", func(*sitetest.Replica) func(net.Conn, sitetest.Seen) {
-			return func(c net.Conn, _ sitetest.Seen) {
+		{"a success without a stamp", "/again/", func(*sitetest.Replica) func(net.Conn, sitetest.Request) {
+			return func(c net.Conn, _ sitetest.Request) {
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 			}
 		}, 200, 2},
@@ -122,7 +122,7 @@
 			for _, r := range []*sitetest.Replica{a, b} {
 				bad, good := c.answer(r), r.Whole("ok")
 				r.Lock()
-				r.Answer = func(x net.Conn, q sitetest.Seen) {
+				r.Answer = func(x net.Conn, q sitetest.Request) {
 					mu.Lock()
 					f := first
 					first = false
@@ -149,7 +149,7 @@
 	s.start()
 	for _, r := range []*sitetest.Replica{a, b} {
 		r.Lock()
-		r.Answer = func(c net.Conn, q sitetest.Seen) {
+		r.Answer = func(c net.Conn, q sitetest.Request) {
 			if q.Header.Get("Last-Event-Id") == "2" {
 				r.Events(0, false, 3, 4)(c, q)
 				return
@@ -175,7 +175,7 @@
 	s.start()
 	ended := make(chan struct{})
 	a.Lock()
-	a.Answer = func(c net.Conn, _ sitetest.Seen) {
+	a.Answer = func(c net.Conn, _ sitetest.Request) {
 		_, _ = bufio.NewReader(c).ReadByte()
 		close(ended)
 	}
@@ -201,7 +201,7 @@
 	s.start()
 	a.Lock()
 	events, whole := a.Events(300*time.Millisecond, false, 1, 2, 3, 4), a.Whole("ok")
-	a.Answer = func(c net.Conn, q sitetest.Seen) {
+	a.Answer = func(c net.Conn, q sitetest.Request) {
 		if strings.HasPrefix(q.Target, "/stream/") {
 			events(c, q)
 			return
