--- a/cmd/fieldvale-node/notice_test.go
+++ b/cmd/fieldvale-node/notice_test.go
@@ -44,7 +44,7 @@
 	defer cancel()
 	wait := load(x, []*site{s})
 	time.Sleep(settled)
-	r.SetLeaving(true)
+	r.SetDraining(true)
 	said := time.Now()
 	time.Sleep(drainFor + 3*time.Second)
 	cancel()
