--- a/cmd/fieldvale-node/crash_test.go
+++ b/cmd/fieldvale-node/crash_test.go
@@ -80,7 +80,7 @@
 	}
 	s.t.Cleanup(r.Close)
 	var once sync.Once
-	r.Answer = func(conn net.Conn, q sitetest.Request) {
+	r.Handler = func(conn net.Conn, q sitetest.Request) {
 		if q.Body != crashing {
 			time.Sleep(2 * time.Millisecond)
 			r.Whole("ok")(conn, q)
--- a/cmd/fieldvale-node/limit_test.go
+++ b/cmd/fieldvale-node/limit_test.go
@@ -41,7 +41,7 @@
 func (s *site) counted(id string) (*sitetest.Replica, *arrivals.Log) {
 	a := &arrivals.Log{}
 	r := s.replica(id, "v1")
-	r.Answer = func(c net.Conn, q sitetest.Request) {
+	r.Handler = func(c net.Conn, q sitetest.Request) {
 		a.Add(time.Now())
 		time.Sleep(5 * time.Millisecond)
 		if q.Method == http.MethodPut {
--- a/cmd/fieldvale-node/node_test.go
+++ b/cmd/fieldvale-node/node_test.go
@@ -69,7 +69,7 @@
 	s.start()
 	a.Lock()
 	n := 0
-	a.Answer = func(c net.Conn, q sitetest.Request) {
+	a.Handler = func(c net.Conn, q sitetest.Request) {
 		n++
 		a.Whole(fmt.Sprint("answer ", n))(c, q)
 		if n == 1 {
@@ -122,7 +122,7 @@
 			for _, r := range []*sitetest.Replica{a, b} {
 				bad, good := c.answer(r), r.Whole("ok")
 				r.Lock()
-				r.Answer = func(x net.Conn, q sitetest.Request) {
+				r.Handler = func(x net.Conn, q sitetest.Request) {
 					mu.Lock()
 					f := first
 					first = false
@@ -149,7 +149,7 @@
 	s.start()
 	for _, r := range []*sitetest.Replica{a, b} {
 		r.Lock()
-		r.Answer = func(c net.Conn, q sitetest.Request) {
+		r.Handler = func(c net.Conn, q sitetest.Request) {
 			if q.Header.Get("Last-Event-Id") == "2" {
 				r.Events(0, false, 3, 4)(c, q)
 				return
@@ -175,7 +175,7 @@
 	s.start()
 	ended := make(chan struct{})
 	a.Lock()
-	a.Answer = func(c net.Conn, _ sitetest.Request) {
+	a.Handler = func(c net.Conn, _ sitetest.Request) {
 		_, _ = bufio.NewReader(c).ReadByte()
 		close(ended)
 	}
@@ -201,7 +201,7 @@
 	s.start()
 	a.Lock()
 	events, whole := a.Events(300*time.Millisecond, false, 1, 2, 3, 4), a.Whole("ok")
-	a.Answer = func(c net.Conn, q sitetest.Request) {
+	a.Handler = func(c net.Conn, q sitetest.Request) {
 		if strings.HasPrefix(q.Target, "/stream/") {
 			events(c, q)
 			return
--- a/cmd/fieldvale-node/releases_test.go
+++ b/cmd/fieldvale-node/releases_test.go
@@ -14,7 +14,7 @@
 	s.replica("old", "v1")
 	bad := s.replica("new", "v2")
 	bad.Lock()
-	bad.Answer = func(c net.Conn, q sitetest.Request) {
+	bad.Handler = func(c net.Conn, q sitetest.Request) {
 		_, _ = io.WriteString(c, bad.Head(q, "500 Internal Server Error", "Content-Length: 0"))
 	}
 	bad.Unlock()
