--- a/cmd/fieldvale-node/crash_test.go
+++ b/cmd/fieldvale-node/crash_test.go
@@ -89,7 +89,7 @@
 		c.mu.Lock()
 		c.arrivals = append(c.arrivals, time.Now())
 		c.mu.Unlock()
-		_, _ = io.WriteString(conn, r.Head(q, "200 OK", "Content-Type: text/event-stream", "Transfer-Encoding: chunked"))
+		_, _ = io.WriteString(conn, r.ResponseHead(q, "200 OK", "Content-Type: text/event-stream", "Transfer-Encoding: chunked"))
 		time.Sleep(crashAfter)
 		once.Do(func() {
 			c.mu.Lock()
--- a/cmd/fieldvale-node/node_test.go
+++ b/cmd/fieldvale-node/node_test.go
@@ -100,7 +100,7 @@
 		}, 200, 2},
 		{"an answer that is cut", "/again/", func(r *sitetest.Replica) func(net.Conn, sitetest.Request) {
 			return func(c net.Conn, q sitetest.Request) {
-				_, _ = io.WriteString(c, r.Head(q, "200 OK", "Content-Length: 100")+"half")
+				_, _ = io.WriteString(c, r.ResponseHead(q, "200 OK", "Content-Length: 100")+"half")
 				_ = c.Close()
 			}
 		}, 200, 2},
--- a/cmd/fieldvale-node/releases_test.go
+++ b/cmd/fieldvale-node/releases_test.go
@@ -15,7 +15,7 @@
 	bad := s.replica("new", "v2")
 	bad.Lock()
 	bad.Handler = func(c net.Conn, q sitetest.Request) {
-		_, _ = io.WriteString(c, bad.Head(q, "500 Internal Server Error", "Content-Length: 0"))
+		_, _ = io.WriteString(c, bad.ResponseHead(q, "500 Internal Server Error", "Content-Length: 0"))
 	}
 	bad.Unlock()
 	s.start()
