--- a/cmd/fieldvale-node/crash_test.go
+++ b/cmd/fieldvale-node/crash_test.go
@@ -83,7 +83,7 @@
 	r.Handler = func(conn net.Conn, q sitetest.Request) {
 		if q.Body != crashing {
 			time.Sleep(2 * time.Millisecond)
-			r.Whole("ok")(conn, q)
+			r.RespondOK("ok")(conn, q)
 			return
 		}
 		c.mu.Lock()
--- a/cmd/fieldvale-node/limit_test.go
+++ b/cmd/fieldvale-node/limit_test.go
@@ -48,7 +48,7 @@
 			r.Events(time.Millisecond, false, 1, 2)(c, q)
 			return
 		}
-		r.Whole("ok")(c, q)
+		r.RespondOK("ok")(c, q)
 	}
 	return r, a
 }
--- a/cmd/fieldvale-node/node_test.go
+++ b/cmd/fieldvale-node/node_test.go
@@ -71,9 +71,9 @@
 	n := 0
 	a.Handler = func(c net.Conn, q sitetest.Request) {
 		n++
-		a.Whole(fmt.Sprint("answer ", n))(c, q)
+		a.RespondOK(fmt.Sprint("answer ", n))(c, q)
 		if n == 1 {
-			a.Whole("too many")(c, q)
+			a.RespondOK("too many")(c, q)
 		}
 	}
 	a.Unlock()
@@ -120,7 +120,7 @@
 			var mu sync.Mutex
 			first := true
 			for _, r := range []*sitetest.Replica{a, b} {
-				bad, good := c.answer(r), r.Whole("ok")
+				bad, good := c.answer(r), r.RespondOK("ok")
 				r.Lock()
 				r.Handler = func(x net.Conn, q sitetest.Request) {
 					mu.Lock()
@@ -200,7 +200,7 @@
 	a := s.replica("a", "v1")
 	s.start()
 	a.Lock()
-	events, whole := a.Events(300*time.Millisecond, false, 1, 2, 3, 4), a.Whole("ok")
+	events, whole := a.Events(300*time.Millisecond, false, 1, 2, 3, 4), a.RespondOK("ok")
 	a.Handler = func(c net.Conn, q sitetest.Request) {
 		if strings.HasPrefix(q.Target, "/stream/") {
 			events(c, q)
