--- a/cmd/fieldvale-node/limit_test.go
+++ b/cmd/fieldvale-node/limit_test.go
@@ -45,7 +45,7 @@
 		a.Add(time.Now())
 		time.Sleep(5 * time.Millisecond)
 		if q.Method == http.MethodPut {
-			r.Events(time.Millisecond, false, 1, 2)(c, q)
+			r.Stream(time.Millisecond, false, 1, 2)(c, q)
 			return
 		}
 		r.RespondOK("ok")(c, q)
--- a/cmd/fieldvale-node/node_test.go
+++ b/cmd/fieldvale-node/node_test.go
@@ -151,10 +151,10 @@
 		r.Lock()
 		r.Handler = func(c net.Conn, q sitetest.Request) {
 			if q.Header.Get("Last-Event-Id") == "2" {
-				r.Events(0, false, 3, 4)(c, q)
+				r.Stream(0, false, 3, 4)(c, q)
 				return
 			}
-			r.Events(0, true, 1, 2)(c, q)
+			r.Stream(0, true, 1, 2)(c, q)
 		}
 		r.Unlock()
 	}
@@ -200,7 +200,7 @@
 	a := s.replica("a", "v1")
 	s.start()
 	a.Lock()
-	events, whole := a.Events(300*time.Millisecond, false, 1, 2, 3, 4), a.RespondOK("ok")
+	events, whole := a.Stream(300*time.Millisecond, false, 1, 2, 3, 4), a.RespondOK("ok")
 	a.Handler = func(c net.Conn, q sitetest.Request) {
 		if strings.HasPrefix(q.Target, "/stream/") {
 			events(c, q)
--- a/cmd/fieldvale-node/quarantine_test.go
+++ b/cmd/fieldvale-node/quarantine_test.go
@@ -20,7 +20,7 @@
 			s := newSite(t)
 			r := s.replica("r1", "v1")
 			if kind == "stream" {
-				r.Handler = r.Events(0, false, 1, 2)
+				r.Handler = r.Stream(0, false, 1, 2)
 			}
 			f := quarantine.RequestContent{Caller: "acme", Method: "POST", Host: "h.example", Target: "/" + kind + "/x?a=1", Body: []byte("bad")}.Fingerprint()
 			s.store.PutHeld(f.String(), 5, time.Now())
