--- a/cmd/fieldvale-node/store_test.go
+++ b/cmd/fieldvale-node/store_test.go
@@ -43,7 +43,7 @@
 	s.replica("a", "v1")
 	s.start()
 	s.store.Lock()
-	s.store.Refuse = 503
+	s.store.RefuseStatus = 503
 	s.store.Unlock()
 	s.eventually("keys are not honoured", func() bool {
 		r := s.send("POST", "/once/", "", key)
@@ -56,7 +56,7 @@
 		t.Errorf("readiness %d", g)
 	}
 	s.store.Lock()
-	s.store.Refuse = 0
+	s.store.RefuseStatus = 0
 	s.store.Unlock()
 	s.eventually("it is back", func() bool { return s.readiness() == 200 && s.send("POST", "/once/", "", key).status == 200 })
 }
@@ -70,7 +70,7 @@
 	s.replica("a", "v1")
 	s.startWith(func(n *settings.Node) { n.HonourFor, n.KeysLenient = time.Second, true })
 	s.store.Lock()
-	s.store.Refuse = 503
+	s.store.RefuseStatus = 503
 	s.store.Unlock()
 	s.store.PutConfig(2, "k2")
 	s.eventually("the outage outlasts the lease", func() bool {
@@ -96,7 +96,7 @@
 		t.Errorf("a request was denied by old knowledge:\n%s", m)
 	}
 	s.store.Lock()
-	s.store.Refuse = 0
+	s.store.RefuseStatus = 0
 	s.store.Unlock()
 	s.eventually("the key that was taken away is refused", func() bool { return s.send("POST", "/once/", "", key).status == 401 })
 }
@@ -108,13 +108,13 @@
 	s.replica("a", "v1")
 	s.start()
 	s.store.Lock()
-	s.store.Refuse = http.StatusServiceUnavailable
+	s.store.RefuseStatus = http.StatusServiceUnavailable
 	s.store.Unlock()
 	s.eventually("the store is lost", func() bool { return strings.Contains(s.logs.String(), "event=store_lost") })
 	s.store.PutConfig(2, "k1")
 	s.store.Forget()
 	s.store.Lock()
-	s.store.Refuse = 0
+	s.store.RefuseStatus = 0
 	s.store.Unlock()
 	s.eventually("the store is back", func() bool { return strings.Contains(s.logs.String(), "event=store_back") })
 	for _, want := range []string{"event=history_gone after=", "event=whole_read", "event=store_back confirmed_ago="} {
--- a/cmd/fieldvale-node/suspend_test.go
+++ b/cmd/fieldvale-node/suspend_test.go
@@ -20,7 +20,7 @@
 		t.Fatalf("before: %d %q", r.status, r.body)
 	}
 	s.store.Lock()
-	s.store.Refuse = http.StatusServiceUnavailable
+	s.store.RefuseStatus = http.StatusServiceUnavailable
 	s.store.Unlock()
 	s.suspended.Add(int64(10 * time.Second))
 	if r := s.send("POST", "/again/x", "b", key); r.status != http.StatusServiceUnavailable || !strings.Contains(r.body, "not confirmed") {
@@ -31,7 +31,7 @@
 	}
 	s.store.PutConfig(2, "k2")
 	s.store.Lock()
-	s.store.Refuse = 0
+	s.store.RefuseStatus = 0
 	s.store.Unlock()
 	s.eventually("the key that is left is honoured", func() bool {
 		return s.send("POST", "/again/x", "b", strings.Replace(key, "k1", "k2", 1)).status == http.StatusOK
