--- a/cmd/fieldvale-node/store_test.go
+++ b/cmd/fieldvale-node/store_test.go
@@ -18,7 +18,7 @@
 	status := func(k string) int { return s.send("POST", "/once/", "", sitetest.HeaderAPIKey+": "+k).status }
 	s.store.PutConfig(2, "k2")
 	s.eventually("a key that was taken away is refused", func() bool { return status("k1") == 401 })
-	s.store.Forget()
+	s.store.Compact()
 	s.store.PutConfig(3, "k1", "k2")
 	s.eventually("a change after lost history is in force", func() bool { return status("k1") == 200 })
 	s.store.PutConfig(2, "k2")
@@ -112,7 +112,7 @@
 	s.store.Unlock()
 	s.eventually("the store is lost", func() bool { return strings.Contains(s.logs.String(), "event=store_lost") })
 	s.store.PutConfig(2, "k1")
-	s.store.Forget()
+	s.store.Compact()
 	s.store.Lock()
 	s.store.RefuseStatus = 0
 	s.store.Unlock()
