--- a/cmd/fieldvale-node/announce_test.go
+++ b/cmd/fieldvale-node/announce_test.go
@@ -43,14 +43,14 @@
 	for i := range roster.Enough {
 		s.store.PutInstance(fmt.Sprint("x", i), o.node.s.Peers)
 	}
-	leases := s.store.Calls(sitetest.PathLease)
+	leases := s.store.CallCount(sitetest.PathLease)
 	s.startWith(func(n *settings.Node) { n.FirstStart = true })
 	for i := range roster.Enough / 3 {
 		s.store.RemoveInstance(fmt.Sprint("x", i))
 	}
 	s.eventually("it hears of those that left", func() bool { return s.node.state.RegisteredCount() == roster.Enough-roster.Enough/3 })
-	if s.node.joins(roster.JoinsLater) || s.store.Calls(sitetest.PathLease) > leases {
-		t.Errorf("it joins a list of %d, after %d calls for leases", s.node.state.RegisteredCount(), s.store.Calls(sitetest.PathLease)-leases)
+	if s.node.joins(roster.JoinsLater) || s.store.CallCount(sitetest.PathLease) > leases {
+		t.Errorf("it joins a list of %d, after %d calls for leases", s.node.state.RegisteredCount(), s.store.CallCount(sitetest.PathLease)-leases)
 	}
 	for i := range roster.Enough {
 		s.store.RemoveInstance(fmt.Sprint("x", i))
@@ -69,13 +69,13 @@
 		t.Fatal(err)
 	}
 	s.done <- nil
-	leases, kept := s.store.Calls(sitetest.PathLease), s.store.Calls(sitetest.PathRenew+"1")
+	leases, kept := s.store.CallCount(sitetest.PathLease), s.store.CallCount(sitetest.PathRenew+"1")
 	again := newNode(s.node.s, "", s.node.log)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- again.run(ctx, nil) }()
-	s.eventually("renewed", func() bool { return s.store.Calls(sitetest.PathRenew+"1") > kept })
-	if n := s.store.Calls(sitetest.PathLease) - leases; n != 0 {
+	s.eventually("renewed", func() bool { return s.store.CallCount(sitetest.PathRenew+"1") > kept })
+	if n := s.store.CallCount(sitetest.PathLease) - leases; n != 0 {
 		t.Errorf("%d leases were made, want none", n)
 	}
 	stop()
