--- a/cmd/fieldvale-node/announce_test.go
+++ b/cmd/fieldvale-node/announce_test.go
@@ -17,7 +17,7 @@
 	s.start()
 	there := func() bool { return strings.Contains(s.store.Announcement("n1"), s.node.s.Peers) }
 	s.eventually("it is announced", there)
-	s.store.LapseAll()
+	s.store.ExpireLeases()
 	s.eventually("it is announced again", there)
 }
 
