--- a/cmd/fieldvale-soak/main.go
+++ b/cmd/fieldvale-soak/main.go
@@ -87,7 +87,7 @@
 	}
 	r, err := soak.Run(ctx, soak.Settings{Seed: seed, Binary: b, For: o.For, Nodes: o.Nodes, Replicas: o.Replicas, Clients: o.Clients, Crashing: o.Crashing, Limited: o.Limited, Noticing: o.Noticing, Forgetting: o.Forgetting, Dir: d})
 	ok := err == nil && len(r.Violations) == 0
-	fmt.Printf("seed=%d ok=%t answered=%d failed=%d after: answered=%d failed=%d faults=%d crashed=%d release=%s\n", seed, ok, r.Answered, r.Failed, r.AnsweredAfterFaults, r.FailedAfterFaults, len(r.Faults), r.Crashed, r.Release)
+	fmt.Printf("seed=%d ok=%t answered=%d failed=%d after: answered=%d failed=%d faults=%d crashed=%d release=%s\n", seed, ok, r.Answered, r.Failed, r.AnsweredAfterFaults, r.FailedAfterFaults, len(r.Faults), r.CrashedReplicas, r.Release)
 	for _, c := range slices.Sorted(maps.Keys(r.Causes)) {
 		fmt.Printf("  %6d %s\n", r.Causes[c], c)
 	}
