--- a/cmd/fieldvale-soak/main.go
+++ b/cmd/fieldvale-soak/main.go
@@ -85,7 +85,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return false
 	}
-	r, err := soak.Run(ctx, soak.Settings{Seed: seed, Binary: b, FaultTime: o.For, Nodes: o.Nodes, Replicas: o.Replicas, Clients: o.Clients, CrashingRequest: o.Crashing, Limits: o.Limited, Notices: o.Noticing, Forgetting: o.Forgetting, Dir: d})
+	r, err := soak.Run(ctx, soak.Settings{Seed: seed, Binary: b, FaultTime: o.For, Nodes: o.Nodes, Replicas: o.Replicas, Clients: o.Clients, CrashingRequest: o.Crashing, Limits: o.Limited, Notices: o.Noticing, StoreOutages: o.Forgetting, Dir: d})
 	ok := err == nil && len(r.Violations) == 0
 	fmt.Printf("seed=%d ok=%t answered=%d failed=%d after: answered=%d failed=%d faults=%d crashed=%d release=%s\n", seed, ok, r.Answered, r.Failed, r.AnsweredAfterFaults, r.FailedAfterFaults, len(r.Faults), r.CrashedReplicas, r.Release)
 	for _, c := range slices.Sorted(maps.Keys(r.Causes)) {
