--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -151,7 +151,7 @@
 // words are what was heard of limits.
 type words []string
 
-func (w *words) Hear(_, replica string, x quota.LimitReport) {
+func (w *words) Observe(_, replica string, x quota.LimitReport) {
 	*w = append(*w, fmt.Sprint(replica, " ", x.HasLimit, " ", x.PerSecond))
 }
 func (w *words) Unreadable(replica string, _ error) { *w = append(*w, replica+" unreadable") }
@@ -206,7 +206,7 @@
 // heeded is what was heard of backend servers themselves.
 type heeded []string
 
-func (h *heeded) Hear(n notice.Notice) {
+func (h *heeded) Observe(n notice.Notice) {
 	rest := time.Duration(0)
 	if !n.BackoffUntil.IsZero() {
 		rest = n.BackoffUntil.Sub(n.ReceivedAt)
--- a/adapter/backend/limit.go
+++ b/adapter/backend/limit.go
@@ -16,7 +16,7 @@
 
 // Limits takes what backend servers say of how much they take.
 type Limits interface {
-	Hear(service, replica string, w quota.LimitReport)
+	Observe(service, replica string, w quota.LimitReport)
 	// Unreadable says that an answer names a limit that can't be read.
 	Unreadable(replica string, err error)
 }
@@ -30,7 +30,7 @@
 
 // Notices takes what backend servers say of themselves.
 type Notices interface {
-	Hear(n notice.Notice)
+	Observe(n notice.Notice)
 	// Unreadable says that a header of an answer has no meaning.
 	Unreadable(replica, header string, err error)
 }
@@ -62,7 +62,7 @@
 			l.Unreadable(r.ID, headerRetryAfter, err)
 		}
 	}
-	l.Hear(n)
+	l.Observe(n)
 }
 
 // values returns the header's values.
@@ -82,6 +82,6 @@
 	case err != nil:
 		l.Unreadable(r.ID, err)
 	case w.HasLimit || !refusal(p):
-		l.Hear(r.Service, r.ID, w)
+		l.Observe(r.Service, r.ID, w)
 	}
 }
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		panic(err)
 	}
-	n.quota.Hear(r.Service, r.ID, w)
+	n.quota.Observe(r.Service, r.ID, w)
 }
 
 func (n *needy) Call(_ context.Context, r *pool.Replica, _ ServiceCall) (ServiceAnswer, error) {
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -94,7 +94,7 @@
 	case 3:
 		n.Refused = true
 	}
-	w.book.Hear(n)
+	w.book.Observe(n)
 	if _, known := w.left[id]; n.Draining && !known {
 		w.left[id] = w.now
 	}
@@ -308,13 +308,13 @@
 			}
 		}
 	}
-	leave := func(id string) { b.Hear(notice.Notice{Replica: id, Draining: true, SentAt: now, ReceivedAt: now}) }
+	leave := func(id string) { b.Observe(notice.Notice{Replica: id, Draining: true, SentAt: now, ReceivedAt: now}) }
 	want("at first", "abc")
 	leave("a")
 	want("a leaves", "bc")
 	leave("b")
 	want("a, b leave", "c")
-	b.Hear(notice.Notice{Replica: "c", BackoffUntil: now.Add(3 * time.Second), Refused: true, SentAt: now, ReceivedAt: now})
+	b.Observe(notice.Notice{Replica: "c", BackoffUntil: now.Add(3 * time.Second), Refused: true, SentAt: now, ReceivedAt: now})
 	want("c rests, the others still serve", "ab")
 	now = now.Add(talkersServe)
 	if g, f := send(); f == nil || f.Outcome != outcome.NotRun || f.RetryAt.Before(now.Add(2*time.Second)) || f.RetryAt.After(now.Add(2*time.Second+restedSpread)) {
@@ -327,7 +327,7 @@
 	if g, f := send(); f == nil || f.RetryAt.Sub(now) > restedSpread {
 		t.Fatalf("while c is tried: at %q, %+v", g, f)
 	}
-	b.Hear(notice.Notice{Replica: "c", SentAt: now, ReceivedAt: now})
+	b.Observe(notice.Notice{Replica: "c", SentAt: now, ReceivedAt: now})
 	want("c has answered", "c")
 }
 
@@ -340,7 +340,7 @@
 
 func (u needsRest) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
 	until := u.now.Add(u.rest[r.ID])
-	u.book.Hear(notice.Notice{Replica: r.ID, Refused: true, BackoffUntil: until, SentAt: u.now, ReceivedAt: u.now})
+	u.book.Observe(notice.Notice{Replica: r.ID, Refused: true, BackoffUntil: until, SentAt: u.now, ReceivedAt: u.now})
 	return nil, outcome.New(outcome.NotRun, "refused", r.ID, errors.New("status 503")).WithStatus(http.StatusServiceUnavailable).WithRetryAt(until)
 }
 
--- a/notice/book.go
+++ b/notice/book.go
@@ -130,7 +130,7 @@
 }
 
 // Hear counts a notice. Of a replica that says nothing of itself nothing is kept.
-func (b *Tracker) Hear(n Notice) {
+func (b *Tracker) Observe(n Notice) {
 	was, is := b.change(n)
 	if is.IsDraining() && !was.IsDraining() {
 		b.log("replica_says_leaving", "replica", n.Replica, "service", n.Service, "request", n.Request)
--- a/notice/fleet_test.go
+++ b/notice/fleet_test.go
@@ -141,7 +141,7 @@
 		if n.Refused {
 			n.BackoffUntil = n.BackoffUntil.Add(s.trip())
 		}
-		s.books[instance].Hear(n)
+		s.books[instance].Observe(n)
 		if _, known := s.told[k]; n.Draining && !known {
 			s.told[k] = s.now
 		}
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -121,7 +121,7 @@
 func TestLeavingReplicaIsForgottenOnlyOnceItIsGone(t *testing.T) {
 	now := noon
 	b := notice.NewTracker(func() time.Time { return now }, 2*time.Second, func(string, ...any) {})
-	b.Hear(notice.Notice{Replica: "r", Draining: true, ReceivedAt: now})
+	b.Observe(notice.Notice{Replica: "r", Draining: true, ReceivedAt: now})
 	for range 100 {
 		now = now.Add(time.Hour)
 		b.Sweep(slices.Values([]string{"q", "r"}))
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -211,7 +211,7 @@
 		p.named = time.Now()
 	}
 	p.mu.Unlock()
-	n.Hear("s", "r0", w)
+	n.Observe("s", "r0", w)
 }
 
 // request is one that would go to the replica, at any node.
--- a/quota/node.go
+++ b/quota/node.go
@@ -83,7 +83,7 @@
 }
 
 // Hear counts what an answer of the service's replica says.
-func (n *Node) Hear(service, replica string, w LimitReport) {
+func (n *Node) Observe(service, replica string, w LimitReport) {
 	n.heard(n.beliefs.change(replica, func(b Belief) Belief { return b.With(w, n.Self).withService(service) }))
 }
 
--- a/quota/queue_test.go
+++ b/quota/queue_test.go
@@ -28,7 +28,7 @@
 		n := alone(&now, true)
 		for _, r := range []string{"a", "b"} {
 			w, _ := quota.ParseLimitReport([]string{"1.5"}, now, now.Add(time.Millisecond))
-			n.Hear("s", r, w)
+			n.Observe("s", r, w)
 		}
 		served := map[int]int{}
 		asked := map[int]int{}
@@ -95,7 +95,7 @@
 	name := func(i int) string { return fmt.Sprint("r", i) }
 	for i := range replicas {
 		w, _ := quota.ParseLimitReport([]string{fmt.Sprint(figure)}, now, now.Add(time.Millisecond))
-		n.Hear("s", name(i), w)
+		n.Observe("s", name(i), w)
 	}
 	r := rand.New(rand.NewPCG(1, 1))
 	got := map[string][]time.Time{}
