--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -149,7 +149,7 @@
 	for _, n := range f.nodes {
 		n.SetMembers(m)
 		for _, e := range f.held {
-			n.Keep(e)
+			n.PutHeld(e)
 		}
 	}
 }
@@ -174,7 +174,7 @@
 	f.held[e.Fingerprint] = e
 	f.in(storeWithin, func() {
 		for _, n := range f.nodes {
-			n.Keep(e)
+			n.PutHeld(e)
 		}
 	})
 }
--- a/quarantine/kept.go
+++ b/quarantine/kept.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Keep takes in a content that the store holds as one that gets no replica.
-func (n *Node) Keep(e Entry) {
+func (n *Node) PutHeld(e Entry) {
 	n.mu.Lock()
 	n.kept[e.Fingerprint] = true
 	delete(n.struck, e.Fingerprint)
@@ -15,7 +15,7 @@
 }
 
 // Strike forgets a content that the operator took from the store, or that was over.
-func (n *Node) Strike(f Fingerprint) {
+func (n *Node) RemoveHeld(f Fingerprint) {
 	n.mu.Lock()
 	known := n.kept[f]
 	delete(n.kept, f)
@@ -31,7 +31,7 @@
 }
 
 // Retain strikes the contents that the store holds no more; there are all that it holds.
-func (n *Node) Retain(there map[Fingerprint]bool) {
+func (n *Node) RetainHeld(there map[Fingerprint]bool) {
 	n.mu.Lock()
 	var gone []Fingerprint
 	for f := range n.kept {
@@ -41,7 +41,7 @@
 	}
 	n.mu.Unlock()
 	for _, f := range gone {
-		n.Strike(f)
+		n.RemoveHeld(f)
 	}
 }
 
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -130,12 +130,12 @@
 	c := quarantine.RequestContent{Target: "/x"}.Fingerprint()
 	e := quarantine.Entry{Fingerprint: c, Record: quarantine.Record{Score: 5, TrialCrashes: 2, LastCrashAt: now}}
 	for _, n := range f.nodes {
-		n.Keep(e)
+		n.PutHeld(e)
 		n.Tell(c, quarantine.AttemptResult{Replica: "r9"})
 	}
 	f.now = now.Add(time.Second)
 	for _, n := range f.nodes {
-		n.Strike(c)
+		n.RemoveHeld(c)
 		for _, o := range f.nodes {
 			o.Tick()
 		}
