--- a/adapter/backend/service.go
+++ b/adapter/backend/service.go
@@ -64,9 +64,9 @@
 		return entry.ServiceAnswer{}, checkStatus(r, p, 0, 0)
 	}
 	return entry.ServiceAnswer{
-		Status: p.StatusCode(),
-		ContentType:   string(p.Header.ContentType()),
-		Body:   append([]byte(nil), p.Body()...),
+		Status:      p.StatusCode(),
+		ContentType: string(p.Header.ContentType()),
+		Body:        append([]byte(nil), p.Body()...),
 	}, nil
 }
 
--- a/adapter/caller/errors.go
+++ b/adapter/caller/errors.go
@@ -76,18 +76,18 @@
 
 // statuses of failures that have one of their own.
 var statuses = map[entry.Code]int{
-	entry.NotReady:      fasthttp.StatusServiceUnavailable,
-	entry.ModelNotAllowed:    fasthttp.StatusForbidden,
-	entry.ModelNotFound:  fasthttp.StatusNotFound,
-	entry.ServiceNotFound: fasthttp.StatusNotFound,
-	entry.Refused:       fasthttp.StatusTooManyRequests,
+	entry.NotReady:               fasthttp.StatusServiceUnavailable,
+	entry.ModelNotAllowed:        fasthttp.StatusForbidden,
+	entry.ModelNotFound:          fasthttp.StatusNotFound,
+	entry.ServiceNotFound:        fasthttp.StatusNotFound,
+	entry.Refused:                fasthttp.StatusTooManyRequests,
 	entry.DeadlineExceeded:       fasthttp.StatusGatewayTimeout,
-	entry.BackendFailed:        fasthttp.StatusBadGateway,
-	entry.MayHaveRun:    fasthttp.StatusConflict,
-	entry.AlreadyRan:     fasthttp.StatusConflict,
-	entry.IdempotencyKeyRequired:      fasthttp.StatusBadRequest,
+	entry.BackendFailed:          fasthttp.StatusBadGateway,
+	entry.MayHaveRun:             fasthttp.StatusConflict,
+	entry.AlreadyRan:             fasthttp.StatusConflict,
+	entry.IdempotencyKeyRequired: fasthttp.StatusBadRequest,
 	entry.ClaimsUnavailable:      fasthttp.StatusServiceUnavailable,
-	entry.Quarantined:   fasthttp.StatusServiceUnavailable,
+	entry.Quarantined:            fasthttp.StatusServiceUnavailable,
 }
 
 // fromFailure puts the router's last word in the API's shape.
--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -17,8 +17,8 @@
 	judged := n.metrics.Counter("release_answers_total", "Attempts by release and what they count as when releases are judged.", "service", "release", "verdict")
 	broken := n.metrics.Counter("attempts_failed_total", "Attempts at backend servers that came to nothing, by service and whether an answer had begun.", "service", "began")
 	return &entry.Hooks{
-		RequestStarted:  n.began(),
-		AttemptJudged: func(service, release, verdict string) { judged.WithLabelValues(service, release, verdict).Inc() },
+		RequestStarted: n.began(),
+		AttemptJudged:  func(service, release, verdict string) { judged.WithLabelValues(service, release, verdict).Inc() },
 		AttemptFailed: func(f entry.FailedAttempt) {
 			broken.WithLabelValues(f.Service, strconv.FormatBool(f.AnswerStarted)).Inc()
 			n.event("attempt_failed", "request", f.Request, "content", f.Fingerprint, "replica", f.Replica, "began", f.AnswerStarted, "events", f.Events, "retry_in", retryIn(f.Err, n.clock()), "error", f.Err)
--- a/cmd/fieldvale-node/quarantine.go
+++ b/cmd/fieldvale-node/quarantine.go
@@ -23,7 +23,9 @@
 	return quarantine.Config{
 		Self: n.s.ID, Net: tagged{n, tagSuspects}, Clock: n.clock, Followers: n.relay.Followers, Log: n.event,
 		OnHeld: func(e quarantine.Entry) { n.heldDue(heldChange{entry: e}) },
-		OnReleased: func(f quarantine.Fingerprint) { n.heldDue(heldChange{entry: quarantine.Entry{Fingerprint: f}, over: true}) },
+		OnReleased: func(f quarantine.Fingerprint) {
+			n.heldDue(heldChange{entry: quarantine.Entry{Fingerprint: f}, over: true})
+		},
 	}
 }
 
--- a/entry/bounded.go
+++ b/entry/bounded.go
@@ -33,12 +33,14 @@
 // unbounded has no replica bounded.
 type unbounded struct{}
 
-func (unbounded) IsQuiet() bool                                 { return true }
-func (unbounded) Bound(string, float64, bool) quota.Bound       { return quota.Bound{} }
-func (unbounded) IsResting(string) bool                         { return false }
-func (unbounded) Take(context.Context, quota.PermitRequest) quota.PermitResult { return quota.PermitResult{} }
-func (unbounded) Return(quota.Ticket)                           {}
-func (unbounded) Unreached(string, string)                      {}
+func (unbounded) IsQuiet() bool                           { return true }
+func (unbounded) Bound(string, float64, bool) quota.Bound { return quota.Bound{} }
+func (unbounded) IsResting(string) bool                   { return false }
+func (unbounded) Take(context.Context, quota.PermitRequest) quota.PermitResult {
+	return quota.PermitResult{}
+}
+func (unbounded) Return(quota.Ticket)      {}
+func (unbounded) Unreached(string, string) {}
 
 // mostAsked bounds the replicas that one question for a place names. Each question names other
 // ones: at 100 questions a second before 112 limited replicas a place is found after some 0.1 s.
--- a/entry/events.go
+++ b/entry/events.go
@@ -14,9 +14,9 @@
 	// Fingerprint is the same for requests that ask the same, empty where that is not known.
 	Fingerprint string
 	// AnswerStarted says that the replica had begun to answer, after which Events were passed on.
-	AnswerStarted  bool
-	Events int
-	Err    error
+	AnswerStarted bool
+	Events        int
+	Err           error
 }
 
 // Hooks is told of what an operator may want to see. Its functions may be
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -15,24 +15,24 @@
 
 // The codes of failures.
 const (
-	NotReady      Code = "not_ready"
-	ModelNotAllowed    Code = "model_not_allowed"
-	ModelNotFound  Code = "model_not_found"
-	ServiceNotFound Code = "service_not_found"
-	Refused       Code = "refused"
+	NotReady               Code = "not_ready"
+	ModelNotAllowed        Code = "model_not_allowed"
+	ModelNotFound          Code = "model_not_found"
+	ServiceNotFound        Code = "service_not_found"
+	Refused                Code = "refused"
 	DeadlineExceeded       Code = "deadline_exceeded"
-	BackendFailed        Code = "backend_failed"
-	MayHaveRun    Code = "may_have_run"
-	AlreadyRan     Code = "already_ran"
-	IdempotencyKeyRequired      Code = "idempotency_key_required"
+	BackendFailed          Code = "backend_failed"
+	MayHaveRun             Code = "may_have_run"
+	AlreadyRan             Code = "already_ran"
+	IdempotencyKeyRequired Code = "idempotency_key_required"
 	ClaimsUnavailable      Code = "claims_unavailable"
-	Quarantined   Code = "quarantined"
+	Quarantined            Code = "quarantined"
 )
 
 // Failure is the final word on a request that got no answer.
 type Failure struct {
 	Code    Code
-	Outcome     outcome.Kind
+	Outcome outcome.Kind
 	RetryAt time.Time
 	Message string
 	Cause   error
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -30,9 +30,9 @@
 	// Session is empty if the client gave none.
 	Session string
 	// LastEventID is the last event that the client has of a stream it resumes.
-	LastEventID    string
-	ArrivedAt  time.Time
-	Deadline time.Time
+	LastEventID string
+	ArrivedAt   time.Time
+	Deadline    time.Time
 	// TimeoutAt is when the route's time ends; the earlier of it and
 	// Deadline binds.
 	TimeoutAt time.Time
@@ -87,13 +87,15 @@
 // SkippedReplica is a replica that had no place for the request.
 type SkippedReplica struct {
 	Replica string
-	Reason     quota.Reason
+	Reason  quota.Reason
 	// DecidedBy is the instance that said so.
 	DecidedBy string
 }
 
 // String returns the replica with the reason, for the log.
-func (p SkippedReplica) String() string { return fmt.Sprintf("%s:%s:%s", p.Replica, p.Reason, p.DecidedBy) }
+func (p SkippedReplica) String() string {
+	return fmt.Sprintf("%s:%s:%s", p.Replica, p.Reason, p.DecidedBy)
+}
 
 // ForwardResult is what became of an opaque request, for logs and metrics.
 type ForwardResult struct {
@@ -110,25 +112,25 @@
 	Escalation string
 	// SkippedCount is how often a replica was left out because it names a limit or is cold, or may
 	// be, and gets no more now; PassedOver are the best of them.
-	SkippedCount    int
-	Skipped []SkippedReplica
+	SkippedCount int
+	Skipped      []SkippedReplica
 	// Fingerprint is the request's fingerprint if an attempt failed or something is known
 	// against it, else empty; Verdict is the last word on whether it may be sent.
 	Fingerprint string
-	Verdict quarantine.Verdict
+	Verdict     quarantine.Verdict
 	// Tried are the replicas that it was sent to, in order.
 	Tried []string
 	// Excluded counts the replicas that had said that they leave or rest at the last choice.
 	Excluded string
-	Sends   int
-	Runs    int
-	Events  int
-	Status  int
-	Outcome     outcome.Kind
-	Code    Code
-	Cause   error
+	Sends    int
+	Runs     int
+	Events   int
+	Status   int
+	Outcome  outcome.Kind
+	Code     Code
+	Cause    error
 	// StopReason says why no further attempt was made after a failed one.
-	StopReason string
+	StopReason  string
 	FirstByteAt time.Time
-	EndedAt time.Time
+	EndedAt     time.Time
 }
--- a/entry/ports.go
+++ b/entry/ports.go
@@ -40,11 +40,11 @@
 
 // ServiceCall is one call of a plain service.
 type ServiceCall struct {
-	Call     string
-	Body     []byte
-	ContentType     string
-	IdempotencyKey      string
-	Deadline time.Time
+	Call           string
+	Body           []byte
+	ContentType    string
+	IdempotencyKey string
+	Deadline       time.Time
 	// Once asks for a connection on which nothing can be left unknown that
 	// need not be.
 	Once bool
@@ -52,9 +52,9 @@
 
 // ServiceAnswer is a plain service's answer.
 type ServiceAnswer struct {
-	Status int
-	ContentType   string
-	Body   []byte
+	Status      int
+	ContentType string
+	Body        []byte
 }
 
 // Services calls plain services. Failures are *outcome.Error.
--- a/entry/request.go
+++ b/entry/request.go
@@ -52,15 +52,15 @@
 
 // ServiceRequest is a caller's call of a plain service.
 type ServiceRequest struct {
-	ID       string
-	Caller   config.Caller
-	Service  string
-	Call     string
-	Body     []byte
-	ContentType     string
-	IdempotencyKey      string
-	Once     bool
-	Deadline time.Time
+	ID             string
+	Caller         config.Caller
+	Service        string
+	Call           string
+	Body           []byte
+	ContentType    string
+	IdempotencyKey string
+	Once           bool
+	Deadline       time.Time
 }
 
 // ServiceResult is a plain service's answer to a caller.
--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -14,9 +14,9 @@
 	// Model is the size chosen for it; empty leaves the client's.
 	Model string
 	// LastEventID is the last event that the client has of the stream.
-	LastEventID    string
-	Deadline time.Time
-	Priority int
+	LastEventID string
+	Deadline    time.Time
+	Priority    int
 }
 
 // Head is a backend server's answer up to its body.
--- a/measure/placement.go
+++ b/measure/placement.go
@@ -60,10 +60,16 @@
 		ruleOf("least-local", false, func() pool.LeastLocal { return pool.LeastLocal{} }),
 		ruleOf("idle-first", false, func() pool.IdleFirst { return pool.IdleFirst{} }),
 		ruleOf("two-choices", false, func() pool.TwoChoices { return pool.TwoChoices{} }),
-		ruleOf("affine-1.25", false, func() pool.BoundedAffinity[pool.TwoChoices] { return pool.BoundedAffinity[pool.TwoChoices]{LoadFactor: 1.25} }),
-		ruleOf("fieldvale", false, func() pool.BoundedAffinity[pool.TwoChoices] { return pool.BoundedAffinity[pool.TwoChoices]{LoadFactor: 1.5} }),
+		ruleOf("affine-1.25", false, func() pool.BoundedAffinity[pool.TwoChoices] {
+			return pool.BoundedAffinity[pool.TwoChoices]{LoadFactor: 1.25}
+		}),
+		ruleOf("fieldvale", false, func() pool.BoundedAffinity[pool.TwoChoices] {
+			return pool.BoundedAffinity[pool.TwoChoices]{LoadFactor: 1.5}
+		}),
 		ruleOf("fresh-global", true, func() pool.LeastReported { return pool.LeastReported{} }),
-		ruleOf("fresh-global-affine", true, func() pool.BoundedAffinity[pool.LeastReported] { return pool.BoundedAffinity[pool.LeastReported]{LoadFactor: 1.5} }),
+		ruleOf("fresh-global-affine", true, func() pool.BoundedAffinity[pool.LeastReported] {
+			return pool.BoundedAffinity[pool.LeastReported]{LoadFactor: 1.5}
+		}),
 	}
 }
 
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -26,7 +26,7 @@
 	// Items has the newest item of each key.
 	Items []store.Item
 	// Snapshot says that Items are all keys there are.
-	Snapshot    bool
+	Snapshot bool
 	Revision int64
 }
 
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -55,8 +55,8 @@
 }
 
 func (c *confirmations) Changed(mirror.Update) {}
-func (c *confirmations) Disconnected(error)            {}
-func (c *confirmations) Reconnected()             {}
+func (c *confirmations) Disconnected(error)    {}
+func (c *confirmations) Reconnected()          {}
 
 func (c *confirmations) Confirmed(asOf time.Time) {
 	if !c.at.IsZero() {
@@ -89,8 +89,8 @@
 
 func (u updates) Changed(x mirror.Update) { u.c <- x }
 func (u updates) Confirmed(time.Time)     {}
-func (u updates) Disconnected(error)              {}
-func (u updates) Reconnected()               {}
+func (u updates) Disconnected(error)      {}
+func (u updates) Reconnected()            {}
 
 // A key that goes and comes back in one answer is there, one that comes and
 // goes is not.
@@ -152,8 +152,8 @@
 	}
 }
 func (t *touch) Confirmed(time.Time) {}
-func (t *touch) Disconnected(error)          { t.lost++ }
-func (t *touch) Reconnected()           { t.regained = append(t.regained, t.changes) }
+func (t *touch) Disconnected(error)  { t.lost++ }
+func (t *touch) Reconnected()        { t.regained = append(t.regained, t.changes) }
 
 // Old news is no touch with the store.
 func TestOldNewsIsNoTouch(t *testing.T) {
--- a/notice/book.go
+++ b/notice/book.go
@@ -59,7 +59,9 @@
 }
 
 // IsBackingOff reports whether the replica wants no request now.
-func (b *Tracker) IsBackingOff(replica string, now time.Time) bool { return b.Availability(replica, now) == Resting }
+func (b *Tracker) IsBackingOff(replica string, now time.Time) bool {
+	return b.Availability(replica, now) == Resting
+}
 
 // AdmitRequest reports whether the replica may get a request in this moment, and counts that as sent.
 // Each send asks it last: what the replica says meanwhile counts.
--- a/placement/choice.go
+++ b/placement/choice.go
@@ -14,7 +14,7 @@
 	SlotMs float64
 	// RemoteBits has the bits set of the candidates in other data centres than the
 	// asker's, Away what such a one counts for on top, in milliseconds.
-	RemoteBits  uint64
+	RemoteBits      uint64
 	RemotePenaltyMs float64
 	// TimeLeftMs is the time left in which the first event should come, in
 	// milliseconds; 0 for no such time.
--- a/placement/wire.go
+++ b/placement/wire.go
@@ -26,8 +26,8 @@
 }
 
 type wirePart struct {
-	Key   string  `json:"Key"`
-	PrefillMs  float64 `json:"Read"`
+	Key                string  `json:"Key"`
+	PrefillMs          float64 `json:"Read"`
 	ReprefillPenaltyMs float64 `json:"Again,omitempty"`
 }
 
@@ -48,10 +48,10 @@
 }
 
 type wireChoice struct {
-	Index  int     `json:"Index"`
-	WaitMs   float64 `json:"Wait"`
-	PrefillMs   float64 `json:"Cost"`
-	Ticket uint64  `json:"Ticket"`
+	Index     int     `json:"Index"`
+	WaitMs    float64 `json:"Wait"`
+	PrefillMs float64 `json:"Cost"`
+	Ticket    uint64  `json:"Ticket"`
 }
 
 // encode can't fail: a message has numbers and texts only.
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -41,7 +41,7 @@
 	Slots int
 	// ChecksFencingToken says that it refuses orders with a lower fence.
 	ChecksFencingToken bool
-	Draining     bool
+	Draining           bool
 	// ColdUntil is until when it has just started and may get a few requests
 	// only; zero for a warm one.
 	ColdUntil time.Time
@@ -50,9 +50,9 @@
 
 // Load is what a replica last said of itself.
 type Load struct {
-	Running int
-	Waiting int
-	ReportedAt      time.Time
+	Running    int
+	Waiting    int
+	ReportedAt time.Time
 	// Local is how many of this instance's own requests were on the replica
 	// when the report was taken; they are part of Running and Waiting.
 	Local int
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -202,7 +202,7 @@
 // Entry is a content with its record.
 type Entry struct {
 	Fingerprint Fingerprint
-	Record  Record
+	Record      Record
 }
 
 // Outcome says what came of an attempt.
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -50,7 +50,7 @@
 	// OnReleased is told of contents that the store still holds and that are held no more. It
 	// must not block, and may be nil.
 	OnReleased func(Fingerprint)
-	Log  func(event string, fields ...any)
+	Log        func(event string, fields ...any)
 	// AnswerWithin bounds the wait for a keeper's answer; 0 takes the usual one.
 	AnswerWithin time.Duration
 }
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -22,10 +22,10 @@
 }
 
 type wireEvent struct {
-	Content string `json:"c"`
-	What    Outcome   `json:"w"`
-	Replica string `json:"r,omitempty"`
-	OnTrial bool   `json:"t,omitempty"`
+	Content string  `json:"c"`
+	What    Outcome `json:"w"`
+	Replica string  `json:"r,omitempty"`
+	OnTrial bool    `json:"t,omitempty"`
 }
 
 type wireAnswer struct {
--- a/quota/bound.go
+++ b/quota/bound.go
@@ -47,11 +47,11 @@
 
 // The reasons.
 const (
-	Fits      Reason = ""
-	Limited   Reason = "limited"
-	ReasonCold      Reason = "cold"
-	Undecided Reason = "nobody who counts can be reached"
-	Wanted    Reason = "wanted for more urgent requests"
+	Fits       Reason = ""
+	Limited    Reason = "limited"
+	ReasonCold Reason = "cold"
+	Undecided  Reason = "nobody who counts can be reached"
+	Wanted     Reason = "wanted for more urgent requests"
 )
 
 // windows returns what the bound comes to. All of them hold.
--- a/quota/node.go
+++ b/quota/node.go
@@ -28,7 +28,7 @@
 	Followers func() []string
 	// IsMembershipCurrent reports whether the list of instances was confirmed lately; a change of it is
 	// known everywhere within KnownWithin.
-	IsMembershipCurrent   func() bool
+	IsMembershipCurrent func() bool
 	MaxPropagationDelay time.Duration
 	// Rand returns a number from 0 to 1, below that.
 	Rand func() float64
--- a/quota/take.go
+++ b/quota/take.go
@@ -35,8 +35,8 @@
 	// Index is of the candidate that the request may be sent to; below 0 there is none.
 	Index int
 	// Reason says what keeps it from the first one, By who decided.
-	Reason Reason
-	DecidedBy  string
+	Reason    Reason
+	DecidedBy string
 	// RetryAt is when to come back if there is none; zero if that is not known.
 	RetryAt time.Time
 	Ticket  Ticket
--- a/quota/wire.go
+++ b/quota/wire.go
@@ -39,9 +39,9 @@
 
 // wireAnswer is of an instance that counts, unless Counts is false.
 type wireAnswer struct {
-	Counts bool `json:"c"`
-	Index  int  `json:"i"`
-	Why    Reason  `json:"y,omitempty"`
+	Counts bool   `json:"c"`
+	Index  int    `json:"i"`
+	Why    Reason `json:"y,omitempty"`
 	// Waits are for how long each candidate gets nothing, and Come after what time the
 	// request is to return, in milliseconds.
 	Waits   []int64      `json:"w,omitempty"`
--- a/quota/word.go
+++ b/quota/word.go
@@ -13,7 +13,7 @@
 type LimitReport struct {
 	// HasLimit says that the answer names a limit, of PerSecond requests from all
 	// instances together.
-	HasLimit   bool
+	HasLimit  bool
 	PerSecond float64
 	// SentAt is when the request was sent, ReceivedAt when the head of its answer came; the
 	// replica said it in between.
--- a/relay/node.go
+++ b/relay/node.go
@@ -19,18 +19,18 @@
 // Ports are what a node works with.
 type Ports struct {
 	// ChangeLog is what it tells others.
-	ChangeLog      *ChangeLog
-	Store    store.Feed
-	Net      Transport
-	Fetcher Fetcher
+	ChangeLog *ChangeLog
+	Store     store.Feed
+	Net       Transport
+	Fetcher   Fetcher
 	// ListMembers reads the list of the fleet's instances at the store; stale allows an answer
 	// that is some seconds old, which costs less. nil leaves it to SetMembers.
 	ListMembers func(ctx context.Context, stale bool) ([]peer.Member, error)
 	// Register has this instance put itself on the list, as nobody is there or all that are
 	// seem to have ended. It may be nil.
-	Register  func()
-	Clock func() time.Time
-	Event func(event string, fields ...any)
+	Register func()
+	Clock    func() time.Time
+	Event    func(event string, fields ...any)
 }
 
 // Node follows other instances and is followed.
--- a/relay/tee_test.go
+++ b/relay/tee_test.go
@@ -16,8 +16,8 @@
 
 func (o *orderly) Changed(mirror.Update) { o.seen, _, _ = o.log.newest() }
 func (o *orderly) Confirmed(time.Time)   {}
-func (o *orderly) Disconnected(error)            {}
-func (o *orderly) Reconnected()             {}
+func (o *orderly) Disconnected(error)    {}
+func (o *orderly) Reconnected()          {}
 
 // Packing stands between no configuration and its confirmation: keys were refused meanwhile.
 func TestWholeIsPackedBeforeItsConfigurationIsInForce(t *testing.T) {
--- a/relay/times.go
+++ b/relay/times.go
@@ -6,8 +6,8 @@
 type Timing struct {
 	// StoreWait is how long one call of the store waits for a change, Follow how
 	// long a question to another instance does.
-	StoreWait  time.Duration
-	Follow time.Duration
+	StoreWait time.Duration
+	Follow    time.Duration
 	// MaxAge is the oldest knowledge that is taken from another instance. One
 	// that watches a sound store has none much older than Watch and Gather, and
 	// one that follows it none that is older by more than Follow.
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -188,8 +188,8 @@
 func (j *Judge) Finding() Finding {
 	return Finding{
 		Reporters: len(j.told.from), BadShareLevel: j.whose.level(), KindLevel: j.kindLevel(),
-		FailureLevel: j.answer.Sum() / j.answer.Limit(),
-		SlownessLevel:    j.slow, Inconclusive: j.doubt, Cause: j.cause,
+		FailureLevel:  j.answer.Sum() / j.answer.Limit(),
+		SlownessLevel: j.slow, Inconclusive: j.doubt, Cause: j.cause,
 	}
 }
 
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -41,7 +41,7 @@
 	State State
 	// StepsTaken counts the steps in force; Steps[StepsTaken-1] holds the share.
 	StepsTaken int
-	Steps []Step
+	Steps      []Step
 }
 
 // New plans a roll-out whose steps fall due one after another, every apart,
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -19,8 +19,8 @@
 type Tally struct {
 	// Incarnation tells one run of the instance from others, in which counts begin at 0
 	// again.
-	Incarnation     int64
-	New, Old [KindCount]Counts
+	Incarnation int64
+	New, Old    [KindCount]Counts
 }
 
 // Counts are of the answers to one kind of request. They only grow.
--- a/state/change.go
+++ b/state/change.go
@@ -16,17 +16,17 @@
 	// entries another writer has put in place of theirs.
 	RemovedReplicas, UnusableReplicas []string
 	// AllReplicas, if not nil, are the names of all replicas there are.
-	AllReplicas   map[string]bool
-	Orders  []rollout.Release
-	Records []Record
+	AllReplicas map[string]bool
+	Orders      []rollout.Release
+	Records     []Record
 	// Evacuated are data centres whose replicas are to get nothing more, Restored
 	// those of which that is over. Where Known is given, Evacuated are all there
 	// are.
 	Evacuated, Restored []string
 	// Members are instances of the fleet that announce themselves, Left the
 	// ids of those whose announcement is over.
-	Members []peer.Member
-	LeftMembers    []string
+	Members     []peer.Member
+	LeftMembers []string
 }
 
 // Record is what the store holds of a release.
