--- a/placement/fault.go
+++ b/placement/fault.go
@@ -5,50 +5,56 @@
 	"time"
 )
 
-// Fault is why a prompt came to nothing at its replica.
+// Fault is the reason why a replica did not serve a prompt.
 type Fault int
 
 // The faults.
 const (
-	// NoFault: it was taken back, or its client left.
+	// NoFault: the placement was withdrawn or the client disconnected.
 	NoFault Fault = iota
-	// Unreachable: the replica could not be connected to.
+	// Unreachable: connecting to the replica failed.
 	Unreachable
-	// Rejected: the replica turned it away.
+	// Rejected: the replica refused the prompt because it was full.
 	Rejected
-	// Failed: the replica took it and gave no sound answer.
+	// Failed: the replica accepted the prompt but gave no valid answer.
 	Failed
 )
 
 const (
-	// faultCost is what a replica counts for that is sure to fail, in
-	// milliseconds: more than the usual wait for a sound one, little enough
-	// that it is tried again where all others wait longer.
-	faultCost = 1500.0
-	// faultHalf is the time in which half of a fault is forgotten: few are
-	// tried at a replica that others avoid, so that only time shows it sound.
-	faultHalf = time.Second
-	// readPart is what is left of a fault by a prompt that was read.
-	readPart = 0.7
-	// avoidedFrom is how likely a fault must be for a line in the log: the
-	// replica then counts for more than most others' waits.
-	avoidedFrom = 0.5
-	// noFault is what counts as none.
-	noFault = 0.01
+	// faultPenaltyMs is the cost, in milliseconds, of a replica that is certain
+	// to fail. It exceeds the usual wait for a sound replica, and is low enough
+	// for the faulty one to be retried when all others wait longer.
+	faultPenaltyMs = 1500.0
+	// faultHalfLife is the time in which the fault probability of a replica
+	// halves. A replica that is avoided gets few prompts that could show that it
+	// has recovered, so the estimate has to decay by time.
+	faultHalfLife = time.Second
+	// successFactor multiplies the fault probability when the replica has
+	// prefilled a prompt.
+	successFactor = 0.7
+	// avoidedThreshold is the fault probability from which a replica is logged as
+	// avoided: its penalty then exceeds the usual wait at most other replicas.
+	avoidedThreshold = 0.5
+	// negligibleFault is the fault probability below which a replica counts as
+	// sound.
+	negligibleFault = 0.01
 
-	// A replica that outFrom prompts in a row could not reach is left out: for
-	// firstOut, and twice as long after each further one, up to mostOut. As long
-	// as others are sound it must not be tried for their long waits: with 157 of
-	// 192 replicas down, waits were above faultCost, so that 69 dead replicas were
-	// tried 21 times each in two seconds, and requests ended after eight tries
-	// though sound replicas were left. One that is gone for good is off the list
-	// some seconds later; one that comes back has another id.
-	outFrom  = 2
-	firstOut = 250 * time.Millisecond
-	mostOut  = 4 * time.Second
-	// outCost is what one that is left out counts for, in milliseconds: more than
-	// any wait, so that it is chosen only where all are left out.
-	outCost = 1e6
+	// A replica is excluded after exclusionThreshold consecutive prompts could
+	// not reach it: for firstExclusion, doubled with each further one up to
+	// maxExclusion. As long as sound replicas are left, long waits there must not
+	// lead to attempts at an unreachable one. Without the exclusion, when 157 of
+	// 192 replicas are down, waits exceed faultPenaltyMs: 69 dead replicas were
+	// tried 21 times each within two seconds, and requests failed after eight
+	// attempts although sound replicas were left. A replica that is gone for good
+	// disappears from the platform's list some seconds later; one that restarts
+	// has a new id.
+	exclusionThreshold = 2
+	firstExclusion     = 250 * time.Millisecond
+	maxExclusion       = 4 * time.Second
+	// exclusionPenaltyMs is the cost of an excluded replica, in milliseconds. It
+	// exceeds any wait, so that such a replica is chosen only if all are
+	// excluded.
+	exclusionPenaltyMs = 1e6
 )
 
 // String returns the fault's name in the log.
@@ -64,63 +70,67 @@
 	return "none"
 }
 
-// weights are what each fault adds, as a part of what is missing to a replica
-// that is sure to fail. One that is not reached is gone as a rule; one
-// instance may be cut off from it, but others then read there.
-var weights = map[Fault]float64{Unreachable: 0.5, Rejected: 0.3, Failed: 0.25}
+// faultWeights are the fractions by which a fault of each kind closes the gap
+// between a replica's fault probability and 1. An unreachable replica is usually
+// gone. If only one instance is cut off from it, the prompts of others are
+// prefilled there and lower the estimate again.
+var faultWeights = map[Fault]float64{Unreachable: 0.5, Rejected: 0.3, Failed: 0.25}
 
-// fault is how likely a replica is to fail, from 0 to 1, as of a moment. All
-// instances tell their keeper of the faults that they meet, so that the fleet
-// need not find each faulty replica out once for every instance.
-type fault struct {
-	likely float64
-	asOf   time.Time
-	// unreached counts the prompts in a row that could not reach the replica,
-	// outUntil is until when it is left out for that.
-	unreached int
-	outUntil  time.Time
+// faultEstimate is the probability, from 0 to 1, that a replica fails a prompt,
+// as of a moment. All instances report faults to the owner of the replica's
+// group, so that each instance does not have to discover a faulty replica by
+// itself.
+type faultEstimate struct {
+	probability float64
+	asOf        time.Time
+	// unreachable counts the consecutive prompts that could not reach the
+	// replica, which is excluded until excludedUntil because of them.
+	unreachable   int
+	excludedUntil time.Time
 }
 
-// at returns how likely a fault is now.
-func (f fault) at(now time.Time) float64 {
-	if f.likely == 0 {
+// at returns the fault probability at the given time.
+func (f faultEstimate) at(now time.Time) float64 {
+	if f.probability == 0 {
 		return 0
 	}
-	return f.likely * math.Exp2(-now.Sub(f.asOf).Seconds()/faultHalf.Seconds())
+	return f.probability * math.Exp2(-now.Sub(f.asOf).Seconds()/faultHalfLife.Seconds())
 }
 
-// with returns the fault with another one counted.
-func (f fault) with(why Fault, now time.Time) fault {
-	x := f.at(now)
-	f.likely, f.asOf = x+weights[why]*(1-x), now
+// withFault returns the estimate after a further fault.
+func (f faultEstimate) withFault(why Fault, now time.Time) faultEstimate {
+	p := f.at(now)
+	f.probability, f.asOf = p+faultWeights[why]*(1-p), now
 	if why != Unreachable {
 		return f
 	}
-	f.unreached++
-	if n := f.unreached - outFrom; n >= 0 {
-		f.outUntil = now.Add(min(mostOut, firstOut<<min(n, maxDoublings)))
+	f.unreachable++
+	if n := f.unreachable - exclusionThreshold; n >= 0 {
+		f.excludedUntil = now.Add(min(maxExclusion, firstExclusion<<min(n, maxDoublings)))
 	}
 	return f
 }
 
-// maxDoublings keeps the time from overflowing; mostOut is reached long before.
+// maxDoublings keeps the exclusion time from overflowing; maxExclusion is
+// reached long before.
 const maxDoublings = 8
 
-// cost is what the replica's faults count for now, in milliseconds.
-func (f fault) cost(now time.Time) float64 {
-	c := faultCost * f.at(now)
-	if now.Before(f.outUntil) {
-		c += outCost
+// penaltyMs is the cost of the replica for its faults, in milliseconds.
+func (f faultEstimate) penaltyMs(now time.Time) float64 {
+	c := faultPenaltyMs * f.at(now)
+	if now.Before(f.excludedUntil) {
+		c += exclusionPenaltyMs
 	}
 	return c
 }
 
-// isOver reports whether nothing is left of the fault.
-func (f fault) isOver(now time.Time) bool {
-	return f.at(now) < noFault && !now.Before(f.outUntil.Add(mostOut))
+// isExpired reports whether the estimate no longer affects any choice.
+func (f faultEstimate) isExpired(now time.Time) bool {
+	return f.at(now) < negligibleFault && !now.Before(f.excludedUntil.Add(maxExclusion))
 }
 
-// withRead returns the fault with a prompt counted that was read.
-func (f fault) withRead(now time.Time) fault {
-	return fault{likely: readPart * f.at(now), asOf: now}
+// withSuccess returns the estimate after the replica has prefilled a prompt. It
+// ends an exclusion and resets the count of consecutive failures to connect.
+func (f faultEstimate) withSuccess(now time.Time) faultEstimate {
+	return faultEstimate{probability: successFactor * f.at(now), asOf: now}
 }
--- a/placement/groups_test.go
+++ b/placement/groups_test.go
@@ -27,18 +27,19 @@
 	// Output: 1 1 1 2 4 4 8 16
 }
 
-// Few keys change their group when some replicas come or go.
-func TestGroupsKeepTheirKeys(t *testing.T) {
+// Guards against keys that move to another group, away from their cached prefixes,
+// when only some replicas are added or removed.
+func TestGroupsKeepMostKeys(t *testing.T) {
 	all := replicaIDs(0, 170)
 	for _, c := range []struct {
 		name        string
 		before, now []string
-		most        float64
+		maxMoved    float64
 	}{
-		{"a replica goes", all[:140], all[1:140], 0.02},
-		{"a tenth goes", all[:140], all[14:140], 0.1},
-		{"thirty come", all[:140], all, 0.15},
-		{"two come beyond a rounding", all[:143], all[:145], 0.03},
+		{"one replica removed", all[:140], all[1:140], 0.02},
+		{"a tenth removed", all[:140], all[14:140], 0.1},
+		{"thirty added", all[:140], all, 0.15},
+		{"two added where the quotient by the group size rounds up", all[:143], all[:145], 0.03},
 	} {
 		a, b := groupsOf(c.before), groupsOf(c.now)
 		moved := 0
@@ -47,14 +48,14 @@
 				moved++
 			}
 		}
-		if p := float64(moved) / 2000; p > c.most {
-			t.Errorf("%s: %.3f of the keys change their group, want at most %.3f", c.name, p, c.most)
+		if p := float64(moved) / 2000; p > c.maxMoved {
+			t.Errorf("%s: %.3f of the keys changed their group, want at most %.3f", c.name, p, c.maxMoved)
 		}
 	}
 }
 
-// A group has keys by the number of its replicas, so that no replica has more
-// to do for being in a small one.
+// Guards against overload of the replicas of small groups: each group must get
+// keys in proportion to its number of replicas.
 func TestGroupsShareKeysBySize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := replicaIDs(rapid.IntRange(0, 1000).Draw(t, "first"), rapid.IntRange(91, 600).Draw(t, "replicas"))
@@ -70,15 +71,15 @@
 		for i := range size {
 			want := n * size[i] / float64(len(l))
 			if d := keys[i] - want; d > 0.25*want+30 || d < -0.25*want-30 {
-				t.Errorf("group %d of %d with %.0f of %d replicas has %.0f keys, want some %.0f", i, g.Len(), size[i], len(l), keys[i], want)
+				t.Errorf("group %d of %d with %.0f of %d replicas got %.0f keys, want about %.0f", i, g.Len(), size[i], len(l), keys[i], want)
 			}
 		}
 	})
 }
 
-// BenchmarkGroups finds a key's group among 600 replicas, as for each prompt:
-// 6.9 us and 184 bytes. Gathering those of the group by the hash modulo their
-// number, which was all before, took 5.9 us and 2,160 bytes.
+// BenchmarkGroups divides 600 replicas into groups and finds the group of a key,
+// as is done for each prompt: 6.9 us and 184 bytes. Collecting the replicas of a
+// group by hash modulo the number of groups takes 5.9 us and 2,160 bytes.
 func BenchmarkGroups(b *testing.B) {
 	l := replicaIDs(0, 600)
 	b.ReportAllocs()
--- /dev/null
+++ b/placement/node.go
@@ -0,0 +1,146 @@
+package placement
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"fieldvale/peer"
+	"fieldvale/reply"
+)
+
+// avoidOwnerFor is how long an owner that did not answer is skipped.
+const avoidOwnerFor = time.Second
+
+// Node is this instance's part in placement: it sends requests to the owners of
+// groups, and answers those for the groups that it owns itself.
+type Node struct {
+	self    string
+	tracker *LoadTracker
+	net     Transport
+	clock   func() time.Time
+	log     func(event string, fields ...any)
+	// waiting are the requests that were sent to owners and not yet answered.
+	waiting *reply.Waiters[Choice]
+
+	mu      sync.Mutex
+	members []peer.Member
+	// avoidUntil has, by id, the owners that did not answer.
+	avoidUntil map[string]time.Time
+}
+
+// NewNode returns the node of the instance with the given id, without other
+// members. start is the first number for request ids and tickets.
+func NewNode(self string, start uint64, net Transport, clock func() time.Time, log func(event string, fields ...any)) *Node {
+	return &Node{
+		self: self, tracker: NewLoadTracker(start), net: net, clock: clock, log: log, avoidUntil: map[string]time.Time{}, waiting: reply.New[Choice](start),
+	}
+}
+
+// SetMembers replaces the list of the fleet's instances.
+func (n *Node) SetMembers(m []peer.Member) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.members = m
+}
+
+// Members returns the fleet's instances.
+func (n *Node) Members() []peer.Member {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.members
+}
+
+// Ticket identifies a placed prompt in the load tracker of its group's owner.
+// The zero value refers to none.
+type Ticket struct {
+	owner string
+	addr  string
+	id    uint64
+}
+
+// Choose asks the group's owner for a replica for the prompt. It returns false if
+// the owner does not answer in time or has no replica for the prompt.
+func (n *Node) Choose(ctx context.Context, group string, r Request) (Choice, Ticket, bool) {
+	o, ok := n.owner(group)
+	if !ok || o.ID == n.self {
+		c := n.tracker.Choose(r, n.clock())
+		return c, Ticket{owner: n.self, id: c.Ticket}, c.Index >= 0
+	}
+	c, ok := n.ask(ctx, o, r)
+	if !ok {
+		n.avoidOwner(o)
+		return Choice{}, Ticket{}, false
+	}
+	if c.Index < 0 || c.Index >= len(r.Replicas) {
+		return Choice{}, Ticket{}, false
+	}
+	return c, Ticket{owner: o.ID, addr: o.Addr, id: c.Ticket}, true
+}
+
+// Read reports that the replica has prefilled the prompt.
+func (n *Node) Read(t Ticket) { n.report(t, message{Prefilled: t.id}) }
+
+// Lost reports that the replica did not serve the prompt, and why.
+func (n *Node) Lost(t Ticket, why Fault) { n.report(t, message{Aborted: t.id, Fault: int(why)}) }
+
+// report sends the end of the ticket to its owner.
+func (n *Node) report(t Ticket, m message) {
+	switch t.owner {
+	case "":
+	case n.self:
+		n.endTicket(m)
+	default:
+		// If the datagram is lost, the owner's load tracker drops the work after
+		// a timeout.
+		_ = n.net.Send(t.addr, encode(m))
+	}
+}
+
+// endTicket applies the reported end of a ticket to the load tracker.
+func (n *Node) endTicket(m message) {
+	if m.Prefilled != 0 {
+		n.tracker.Prefilled(m.Prefilled, n.clock())
+	}
+	if m.Aborted != 0 {
+		if r := n.tracker.Aborted(m.Aborted, Fault(m.Fault), n.clock()); r != "" {
+			n.log("replica_avoided", "replica", r, "reason", Fault(m.Fault))
+		}
+	}
+}
+
+// weight is the rendezvous weight of a member for the group. The member with the
+// highest weight owns the group.
+func weight(group string, m peer.Member) uint64 { return xxhash.Sum64String(group + "/" + m.ID) }
+
+// owner returns the member with the highest weight for the group among those that
+// are not avoided. It returns false if there is none.
+func (n *Node) owner(group string) (peer.Member, bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := n.clock()
+	best, b, ok := uint64(0), peer.Member{}, false
+	for _, m := range n.members {
+		if now.Before(n.avoidUntil[m.ID]) {
+			continue
+		}
+		if w := weight(group, m); !ok || w > best {
+			best, b, ok = w, m, true
+		}
+	}
+	return b, ok
+}
+
+// avoidOwner skips an owner that did not answer for avoidOwnerFor. Its groups are
+// owned by the members with the next highest weights meanwhile.
+func (n *Node) avoidOwner(o peer.Member) {
+	n.mu.Lock()
+	first := !n.clock().Before(n.avoidUntil[o.ID])
+	n.avoidUntil[o.ID] = n.clock().Add(avoidOwnerFor)
+	n.mu.Unlock()
+	if first {
+		n.log("keeper_silent", "keeper", o.ID, "addr", o.Addr, "avoided", avoidOwnerFor)
+	}
+}
--- /dev/null
+++ b/placement/transport.go
@@ -0,0 +1,53 @@
+package placement
+
+import (
+	"context"
+	"time"
+
+	"fieldvale/peer"
+)
+
+// answerTimeout bounds the wait for an owner's answer. It is several times the
+// round trip between data centres of one region plus the owner's work, and
+// short compared with the prefill of the prompts that are placed.
+const answerTimeout = 25 * time.Millisecond
+
+// Transport sends datagrams to other instances. Datagrams may be lost.
+type Transport interface {
+	Send(addr string, b []byte) error
+}
+
+// ask sends the request to the group's owner and waits for its choice.
+func (n *Node) ask(ctx context.Context, owner peer.Member, r Request) (Choice, bool) {
+	return n.waiting.Ask(ctx, answerTimeout, func(id uint64) error {
+		return n.net.Send(owner.Addr, encode(message{RequestID: id, Request: newWireRequest(r)}))
+	})
+}
+
+// Receive handles a datagram of another instance; an answer is sent to the
+// address from.
+func (n *Node) Receive(from string, b []byte) {
+	m, err := decode(b)
+	if err != nil {
+		n.log("datagram_unreadable", "from", from, "error", err)
+		return
+	}
+	switch {
+	case m.Request != nil:
+		c := n.tracker.Choose(m.Request.request(), n.clock())
+		_ = n.net.Send(from, encode(message{RequestID: m.RequestID, Choice: (*wireChoice)(&c)}))
+	case m.Choice != nil:
+		n.deliver(from, m.RequestID, Choice(*m.Choice))
+	default:
+		n.endTicket(m)
+	}
+}
+
+// deliver passes a choice to the caller that waits for it. If the caller has
+// timed out, it has placed the prompt elsewhere, so the owner is sent an abort
+// of the ticket and stops counting the work.
+func (n *Node) deliver(from string, requestID uint64, c Choice) {
+	if !n.waiting.Deliver(requestID, c) && c.Index >= 0 {
+		_ = n.net.Send(from, encode(message{Aborted: c.Ticket}))
+	}
+}
--- a/placement/wire.go
+++ b/placement/wire.go
@@ -2,51 +2,55 @@
 
 import "encoding/json"
 
-// message is what instances say to each other about placement: a question,
-// its answer, or the end of a ticket: read, or lost with a fault.
+// message is a datagram between instances about placement. It holds a request,
+// the choice that answers the request with the same id, or the end of a ticket:
+// prefilled, or aborted with a fault.
 type message struct {
-	Question uint64      `json:"q,omitempty"`
-	Ask      *wireAsk    `json:"a,omitempty"`
-	Choice   *wireChoice `json:"c,omitempty"`
-	Read     uint64      `json:"r,omitempty"`
-	Lost     uint64      `json:"l,omitempty"`
-	Fault    int         `json:"f,omitempty"`
+	RequestID uint64       `json:"q,omitempty"`
+	Request   *wireRequest `json:"a,omitempty"`
+	Choice    *wireChoice  `json:"c,omitempty"`
+	// Prefilled and Aborted are the ids of tickets.
+	Prefilled uint64 `json:"r,omitempty"`
+	Aborted   uint64 `json:"l,omitempty"`
+	Fault     int    `json:"f,omitempty"`
 }
 
-// wireAsk and wireChoice are Ask and Choice as they are sent; times are
-// milliseconds.
-type wireAsk struct {
-	Replicas []string   `json:"Replicas"`
-	Read     float64    `json:"Read"`
-	Shared   []wirePart `json:"Parts,omitempty"`
-	Hold     float64    `json:"Hold,omitempty"`
-	Far      uint64     `json:"Far,omitempty"`
-	Away     float64    `json:"Away,omitempty"`
-	Within   float64    `json:"Within,omitempty"`
+// wireRequest is the encoding of Request. Its JSON names are part of the
+// protocol between instances and differ from the Go names.
+type wireRequest struct {
+	Replicas        []string   `json:"Replicas"`
+	UnsharedMs      float64    `json:"Read"`
+	SharedPrefix    []wirePart `json:"Parts,omitempty"`
+	SlotMs          float64    `json:"Hold,omitempty"`
+	RemoteBits      uint64     `json:"Far,omitempty"`
+	RemotePenaltyMs float64    `json:"Away,omitempty"`
+	TimeLeftMs      float64    `json:"Within,omitempty"`
 }
 
+// wirePart is the encoding of PrefixPart.
 type wirePart struct {
 	Key                string  `json:"Key"`
 	PrefillMs          float64 `json:"Read"`
 	ReprefillPenaltyMs float64 `json:"Again,omitempty"`
 }
 
-func newWireAsk(a Request) *wireAsk {
-	w := &wireAsk{Replicas: a.Replicas, Read: a.UnsharedMs, Hold: a.SlotMs, Far: a.RemoteBits, Away: a.RemotePenaltyMs, Within: a.TimeLeftMs}
-	for _, p := range a.SharedPrefix {
-		w.Shared = append(w.Shared, wirePart(p))
+func newWireRequest(r Request) *wireRequest {
+	w := &wireRequest{Replicas: r.Replicas, UnsharedMs: r.UnsharedMs, SlotMs: r.SlotMs, RemoteBits: r.RemoteBits, RemotePenaltyMs: r.RemotePenaltyMs, TimeLeftMs: r.TimeLeftMs}
+	for _, p := range r.SharedPrefix {
+		w.SharedPrefix = append(w.SharedPrefix, wirePart(p))
 	}
 	return w
 }
 
-func (w *wireAsk) ask() Request {
-	a := Request{Replicas: w.Replicas, UnsharedMs: w.Read, SlotMs: w.Hold, RemoteBits: w.Far, RemotePenaltyMs: w.Away, TimeLeftMs: w.Within}
-	for _, p := range w.Shared {
-		a.SharedPrefix = append(a.SharedPrefix, PrefixPart(p))
+func (w *wireRequest) request() Request {
+	r := Request{Replicas: w.Replicas, UnsharedMs: w.UnsharedMs, SlotMs: w.SlotMs, RemoteBits: w.RemoteBits, RemotePenaltyMs: w.RemotePenaltyMs, TimeLeftMs: w.TimeLeftMs}
+	for _, p := range w.SharedPrefix {
+		r.SharedPrefix = append(r.SharedPrefix, PrefixPart(p))
 	}
-	return a
+	return r
 }
 
+// wireChoice is the encoding of Choice.
 type wireChoice struct {
 	Index     int     `json:"Index"`
 	WaitMs    float64 `json:"Wait"`
@@ -54,13 +58,14 @@
 	Ticket    uint64  `json:"Ticket"`
 }
 
-// encode can't fail: a message has numbers and texts only.
+// encode returns the message as JSON. It can't fail, since a message consists of
+// numbers and strings.
 func encode(m message) []byte {
 	b, _ := json.Marshal(m)
 	return b
 }
 
-// decode reads what encode wrote.
+// decode parses a message that was written by encode.
 func decode(b []byte) (message, error) {
 	var m message
 	err := json.Unmarshal(b, &m)
