--- a/rollout/detector.go
+++ b/rollout/detector.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Outcomes counts outcomes of one version since the start of its counting.
-// It only grows, so that pooled copies merge by maximum.
+// Outcomes are cumulative counts of one version's answers. They only grow, so that
+// copies from different instances are merged by the maximum.
 type Outcomes struct {
 	Good uint64
 	Bad  uint64
@@ -21,44 +21,45 @@
 	return e
 }
 
-// Max returns the larger of both counts.
+// Max returns the larger of each of the two counts.
 func (e Outcomes) Max(o Outcomes) Outcomes {
 	return Outcomes{Good: max(e.Good, o.Good), Bad: max(e.Bad, o.Bad)}
 }
 
-// Rates are the two hypotheses that the test tells apart, and how sure it
-// must be.
+// Rates are the parameters of a Detector: the error rates of its two hypotheses
+// and its rate of false alarms.
 type Rates struct {
-	// Good and Bad are the rates of bad outcomes, between 0 and 1, of a
-	// sound version and of one that must be stopped.
+	// Good and Bad are the rates of bad outcomes, between 0 and 1, of a sound
+	// version and of one that must be stopped.
 	Good float64
 	Bad  float64
-	// FalseAlarm bounds the chance of a trip from any one start of the sum.
+	// FalseAlarm bounds the probability that the detector trips for a sound
+	// version, for each time that its sum starts from 0.
 	FalseAlarm float64
 }
 
-// DefaultRates suit a version whose sound error rate is 2 in 100.
+// DefaultRates returns the rates for versions whose sound error rate is 2 in 100.
 func DefaultRates() Rates {
 	return Rates{Good: 0.02, Bad: 0.15, FalseAlarm: 1e-7}
 }
 
-// Detector is Page's cumulative sum test: it adds up how much likelier each
-// outcome is under the bad rate than under the good one, never below 0, so
-// that a version which turns bad after a long good run is found as fast as
-// one that starts bad. Values are immutable.
+// Detector is Page's cumulative sum (CUSUM) test. It adds up the log-likelihood
+// ratio of each outcome under the bad rate to that under the good rate, and never
+// falls below 0. So a version that turns bad after a long good period is found as
+// fast as one that is bad from the start. Values are immutable.
 type Detector struct {
 	rates Rates
 	sum   float64
 	seen  Outcomes
 }
 
-// NewDetector returns a detector that has seen nothing.
+// NewDetector returns a detector without outcomes.
 func NewDetector(r Rates) Detector {
 	return Detector{rates: r}
 }
 
-// With returns d after the pooled evidence has grown to e. Counts that went
-// back are ignored.
+// With returns d after the pooled counts have grown to e. Counts that are lower
+// than before are ignored.
 func (d Detector) With(e Outcomes) Detector {
 	n := d.seen.Max(e)
 	g, b := float64(n.Good-d.seen.Good), float64(n.Bad-d.seen.Bad)
@@ -73,8 +74,8 @@
 	return d.sum >= -math.Log(d.rates.FalseAlarm)
 }
 
-// Sum is the test's current value; Limit is where it trips.
+// Sum returns the current value of the test.
 func (d Detector) Sum() float64 { return d.sum }
 
-// Limit is the sum at which the detector trips.
+// Limit returns the sum at which the detector trips.
 func (d Detector) Limit() float64 { return -math.Log(d.rates.FalseAlarm) }
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -3,111 +3,120 @@
 import "time"
 
 const (
-	// lately is the span over which the releases are compared. A longer one
-	// would let the old release's past excuse the new one, or blame it for a load
-	// that the old one did not have.
-	lately = 8 * time.Second
-	// sampled is between the totals kept for it.
-	sampled = 250 * time.Millisecond
-	// slotLength has some 20 answers of a service with 40 a second; kinds have
-	// fewer.
-	slotLength     = 500 * time.Millisecond
-	kindSlotLength = 2 * time.Second
-	// minBaseline is how many answers of the old release lately say what is
-	// usual.
-	minBaseline = 20
-	// excuse times the old release's rate of failures lately is what the new one
-	// may have, at most maxExcuse of them counted.
-	excuse    = 2
-	maxExcuse = 0.25
-	// kindMargin is how much surer the test of a single kind must be, as there
-	// are many.
+	// recentPeriod is the period over which the releases are compared. A longer one
+	// would let the old release's past failures excuse the new one, or blame the new
+	// one for a load that the old one did not have.
+	recentPeriod = 8 * time.Second
+	// sampleInterval is the interval between the totals kept for that comparison.
+	sampleInterval = 250 * time.Millisecond
+	// windowLength gives some 20 answers for a service with 40 requests a second;
+	// single kinds of request get fewer and need the longer kindWindowLength.
+	windowLength     = 500 * time.Millisecond
+	kindWindowLength = 2 * time.Second
+	// minRecentAnswers is how many recent answers of the old release are needed for
+	// its failure rate.
+	minRecentAnswers = 20
+	// The new release's failures are excused while its recent failure rate is below
+	// excuseFactor times that of the old release, of which at most maxExcusedRate
+	// is counted.
+	excuseFactor   = 2
+	maxExcusedRate = 0.25
+	// kindMargin is how much higher the test of a single kind of request must come,
+	// since many kinds are tested and each may raise a false alarm.
 	kindMargin = 1.3
 )
 
-// answerRates are what the test of the new release alone tells apart: a
-// third of the answers failing must stop it; one in twenty may be the
-// replicas' usual trouble. It finds a release that has all requests.
-var answerRates = Rates{Good: 0.05, Bad: 0.3, FalseAlarm: 1e-5}
+// failureRates are the rates for the test of the new release by itself: a third of the
+// answers failing must stop it, while one in twenty may be usual trouble of replicas.
+// This test finds a bad release that gets all requests, so that there is no old
+// release to compare it with.
+var failureRates = Rates{Good: 0.05, Bad: 0.3, FalseAlarm: 1e-5}
 
-// Judge decides whether a release is bad by what all instances that report
-// to it saw. It is not safe for concurrent use.
+// Judge decides whether a release is bad by the tallies that instances report to it.
+// It is not safe for concurrent use.
 type Judge struct {
-	told *origins
-	// slots are what the tests of whose answers are bad have taken in.
-	slot, kindSlot slot
-	// past are earlier totals, the oldest first.
-	past   []sample
-	answer Detector
-	whose  relative
-	kinds  [KindCount]relative
-	pace   moments
-	slow   float64
-	doubt  bool
-	cause  string
+	reports *reports
+	// window and kindWindow are the current windows of the tests of shares, for all
+	// requests and for single kinds.
+	window, kindWindow window
+	// samples are earlier totals, the oldest first.
+	samples []sample
+	// failures tests the failure rate of the new release by itself.
+	failures Detector
+	// badShare and kindShares test the share of the bad answers, of all requests and
+	// of single kinds.
+	badShare   badShareTest
+	kindShares [KindCount]badShareTest
+	// waits compares how long answers are waited for; slowness is its latest level,
+	// inconclusive its latest result.
+	waits        waitTest
+	slowness     float64
+	inconclusive bool
+	// cause is why the release was found bad; empty if it was not.
+	cause string
 }
 
-// sample is the total of a moment.
+// sample is the total at a moment.
 type sample struct {
 	at    time.Time
 	total Tally
 }
 
-// NewJudge returns a judge that has seen nothing.
+// NewJudge returns a judge without reports.
 func NewJudge() *Judge {
-	return &Judge{told: newOrigins(), answer: NewDetector(answerRates)}
+	return &Judge{reports: newReports(), failures: NewDetector(failureRates)}
 }
 
-// Report takes the origin's cumulative tally in and reports whether the
-// release was found bad by it. An older report changes nothing.
+// Report adds an instance's cumulative tally and reports whether the release is found
+// bad because of it. An older report changes nothing.
 func (j *Judge) Report(origin string, t Tally, now time.Time) bool {
-	j.told.take(origin, t)
+	j.reports.add(origin, t)
 	was := j.IsBad()
-	l := j.lately(now)
-	j.test(now)
+	l := j.recent(now)
+	j.runTests(now)
 	if !was {
-		j.cause = j.why(l)
+		j.cause = j.findCause(l)
 	}
 	return !was && j.IsBad()
 }
 
-// test takes in what was told.
-func (j *Judge) test(now time.Time) {
-	t := j.told.total
-	if d, ok := j.slot.next(t, now, slotLength); ok {
+// runTests updates the tests with the reported total.
+func (j *Judge) runTests(now time.Time) {
+	t := j.reports.total
+	if d, ok := j.window.next(t, now, windowLength); ok {
 		n, o := d.Totals()
-		j.whose = j.whose.with(n.Outcomes().Bad, o.Outcomes().Bad, shareOf(n, o))
+		j.badShare = j.badShare.with(n.Outcomes().Bad, o.Outcomes().Bad, newShare(n, o))
 	}
-	if d, ok := j.kindSlot.next(t, now, kindSlotLength); ok {
+	if d, ok := j.kindWindow.next(t, now, kindWindowLength); ok {
 		for i := range d.New {
-			j.kinds[i] = j.kinds[i].with(d.New[i].Outcomes().Bad, d.Old[i].Outcomes().Bad, shareOf(d.New[i], d.Old[i]))
+			j.kindShares[i] = j.kindShares[i].with(d.New[i].Outcomes().Bad, d.Old[i].Outcomes().Bad, newShare(d.New[i], d.Old[i]))
 		}
 	}
 	total, _ := t.Totals()
-	j.answer = j.answer.With(Outcomes{Good: total.Good + total.Broken, Bad: total.Failed})
-	j.slow, j.doubt = j.pace.level(t, now)
+	j.failures = j.failures.With(Outcomes{Good: total.Good + total.Broken, Bad: total.Failed})
+	j.slowness, j.inconclusive = j.waits.level(t, now)
 }
 
-// slot is a span of time whose answers are taken in together: the new release's
-// share of the answers changes from one to the next, as when it climbs.
-type slot struct {
+// window is a period whose answers are tested together. The new release's share of
+// the answers changes from one window to the next, as when it gets more requests.
+type window struct {
 	began time.Time
 	total Tally
 }
 
-// next returns what came since the slot began and begins the next one, if it has
-// lasted.
-func (s *slot) next(t Tally, now time.Time, length time.Duration) (Tally, bool) {
-	if now.Sub(s.began) < length {
+// next returns what was counted since the window began and begins the next one, if the
+// window has lasted for the given length.
+func (w *window) next(t Tally, now time.Time, length time.Duration) (Tally, bool) {
+	if now.Sub(w.began) < length {
 		return Tally{}, false
 	}
-	d := t.minus(s.total)
-	s.began, s.total = now, t
+	d := t.minus(w.total)
+	w.began, w.total = now, t
 	return d, true
 }
 
-// shareOf is the new release's part of the answers.
-func shareOf(now, old Counts) float64 {
+// newShare is the new release's fraction of the answers, 1 if there are none.
+func newShare(now, old Counts) float64 {
 	n, o := now.Outcomes().count(), old.Outcomes().count()
 	if n+o == 0 {
 		return 1
@@ -117,86 +126,90 @@
 
 // Causes for which a release is found bad.
 const (
-	causeWhose  = "more of the bad answers than its share"
-	causeKind   = "more of one kind's bad answers than its share"
-	causeFailed = "answers of failure"
-	causeSlow   = "slow answers"
+	causeBadShare  = "more of the bad answers than its share"
+	causeKindShare = "more of one kind's bad answers than its share"
+	causeFailures  = "answers of failure"
+	causeSlow      = "slow answers"
 )
 
-// why returns for what the release is bad, empty if it is not.
-func (j *Judge) why(l Tally) string {
+// findCause returns the cause for which the release is bad; empty if it is not. l is
+// the recent tally.
+func (j *Judge) findCause(l Tally) string {
 	switch {
-	case j.whose.level() >= 1:
-		return causeWhose
+	case j.badShare.level() >= 1:
+		return causeBadShare
 	case j.kindLevel() >= 1:
-		return causeKind
-	case j.answer.Tripped() && !excused(l):
-		return causeFailed
-	case j.slow >= 1:
+		return causeKindShare
+	case j.failures.Tripped() && !isExcused(l):
+		return causeFailures
+	case j.slowness >= 1:
 		return causeSlow
 	}
 	return ""
 }
 
-// kindLevel is the highest level of a single kind.
+// kindLevel is the highest level of the tests of single kinds.
 func (j *Judge) kindLevel() float64 {
 	var m float64
-	for _, k := range j.kinds {
+	for _, k := range j.kindShares {
 		m = max(m, k.level()/kindMargin)
 	}
 	return m
 }
 
-// excused reports whether the old release fails lately about as the new one.
-func excused(l Tally) bool {
+// isExcused reports whether the old release's recent failure rate is about as high as
+// the new one's.
+func isExcused(l Tally) bool {
 	n, o := l.Totals()
-	if o.Outcomes().count() < minBaseline {
+	if o.Outcomes().count() < minRecentAnswers {
 		return false
 	}
-	return n.Outcomes().rate() < excuse*min(maxExcuse, o.Outcomes().rate())
+	return n.Outcomes().rate() < excuseFactor*min(maxExcusedRate, o.Outcomes().rate())
 }
 
-// lately returns what was counted in the last span.
-func (j *Judge) lately(now time.Time) Tally {
-	for len(j.past) > 1 && now.Sub(j.past[1].at) >= lately {
-		j.past = j.past[1:]
+// recent returns what was counted in recentPeriod.
+func (j *Judge) recent(now time.Time) Tally {
+	for len(j.samples) > 1 && now.Sub(j.samples[1].at) >= recentPeriod {
+		j.samples = j.samples[1:]
 	}
 	var before Tally
-	if len(j.past) > 0 && now.Sub(j.past[0].at) >= lately {
-		before = j.past[0].total
+	if len(j.samples) > 0 && now.Sub(j.samples[0].at) >= recentPeriod {
+		before = j.samples[0].total
 	}
-	if n := len(j.past); n == 0 || now.Sub(j.past[n-1].at) >= sampled {
-		j.past = append(j.past, sample{now, j.told.total})
+	if n := len(j.samples); n == 0 || now.Sub(j.samples[n-1].at) >= sampleInterval {
+		j.samples = append(j.samples, sample{now, j.reports.total})
 	}
-	return j.told.total.minus(before)
+	return j.reports.total.minus(before)
 }
 
-// Finding is what a judge makes of what it was told, for the log.
+// Finding is the state of a judge's tests, for the log.
 type Finding struct {
-	// Reporters is how many instances have reported.
+	// Reporters is the number of instances that have reported.
 	Reporters int
-	// BadShareLevel, KindLevel, FailureLevel and SlownessLevel are how near the tests are to
-	// finding the release bad; from 1 on they have.
+	// The levels are how near each test is to finding the release bad; it has from 1
+	// on. The tests are of the share of the bad answers, of that share for single
+	// kinds of request, of the new release's failure rate, and of its waits.
 	BadShareLevel, KindLevel, FailureLevel, SlownessLevel float64
-	// Inconclusive says that its answers look slow, and are too few to tell.
+	// Inconclusive is set if the release's answers look slow, but are too few to
+	// decide.
 	Inconclusive bool
-	// Cause says for what it was found bad; empty if it was not.
+	// Cause is why the release was found bad; empty if it was not.
 	Cause string
 }
 
-// Finding returns what the judge makes of the reports so far.
+// Finding returns the state of the tests after the reports so far.
 func (j *Judge) Finding() Finding {
 	return Finding{
-		Reporters: len(j.told.from), BadShareLevel: j.whose.level(), KindLevel: j.kindLevel(),
-		FailureLevel:  j.answer.Sum() / j.answer.Limit(),
-		SlownessLevel: j.slow, Inconclusive: j.doubt, Cause: j.cause,
+		Reporters: len(j.reports.from), BadShareLevel: j.badShare.level(), KindLevel: j.kindLevel(),
+		FailureLevel:  j.failures.Sum() / j.failures.Limit(),
+		SlownessLevel: j.slowness, Inconclusive: j.inconclusive, Cause: j.cause,
 	}
 }
 
-// suspectLevel is how near a test must be for a release to be suspect.
+// suspectLevel is the level of a test from which a release is suspect.
 const suspectLevel = 0.5
 
-// Concerns returns what keeps the release from its next phase.
+// Concerns returns what may keep the release from its next phase.
 func (f Finding) Concerns() Concerns {
 	return Concerns{Suspect: max(f.BadShareLevel, f.KindLevel, f.FailureLevel, f.SlownessLevel) >= suspectLevel, Inconclusive: f.Inconclusive}
 }
@@ -204,5 +217,5 @@
 // IsBad reports whether the release was found bad.
 func (j *Judge) IsBad() bool { return j.cause != "" }
 
-// Total is what all origins saw.
-func (j *Judge) Total() Tally { return j.told.total }
+// Total returns the sum of the tallies of all instances.
+func (j *Judge) Total() Tally { return j.reports.total }
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -10,21 +10,22 @@
 	"fieldvale/rollout"
 )
 
-// behaviour is how a release answers: the part of answers that fail, and times.
+// behaviour is how the simulated replicas of a release answer.
 type behaviour struct {
+	// failed is the fraction of error answers.
 	failed float64
-	// broken is the part of answers that break off.
+	// broken is the fraction of answers that are cut off.
 	broken float64
-	// slow is the part of answers that take five times as long.
+	// slow is the fraction of answers that take five times as long.
 	slow float64
-	// delay is what each answer takes longer.
+	// delay is added to the time of each answer.
 	delay time.Duration
 }
 
-// usualTime is the middle of the times that answers take.
+// usualTime is the median time of an answer.
 const usualTime = 200 * time.Millisecond
 
-// draw counts one answer.
+// draw counts a randomly drawn answer and the wait for it.
 func draw(r *rand.Rand, c rollout.Counts, b behaviour) rollout.Counts {
 	d := drawTime(r, b)
 	switch x := r.Float64(); {
@@ -36,7 +37,7 @@
 	return wait(c.WithGood(), d)
 }
 
-// drawTime is the time that one answer takes.
+// drawTime returns the random time of an answer.
 func drawTime(r *rand.Rand, b behaviour) time.Duration {
 	d := time.Duration(float64(usualTime) * math.Exp(0.6*r.NormFloat64()))
 	if r.Float64() < b.slow {
@@ -45,7 +46,7 @@
 	return d + b.delay
 }
 
-// target is the time in which answers should come.
+// target is the time within which answers are due.
 const target = 3 * time.Second
 
 // wait counts a wait for an answer.
@@ -59,28 +60,31 @@
 	return c
 }
 
-func TestJudgePoolsWhatInstancesSee(t *testing.T) {
+// Guards against bad releases that are found late or never because each instance sees few of
+// their answers, and against good ones that are found bad for faults of all replicas.
+func TestJudgePoolsReports(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		now, old behaviour
-		// olds is how many answers of the old release there are for one of the new.
-		olds int
-		// most answers of the new release until it is found, over all
-		// instances; 0 for never in 3,000
+		// oldPerNew is how many answers of the old release there are for each of the new
+		// one.
+		oldPerNew int
+		// want is the greatest number of the new release's answers, over all instances,
+		// until it is found bad; 0 means that it must not be found bad within 3,000.
 		want int
 	}{
 		{"sound", behaviour{failed: 0.01, slow: 0.05}, behaviour{failed: 0.01, slow: 0.05}, 5, 0},
-		{"half of its answers bad", behaviour{failed: 0.5, slow: 0.05}, behaviour{failed: 0.01, slow: 0.05}, 5, 40},
-		{"a third breaks off", behaviour{broken: 0.3}, behaviour{broken: 0.01}, 5, 100},
-		{"half of its answers slow", behaviour{failed: 0.01, slow: 0.5}, behaviour{failed: 0.01, slow: 0.05}, 5, 120},
+		{"half failed", behaviour{failed: 0.5, slow: 0.05}, behaviour{failed: 0.01, slow: 0.05}, 5, 40},
+		{"a third broken", behaviour{broken: 0.3}, behaviour{broken: 0.01}, 5, 100},
+		{"half slow", behaviour{failed: 0.01, slow: 0.5}, behaviour{failed: 0.01, slow: 0.05}, 5, 120},
 		{"nearly all slow", behaviour{slow: 0.9}, behaviour{slow: 0.05}, 5, 30},
-		{"each takes some time more", behaviour{delay: 90 * time.Millisecond}, behaviour{}, 30, 120},
-		{"trouble of all replicas", behaviour{failed: 0.2, slow: 0.05}, behaviour{failed: 0.2, slow: 0.05}, 5, 0},
-		{"trouble of all, and worse", behaviour{failed: 0.5}, behaviour{failed: 0.15}, 5, 80},
-		{"all replicas loaded", behaviour{failed: 0.01, slow: 0.35}, behaviour{failed: 0.01, slow: 0.35}, 5, 0},
-		{"bad, and has all requests", behaviour{failed: 0.3}, behaviour{}, 0, 70},
-		{"sound, and has all requests", behaviour{failed: 0.03, slow: 0.5}, behaviour{}, 0, 0},
-		{"its replicas break off, and it has all requests", behaviour{broken: 0.3}, behaviour{}, 0, 0},
+		{"each delayed", behaviour{delay: 90 * time.Millisecond}, behaviour{}, 30, 120},
+		{"all replicas failing", behaviour{failed: 0.2, slow: 0.05}, behaviour{failed: 0.2, slow: 0.05}, 5, 0},
+		{"all replicas failing, new release worse", behaviour{failed: 0.5}, behaviour{failed: 0.15}, 5, 80},
+		{"all replicas slow under load", behaviour{failed: 0.01, slow: 0.35}, behaviour{failed: 0.01, slow: 0.35}, 5, 0},
+		{"bad, gets all requests", behaviour{failed: 0.3}, behaviour{}, 0, 70},
+		{"sound, gets all requests", behaviour{failed: 0.03, slow: 0.5}, behaviour{}, 0, 0},
+		{"broken answers, gets all requests", behaviour{broken: 0.3}, behaviour{}, 0, 0},
 	} {
 		for seed := range uint64(10) {
 			r := rand.New(rand.NewPCG(seed, 3))
@@ -90,27 +94,26 @@
 			for ; n < 3000 && !j.IsBad(); n++ {
 				i, k := r.IntN(len(l)), r.IntN(6)
 				l[i].New[k] = draw(r, l[i].New[k], c.now)
-				for range c.olds {
+				for range c.oldPerNew {
 					k := r.IntN(6)
 					l[i].Old[k] = draw(r, l[i].Old[k], c.old)
 				}
 				j.Report(fmt.Sprint(i), l[i], at(n))
 			}
 			if c.want == 0 && j.IsBad() || c.want > 0 && n > c.want {
-				t.Errorf("%s, seed %d: bad %t after %d answers, want within %d; %+v", c.name, seed, j.IsBad(), n, c.want, j.Finding())
+				t.Errorf("%s, seed %d: got bad %t after %d answers, want within %d (0: never); %+v", c.name, seed, j.IsBad(), n, c.want, j.Finding())
 			}
 		}
 	}
 }
 
-// at is the moment of the nth answer of the new release, 40 of which come in
-// a second.
+// at returns the time of the nth answer of the new release, at 40 answers a second.
 func at(n int) time.Time {
 	return time.Unix(1_700_000_000, 0).Add(time.Duration(n) * time.Second / 40)
 }
 
-// A release fails requests of one kind only, a sixth of all: the others' good
-// answers must not hide it.
+// Guards against a release that fails requests of one kind only, a sixth of all, and is not
+// found because of the good answers to the others.
 func TestJudgeFindsOneBadKind(t *testing.T) {
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 4))
@@ -131,15 +134,15 @@
 			j.Report("a", l, at(n))
 		}
 		if !j.IsBad() {
-			t.Errorf("seed %d: not found: %+v", seed, j.Finding())
+			t.Errorf("seed %d: release with one bad kind of request not found bad: %+v", seed, j.Finding())
 		}
 	}
 }
 
-// Replicas of both releases crash for a moment, when the old one has had a long
-// good run and the new one a short one: it is not stopped for it. If it alone
-// goes on to fail, it is.
-func TestJudgeExcusesACrashOfBoth(t *testing.T) {
+// Guards against a good release that is stopped because replicas of both releases crash for
+// a moment, after a long good period of the old one and a short one of the new one. If only
+// the new one continues to fail, it must be stopped.
+func TestJudgeExcusesCrashOfBothReleases(t *testing.T) {
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 5))
 		j := rollout.NewJudge()
@@ -160,17 +163,17 @@
 			}
 			j.Report("a", l, at(n))
 			if n < 600 && j.IsBad() {
-				t.Fatalf("seed %d: found bad at answer %d: %+v", seed, n, j.Finding())
+				t.Fatalf("seed %d: release found bad at answer %d for a crash of both: %+v", seed, n, j.Finding())
 			}
 		}
 		if !j.IsBad() {
-			t.Errorf("seed %d: not found bad", seed)
+			t.Errorf("seed %d: release that fails alone not found bad", seed)
 		}
 	}
 }
 
-// An old release that failed for a while does not excuse the new one afterwards.
-func TestJudgeForgetsOldTrouble(t *testing.T) {
+// Guards against a bad release that is excused by failures of the old one that have ended.
+func TestJudgeIgnoresPastFailuresOfOldRelease(t *testing.T) {
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 6))
 		j := rollout.NewJudge()
@@ -186,11 +189,13 @@
 			j.Report("a", l, at(n))
 		}
 		if !j.IsBad() {
-			t.Errorf("seed %d: not found: %+v", seed, j.Finding())
+			t.Errorf("seed %d: bad release not found bad: %+v", seed, j.Finding())
 		}
 	}
 }
 
+// Guards against answers that are counted twice because a report is repeated, or lost because
+// an older one arrives late.
 func TestJudgeCountsEachReportOnce(t *testing.T) {
 	j := rollout.NewJudge()
 	var a rollout.Tally
@@ -200,32 +205,33 @@
 	}
 	j.Report("a", rollout.Tally{}, at(0))
 	if g := j.Total(); g != a {
-		t.Errorf("total %+v, want %+v", g, a)
+		t.Errorf("got total %+v, want %+v", g, a)
 	}
 }
 
-// What an instance told before its restart still counts, and what it tells after it
-// comes on top; a report of the life before that comes late changes nothing.
-func TestJudgeAddsUpLives(t *testing.T) {
+// Guards against answers that are lost when an instance restarts, and its counts with it: the
+// tallies of all its incarnations add up. A late report of an earlier incarnation changes
+// nothing.
+func TestJudgeAddsUpIncarnations(t *testing.T) {
 	j := rollout.NewJudge()
-	tell := func(life int64, good, failed uint64) {
-		x := rollout.Tally{Incarnation: life}
+	report := func(incarnation int64, good, failed uint64) {
+		x := rollout.Tally{Incarnation: incarnation}
 		x.New[0] = rollout.Counts{Good: good, Failed: failed}
 		j.Report("a", x, at(0))
 	}
-	tell(1, 10, 2)
-	tell(2, 1, 1)
-	tell(1, 12, 2)
-	tell(2, 3, 1)
-	tell(2, 2, 1)
+	report(1, 10, 2)
+	report(2, 1, 1)
+	report(1, 12, 2)
+	report(2, 3, 1)
+	report(2, 2, 1)
 	want := rollout.Counts{Good: 13, Failed: 3}
 	if g, _ := j.Total().Totals(); g != want {
-		t.Errorf("total %+v, want %+v", g, want)
+		t.Errorf("got total %+v, want %+v", g, want)
 	}
-	// Its clock was set back before it was started again.
-	tell(-5, 4, 1)
+	// The instance's clock was set back before it restarted.
+	report(-5, 4, 1)
 	want = rollout.Counts{Good: 17, Failed: 4}
 	if g, _ := j.Total().Totals(); g != want {
-		t.Errorf("total %+v, want %+v", g, want)
+		t.Errorf("got total %+v, want %+v", g, want)
 	}
 }
--- a/rollout/pooled.go
+++ b/rollout/pooled.go
@@ -1,8 +1,8 @@
 package rollout
 
-// PooledOutcomes adds up the evidence that many instances report, so that a version
-// which no instance sees much of is judged by all of its answers. It is not
-// safe for concurrent use.
+// PooledOutcomes adds up the outcomes that many instances report for a version, so
+// that a version of which each instance sees few answers is tested by all of them.
+// It is not safe for concurrent use.
 type PooledOutcomes struct {
 	from  map[string]Outcomes
 	total Outcomes
@@ -13,8 +13,8 @@
 	return &PooledOutcomes{from: map[string]Outcomes{}}
 }
 
-// Report takes the origin's cumulative evidence in. An older report changes
-// nothing.
+// Report adds the outcomes that are new in an instance's cumulative counts. An older
+// report changes nothing.
 func (p *PooledOutcomes) Report(origin string, e Outcomes) {
 	o := p.from[origin]
 	n := o.Max(e)
@@ -22,9 +22,9 @@
 	p.from[origin] = n
 }
 
-// Total returns the evidence of all origins.
+// Total returns the outcomes from all instances since the last Reset.
 func (p *PooledOutcomes) Total() Outcomes { return p.total }
 
-// Reset forgets the total and keeps what each origin has reported, so that
-// only what comes after counts.
+// Reset sets the total to 0 but keeps what each instance has reported, so that only
+// later outcomes count.
 func (p *PooledOutcomes) Reset() { p.total = Outcomes{} }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,6 +1,7 @@
-// Package rollout holds the state of one version's roll-out and the
-// sequential test that finds a version turning bad. Nothing here does I/O:
-// any instance can take the next step of any roll-out from this state.
+// Package rollout has the state of the roll-outs of model versions and of the releases
+// of backend services, and the sequential tests that find a bad version or release.
+// Nothing here does I/O: any instance can take the next step of any roll-out from this
+// state.
 package rollout
 
 import (
@@ -12,10 +13,11 @@
 	"fieldvale/version"
 )
 
-// State is where a roll-out stands.
+// State is the state of a roll-out or release.
 type State string
 
-// The states of a roll-out. Done, Tripped and Halted are final.
+// The states. Done, Tripped and Halted are final. Tripped means stopped because the tests
+// found the version or release bad, Halted means stopped for any other reason.
 const (
 	Running State = "running"
 	Done    State = "done"
@@ -23,15 +25,15 @@
 	Halted  State = "halted"
 )
 
-// Step is one planned growth of the share of new sessions.
+// Step is one planned increase of the share of new sessions.
 type Step struct {
-	// Share is in parts of Whole.
+	// Share is the share of new sessions, out of FullShare.
 	Share int
-	// Due is when the step may be taken.
+	// Due is the earliest time at which the step may be taken.
 	Due time.Time
 }
 
-// FullShare is the share that means all new sessions.
+// FullShare is the share that stands for all new sessions or requests.
 const FullShare = 10_000
 
 // Rollout moves a model's new sessions from one version to another.
@@ -39,40 +41,41 @@
 	From  version.ID
 	To    version.ID
 	State State
-	// StepsTaken counts the steps in force; Steps[StepsTaken-1] holds the share.
+	// StepsTaken is the number of steps in force; Steps[StepsTaken-1] has the current
+	// share.
 	StepsTaken int
 	Steps      []Step
 }
 
-// New plans a roll-out whose steps fall due one after another, every apart,
-// the first at once. Shares must grow and end at Whole.
-func New(from, to version.ID, shares []int, start time.Time, every time.Duration) (Rollout, error) {
+// New plans a roll-out. The first step is due at start, the next ones follow at the
+// given interval. Shares must increase and end at FullShare.
+func New(from, to version.ID, shares []int, start time.Time, interval time.Duration) (Rollout, error) {
 	r := Rollout{From: from, To: to, State: Running}
 	for i, s := range shares {
-		r.Steps = append(r.Steps, Step{Share: s, Due: start.Add(time.Duration(i) * every)})
+		r.Steps = append(r.Steps, Step{Share: s, Due: start.Add(time.Duration(i) * interval)})
 	}
 	return r, r.Validate()
 }
 
-// Validate checks the plan.
+// Validate checks the versions and the steps.
 func (r Rollout) Validate() error {
 	if r.From.Model != r.To.Model || r.From == r.To {
 		return errors.Newf("rollout: %s to %s is not a change between two versions of one model", r.From, r.To)
 	}
 	if len(r.Steps) == 0 || r.Steps[len(r.Steps)-1].Share != FullShare {
-		return errors.Newf("rollout: the last share is not %d (all)", FullShare)
+		return errors.Newf("rollout: no step, or a last step with another share than %d (all sessions)", FullShare)
 	}
-	p := 0
+	previous := 0
 	for _, s := range r.Steps {
-		if s.Share <= p {
-			return errors.Newf("rollout: share %d does not grow from %d", s.Share, p)
+		if s.Share <= previous {
+			return errors.Newf("rollout: share %d after share %d: shares must increase", s.Share, previous)
 		}
-		p = s.Share
+		previous = s.Share
 	}
 	return nil
 }
 
-// Share is the part of new sessions that get the new version now.
+// Share returns the current share of new sessions that get the new version.
 func (r Rollout) Share() int {
 	switch {
 	case r.State == Done:
@@ -83,12 +86,12 @@
 	return r.Steps[r.StepsTaken-1].Share
 }
 
-// IsStepDue reports whether the next step may be taken at now.
+// IsStepDue reports whether the next step may be taken.
 func (r Rollout) IsStepDue(now time.Time) bool {
 	return r.State == Running && r.StepsTaken < len(r.Steps) && !now.Before(r.Steps[r.StepsTaken].Due)
 }
 
-// WithNextStep returns r one step on. The step to Whole is the last and ends it.
+// WithNextStep returns r after its next step. The last step completes the roll-out.
 func (r Rollout) WithNextStep() Rollout {
 	if r.State != Running || r.StepsTaken >= len(r.Steps) {
 		return r
@@ -100,7 +103,7 @@
 	return r
 }
 
-// WithState returns r in the given state; a final state is kept.
+// WithState returns r in the given state; a final state is not changed.
 func (r Rollout) WithState(s State) Rollout {
 	if r.State == Running {
 		r.State = s
@@ -108,8 +111,8 @@
 	return r
 }
 
-// VersionFor returns the version for a new session. The same session always gets
-// the same answer for one share, and growth moves no session back.
+// VersionFor returns the version for a new session. It depends on the session and the
+// share only, and an increase of the share moves no session back to the old version.
 func (r Rollout) VersionFor(session string) version.ID {
 	if int(xxhash.Sum64String(r.To.String()+"/"+session)%FullShare) < r.Share() {
 		return r.To
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -21,7 +21,9 @@
 	noon = time.Unix(1_700_000_000, 0)
 )
 
-func TestGrowthMovesNoSessionBack(t *testing.T) {
+// Guards against sessions that switch back to the old version when the share of the new one
+// increases.
+func TestIncreaseMovesNoSessionBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, err := rollout.New(from, to, []int{100, 1000, 5000, rollout.FullShare}, noon, time.Minute)
 		if err != nil {
@@ -33,39 +35,44 @@
 			r = r.WithNextStep()
 			now := r.VersionFor(s)
 			if was == to && now == from {
-				t.Fatalf("session %q went back at %d", s, r.Share())
+				t.Fatalf("session %q returned to the old version at share %d", s, r.Share())
 			}
 			was = now
 		}
 		if was != to {
-			t.Fatalf("session %q is on %s at the end", s, was)
+			t.Fatalf("session %q at the end: got version %s, want the new one", s, was)
 		}
 	})
 }
 
-func TestNewRefuses(t *testing.T) {
+// Guards against plans that never reach all sessions, that reduce the share, or that are
+// not between two versions of one model.
+func TestNewRejectsInvalidPlans(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		from   version.ID
 		shares []int
 	}{
 		{"no steps", from, nil},
-		{"not to all", from, []int{100}},
-		{"shrinking", from, []int{500, 100, rollout.FullShare}},
-		{"from itself", to, []int{rollout.FullShare}},
-		{"another model", version.New("n", "1"), []int{rollout.FullShare}},
+		{"last share not all", from, []int{100}},
+		{"decreasing", from, []int{500, 100, rollout.FullShare}},
+		{"to the same version", to, []int{rollout.FullShare}},
+		{"to another model", version.New("n", "1"), []int{rollout.FullShare}},
 	} {
 		if _, err := rollout.New(c.from, to, c.shares, noon, time.Minute); err == nil {
-			t.Errorf("%s: no error", c.name)
+			t.Errorf("%s: got no error, want one", c.name)
 		}
 	}
 }
 
+// Guards against a detector that trips for a sound version, or that needs too many answers
+// of a bad one.
 func TestDetector(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		rate float64
-		// most outcomes until it trips; 0 for never within 200,000
+		// want is the greatest number of outcomes until the detector trips; 0 means
+		// that it must not trip within 200,000.
 		want int
 	}{
 		{"sound", 0.005, 0},
@@ -88,13 +95,15 @@
 				d = d.With(e)
 			}
 			if c.want == 0 && d.Tripped() || c.want > 0 && n > c.want {
-				t.Errorf("tripped %t after %d, want within %d", d.Tripped(), n, c.want)
+				t.Errorf("got tripped %t after %d outcomes, want within %d (0: never)", d.Tripped(), n, c.want)
 			}
 		})
 	}
 }
 
-func TestPooledCountsEachReportOnce(t *testing.T) {
+// Guards against outcomes that are counted twice or lost, as when an instance's reports are
+// repeated or arrive out of order.
+func TestPooledOutcomesCountEachOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := rollout.NewPooledOutcomes()
 		last := map[string]rollout.Outcomes{}
@@ -109,7 +118,7 @@
 			want = want.WithGood(e.Good).WithBad(e.Bad)
 		}
 		if p.Total() != want {
-			t.Fatalf("total %+v, want %+v", p.Total(), want)
+			t.Fatalf("got total %+v, want %+v", p.Total(), want)
 		}
 	})
 }
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -6,44 +6,46 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// KindCount is into how many kinds a tally deals the requests: those of a kind are
-// compared with each other only, since unlike ones take unlike times. Few
-// services have more than 16 pairs of a route and a model; where two pairs share
-// a kind, the comparison is less sharp.
+// KindCount is the number of kinds into which a tally divides the requests. Only
+// requests of one kind are compared with each other, since others take unlike times.
+// Few services have more than 16 pairs of a route and a model; if two pairs fall into
+// one kind, the comparison is less sensitive.
 const KindCount = 16
 
-// KindOf returns the kind of requests with that name.
+// KindOf returns the kind for a name, such as that of a route and a model.
 func KindOf(name string) int { return int(xxhash.Sum64String(name) % KindCount) }
 
-// Tally is what one instance saw of a service while it changes its release.
+// Tally is what one instance counted for a service during a release.
 type Tally struct {
-	// Incarnation tells one run of the instance from others, in which counts begin at 0
-	// again.
+	// Incarnation identifies the run of the instance's process; the counts start at 0 in
+	// each.
 	Incarnation int64
-	New, Old    [KindCount]Counts
+	// New and Old are the counts for the two releases, by kind of request.
+	New, Old [KindCount]Counts
 }
 
-// Counts are of the answers to one kind of request. They only grow.
+// Counts are cumulative counts of the answers to one kind of request.
 type Counts struct {
 	Good uint64
-	// Failed are answers of failure; Broken are those that broke off, came
-	// garbled or not at all, which crashes and bad ways cause as well.
+	// Failed counts error answers. Broken counts answers that were cut off, garbled
+	// or missing, which may also be due to crashes and to faults of the network.
 	Failed, Broken uint64
 	Waits          Waits
 }
 
-// IntervalCount is into how many spans the wait for an answer is divided: the first ends
-// at a 64th of the time in which it should come, each next one is as long as all
-// before, and the last ends with that time.
+// IntervalCount is the number of intervals into which the wait for an answer is divided.
+// The first one ends at 1/64 of the target time for the answer, each next one is as
+// long as all before it together, and the last one ends at the target time.
 const IntervalCount = 7
 
-// Waits tell for each span how many answers came in it, and how many requests
-// waited on to its end. A request that still waits is counted in the spans that it
-// has passed, so that slow answers show before they come, or if they never do.
+// Waits has, for each interval, the number of requests that were answered in it and of
+// those that outlasted it without an answer. A request that still waits is counted in
+// the intervals that it has outlasted, so that slow answers show before they arrive, or
+// if they never do.
 type Waits struct{ Answered, Outlasted [IntervalCount]uint64 }
 
-// IntervalEnds returns the ends of the spans for answers that should come within
-// target.
+// IntervalEnds returns the ends of the intervals for answers that are due within the
+// target time.
 func IntervalEnds(target time.Duration) (l [IntervalCount]time.Duration) {
 	for i := range l {
 		l[i] = target >> (IntervalCount - 1 - i)
@@ -59,7 +61,7 @@
 	return w
 }
 
-// minus returns what came since o, which w grew from.
+// minus returns what was counted since o, an earlier state of w.
 func (w Waits) minus(o Waits) Waits {
 	for i := range w.Answered {
 		w.Answered[i] -= o.Answered[i]
@@ -68,9 +70,10 @@
 	return w
 }
 
-// begun is how many waits there were.
+// begun returns the number of waits, ended or not.
 func (w Waits) begun() uint64 { return w.Answered[0] + w.Outlasted[0] }
 
+// size is the sum of all counts.
 func (w Waits) size() (n uint64) {
 	for i := range w.Answered {
 		n += w.Answered[i] + w.Outlasted[i]
@@ -84,43 +87,43 @@
 	return c
 }
 
-// WithFailed returns c with one more answer of failure.
+// WithFailed returns c with one more error answer.
 func (c Counts) WithFailed() Counts {
 	c.Failed++
 	return c
 }
 
-// WithBroken returns c with one more answer that broke.
+// WithBroken returns c with one more broken answer.
 func (c Counts) WithBroken() Counts {
 	c.Broken++
 	return c
 }
 
-// WithAnswered returns c with one more answer that came in the span.
-func (c Counts) WithAnswered(span int) Counts {
-	c.Waits.Answered[span]++
+// WithAnswered returns c with one more request that was answered in the interval.
+func (c Counts) WithAnswered(interval int) Counts {
+	c.Waits.Answered[interval]++
 	return c
 }
 
-// WithOutlasted returns c with one more request that waited to the span's end.
-func (c Counts) WithOutlasted(span int) Counts {
-	c.Waits.Outlasted[span]++
+// WithOutlasted returns c with one more request that outlasted the interval.
+func (c Counts) WithOutlasted(interval int) Counts {
+	c.Waits.Outlasted[interval]++
 	return c
 }
 
-// Outcomes is c as good and bad answers.
+// Outcomes returns the good and the bad answers; failed and broken ones are bad.
 func (c Counts) Outcomes() Outcomes { return Outcomes{Good: c.Good, Bad: c.Failed + c.Broken} }
 
 func (c Counts) plus(o Counts) Counts {
 	return Counts{Good: c.Good + o.Good, Failed: c.Failed + o.Failed, Broken: c.Broken + o.Broken, Waits: c.Waits.plus(o.Waits)}
 }
 
-// minus returns what came since o, which c grew from.
+// minus returns what was counted since o, an earlier state of c.
 func (c Counts) minus(o Counts) Counts {
 	return Counts{Good: c.Good - o.Good, Failed: c.Failed - o.Failed, Broken: c.Broken - o.Broken, Waits: c.Waits.minus(o.Waits)}
 }
 
-// Plus adds two tallies; the life is t's.
+// Plus returns the sum of two tallies, with the incarnation of t.
 func (t Tally) Plus(o Tally) Tally {
 	for i := range t.New {
 		t.New[i] = t.New[i].plus(o.New[i])
@@ -129,7 +132,7 @@
 	return t
 }
 
-// minus returns what was counted since o, which t grew from.
+// minus returns what was counted since o, an earlier state of t.
 func (t Tally) minus(o Tally) Tally {
 	for i := range t.New {
 		t.New[i] = t.New[i].minus(o.New[i])
@@ -138,7 +141,7 @@
 	return t
 }
 
-// Totals are the counts of all kinds, of the new and the old release.
+// Totals returns the sums over all kinds, for the new and the old release.
 func (t Tally) Totals() (now, old Counts) {
 	for i := range t.New {
 		now = now.plus(t.New[i])
@@ -147,24 +150,26 @@
 	return now, old
 }
 
-// AnswerCount is how many answers of both releases there were.
+// AnswerCount returns the number of answers of both releases.
 func (t Tally) AnswerCount() uint64 {
 	n, o := t.Totals()
 	return n.Outcomes().count() + o.Outcomes().count()
 }
 
-// size grows with each thing that is counted.
+// size is the sum of all counts. It grows with each report of one incarnation that has
+// anything new.
 func (t Tally) size() uint64 {
 	n, o := t.Totals()
 	return n.size() + o.size()
 }
 
+// size is the sum of all counts.
 func (c Counts) size() uint64 { return c.Good + c.Failed + c.Broken + c.Waits.size() }
 
-// count is how many outcomes there are.
+// count returns the number of outcomes.
 func (e Outcomes) count() uint64 { return e.Good + e.Bad }
 
-// rate is the part of bad outcomes; 0 if there are none.
+// rate returns the fraction of bad outcomes, 0 if there are no outcomes.
 func (e Outcomes) rate() float64 {
 	if e.count() == 0 {
 		return 0
