--- a/pool/pool.go
+++ b/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool knows the replicas of the backend servers and chooses the one
-// that a request goes to.
+// Package pool describes the replicas of the backend servers and has the rules by which one
+// is chosen for a request.
 package pool
 
 import (
@@ -10,7 +10,7 @@
 	"fieldvale/version"
 )
 
-// Kind is what a backend server runs.
+// Kind is the kind of a backend server: a model engine or a plain service.
 type Kind string
 
 // The kinds of backend server.
@@ -19,54 +19,57 @@
 	Service Kind = "service"
 )
 
-// Replica is one backend server as the platform's instance list gives it.
+// Replica is one running copy of a backend server, as listed by the platform.
 type Replica struct {
-	// ID is of one life of the replica: what is known by it is forgotten when
-	// the replica starts again.
+	// ID identifies one incarnation of the replica. State that is kept by this id is
+	// dropped when the replica restarts.
 	ID string
-	// Name is what the platform calls it, in each of its lives; empty where that
-	// is the ID.
+	// Name is the platform's name of the replica, the same in each incarnation. It is
+	// empty if the platform uses the ID.
 	Name string
-	// Addr is the IP number and port.
+	// Addr is the IP address and port.
 	Addr       string
 	DataCentre string
 	Kind       Kind
-	// Service is the name of the plain service, for that kind.
+	// Service is the name of the plain service, for replicas of that kind.
 	Service string
 	// Release is the version of the service's software.
 	Release string
-	// Versions are those that an engine says it has loaded.
+	// Versions are the model versions that an engine reports as loaded.
 	Versions []version.ID
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that the replica processes at once.
 	Slots int
-	// ChecksFencingToken says that it refuses orders with a lower fence.
+	// ChecksFencingToken is set if the replica rejects requests with a lower fencing token
+	// than it has already received.
 	ChecksFencingToken bool
-	Draining           bool
-	// ColdUntil is until when it has just started and may get a few requests
-	// only; zero for a warm one.
+	// Draining is set if the replica finishes its requests and gets no new ones.
+	Draining bool
+	// ColdUntil is the end of the time after its start in which the replica may get only a
+	// few requests; zero if it is warm.
 	ColdUntil time.Time
 	Load      Load
 }
 
-// Load is what a replica last said of itself.
+// Load is the last load report of a replica.
 type Load struct {
+	// Running and Waiting are the numbers of requests in slots and in the queue.
 	Running    int
 	Waiting    int
 	ReportedAt time.Time
-	// Local is how many of this instance's own requests were on the replica
-	// when the report was taken; they are part of Running and Waiting.
+	// Local is how many requests of this instance were on the replica at the time of the
+	// report. They are part of Running and Waiting.
 	Local int
 }
 
-// Serves reports whether new work for the version may go to the replica.
+// Serves reports whether new requests for the version may go to the replica.
 func (r Replica) Serves(v version.ID) bool {
 	return r.Kind == Engine && !r.Draining && slices.Contains(r.Versions, v)
 }
 
-// IsCold reports whether it has just started and may get a few requests only.
+// IsCold reports whether the replica has just started and may get only a few requests.
 func (r Replica) IsCold(now time.Time) bool { return now.Before(r.ColdUntil) }
 
-// PlatformName is what the platform calls the replica.
+// PlatformName returns the platform's name of the replica.
 func (r Replica) PlatformName() string {
 	if r.Name != "" {
 		return r.Name
@@ -74,25 +77,25 @@
 	return r.ID
 }
 
-// WithColdUntil returns r as cold until then.
+// WithColdUntil returns r as cold until the given time.
 func (r Replica) WithColdUntil(t time.Time) Replica {
 	r.ColdUntil = t
 	return r
 }
 
-// WithDraining returns r marked as leaving.
+// WithDraining returns r marked as draining.
 func (r Replica) WithDraining() Replica {
 	r.Draining = true
 	return r
 }
 
-// WithLoad returns r with a newer report.
+// WithLoad returns r with a newer load report.
 func (r Replica) WithLoad(l Load) Replica {
 	r.Load = l
 	return r
 }
 
-// IDs goes through the replicas' ids.
+// IDs returns the ids of the replicas.
 func IDs(l []*Replica) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for _, r := range l {
@@ -103,32 +106,33 @@
 	}
 }
 
-// Candidate is a replica as one decision sees it.
+// Candidate is a replica that may be chosen, with this instance's own load on it.
 type Candidate struct {
 	Replica *Replica
-	// Local is this instance's own requests on the replica now.
+	// Local is the number of requests that this instance has on the replica.
 	Local int
-	// PendingMs is the work of this instance that waits or is being read
-	// there, in milliseconds of the replica's time as far as that is known.
+	// PendingMs is this instance's prefill work that is queued or in progress there, in
+	// milliseconds of the replica's time, as far as that can be estimated.
 	PendingMs float64
-	// RemotePenaltyMs is what the replica counts for by its distance, in milliseconds.
+	// RemotePenaltyMs is the cost of the replica for its distance, in milliseconds.
 	RemotePenaltyMs float64
 }
 
-// EstimatedRequests estimates the requests on the replica now: what others had there when
-// it last reported, and what this instance has there itself. Taking the own
-// share out of the report keeps a lagging report from being counted twice.
+// EstimatedRequests estimates the requests on the replica: those of other instances at the
+// last report plus the current ones of this instance. This instance's requests are taken out
+// of the report, as otherwise a report that is behind would count them twice.
 func (c Candidate) EstimatedRequests() int {
-	o := c.Replica.Load.Running + c.Replica.Load.Waiting - c.Replica.Load.Local
-	return max(0, o) + c.Local
+	others := c.Replica.Load.Running + c.Replica.Load.Waiting - c.Replica.Load.Local
+	return max(0, others) + c.Local
 }
 
-// LoadPerSlot is Work by slot, so that unlike replicas compare.
+// LoadPerSlot returns EstimatedRequests per slot, which compares replicas of different size.
 func (c Candidate) LoadPerSlot() float64 {
 	return float64(c.EstimatedRequests()) / float64(max(1, c.Replica.Slots))
 }
 
-// FreeSlots is the number of slots that seem idle.
+// FreeSlots returns the estimated number of idle slots. It is negative if requests are
+// queued.
 func (c Candidate) FreeSlots() int {
 	return c.Replica.Slots - c.EstimatedRequests()
 }
--- a/pool/rule.go
+++ b/pool/rule.go
@@ -6,43 +6,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Request is what a rule may know of the request.
+// Request is the part of a request that a rule may use.
 type Request struct {
-	// AffinityKey is what the request would find cached, such as its session;
-	// empty for none.
+	// AffinityKey identifies state that replicas cache for the request, such as its session
+	// or the prefix of its prompt. It is empty if there is none.
 	AffinityKey string
 }
 
-// Rule chooses one of the candidates, which are never none.
+// Rule chooses one of the candidates, of which there is at least one. It returns its index.
 type Rule interface {
 	Pick(a Request, c []Candidate, r *rand.Rand) int
 }
 
-// Chooser applies one rule. The type parameter keeps the call free of
-// dynamic dispatch.
+// Chooser applies one rule. The type parameter avoids dynamic dispatch of the call.
 type Chooser[R Rule] struct {
 	rule R
 	rand *rand.Rand
 }
 
-// NewChooser returns a chooser that draws from the seeded source s. It is not
-// safe for concurrent use.
+// NewChooser returns a chooser that takes random numbers from s. It is not safe for
+// concurrent use.
 func NewChooser[R Rule](r R, s rand.Source) *Chooser[R] {
 	return &Chooser[R]{rule: r, rand: rand.New(s)}
 }
 
-// Choose returns the chosen candidate's index, or -1 if there is none.
-func (c *Chooser[R]) Choose(a Request, x []Candidate) int {
-	switch len(x) {
+// Choose returns the index of the chosen candidate, or -1 if there are no candidates.
+func (c *Chooser[R]) Choose(q Request, l []Candidate) int {
+	switch len(l) {
 	case 0:
 		return -1
 	case 1:
 		return 0
 	}
-	return c.rule.Pick(a, x, c.rand)
+	return c.rule.Pick(q, l, c.rand)
 }
 
-// Random takes any candidate.
+// Random chooses a random candidate.
 type Random struct{}
 
 // Pick implements Rule.
@@ -50,8 +49,9 @@
 	return r.IntN(len(c))
 }
 
-// RoundRobin takes one after another.
+// RoundRobin chooses one candidate after another.
 type RoundRobin struct {
+	// Next counts the choices so far.
 	Next int
 }
 
@@ -61,8 +61,8 @@
 	return o.Next % len(c)
 }
 
-// LeastReported takes the least load by report alone. It is the naive rule:
-// all instances run for the same replica until the next report.
+// LeastReported chooses the replica with the lowest reported load per slot. It is the naive
+// rule: all instances send their requests to the same replica until its next report.
 type LeastReported struct{}
 
 // Pick implements Rule.
@@ -72,17 +72,17 @@
 	})
 }
 
-// LeastLocal takes the replica with the fewest of this instance's requests.
+// LeastLocal chooses the replica with the fewest requests of this instance.
 type LeastLocal struct{}
 
 // Pick implements Rule.
 func (LeastLocal) Pick(_ Request, c []Candidate, r *rand.Rand) int {
-	o := r.IntN(len(c))
-	i := least(rotate(c, o), func(x Candidate) float64 { return float64(x.Local) })
-	return (i + o) % len(c)
+	start := r.IntN(len(c))
+	i := least(rotate(c, start), func(x Candidate) float64 { return float64(x.Local) })
+	return (i + start) % len(c)
 }
 
-// TwoChoices takes the less loaded of two drawn at random.
+// TwoChoices chooses the less loaded one of two random candidates.
 type TwoChoices struct{}
 
 // Pick implements Rule.
@@ -98,66 +98,68 @@
 	return i
 }
 
-// IdleFirst takes a random one of the replicas that seem idle and, if none
-// does, any. It is the join-the-idle-queue rule of Anselmi, "Asynchronous
-// Load Balancing and Auto-scaling" (2022), with reports in place of tokens.
+// IdleFirst chooses a random one of the replicas that seem idle, or a random candidate if
+// none does. It is the join-the-idle-queue rule of Anselmi, "Asynchronous Load Balancing and
+// Auto-scaling" (2022), with load reports in place of tokens.
 type IdleFirst struct{}
 
 // Pick implements Rule.
 func (IdleFirst) Pick(_ Request, c []Candidate, r *rand.Rand) int {
-	n, k := 0, -1
+	idle, chosen := 0, -1
 	for i, x := range c {
 		if x.EstimatedRequests() > 0 {
 			continue
 		}
-		n++
-		if r.IntN(n) == 0 {
-			k = i
+		idle++
+		if r.IntN(idle) == 0 {
+			chosen = i
 		}
 	}
-	if k >= 0 {
-		return k
+	if chosen >= 0 {
+		return chosen
 	}
 	return r.IntN(len(c))
 }
 
-// BoundedAffinity prefers the replica that a session's hash names while its load is
-// bounded, and falls back to another rule.
+// BoundedAffinity prefers the first choice of rendezvous hashing for the affinity key, and
+// falls back to another rule if the load of that replica exceeds a bound.
 type BoundedAffinity[R Rule] struct {
 	Fallback R
-	// LoadFactor is how many times the mean relative load the preferred replica
-	// may have.
+	// LoadFactor times the mean load per slot is the bound.
 	LoadFactor float64
 }
 
-// slack lets a preferred replica have this relative load in any case.
-const slack = 0.5
+// minLoadBound is the lowest bound on the load per slot: up to this load, the preferred
+// replica is chosen in any case.
+const minLoadBound = 0.5
 
 // Pick implements Rule.
-func (f BoundedAffinity[R]) Pick(a Request, c []Candidate, r *rand.Rand) int {
-	if a.AffinityKey == "" {
-		return f.Fallback.Pick(a, c, r)
+func (f BoundedAffinity[R]) Pick(q Request, c []Candidate, r *rand.Rand) int {
+	if q.AffinityKey == "" {
+		return f.Fallback.Pick(q, c, r)
 	}
-	i := highest(a.AffinityKey, c)
-	if c[i].LoadPerSlot() <= max(slack, f.LoadFactor*meanRelative(c)) {
+	i := highest(q.AffinityKey, c)
+	if c[i].LoadPerSlot() <= max(minLoadBound, f.LoadFactor*meanLoadPerSlot(c)) {
 		return i
 	}
-	return f.Fallback.Pick(a, c, r)
+	return f.Fallback.Pick(q, c, r)
 }
 
-// highest is rendezvous hashing: the choice moves only if the replica goes.
+// highest returns the index of the first choice of rendezvous hashing for the key. When a
+// replica is removed, only the keys that it was chosen for move.
 func highest(key string, c []Candidate) int {
-	b, k := uint64(0), 0
+	weight, chosen := uint64(0), 0
 	h := xxhash.Sum64String(key)
 	for i, x := range c {
-		if w := mix(h, xxhash.Sum64String(x.Replica.ID)); w > b {
-			b, k = w, i
+		if w := mix(h, xxhash.Sum64String(x.Replica.ID)); w > weight {
+			weight, chosen = w, i
 		}
 	}
-	return k
+	return chosen
 }
 
-// mix spreads two hashes over all bits (the finalizer of splitmix64).
+// mix combines two hashes into one whose bits depend on all bits of both, by the finalizer
+// of splitmix64.
 func mix(a, b uint64) uint64 {
 	x := a ^ (b * 0x9e3779b97f4a7c15)
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
@@ -165,25 +167,27 @@
 	return x ^ (x >> 31)
 }
 
-func meanRelative(c []Candidate) float64 {
-	t := 0.0
+func meanLoadPerSlot(c []Candidate) float64 {
+	sum := 0.0
 	for _, x := range c {
-		t += x.LoadPerSlot()
+		sum += x.LoadPerSlot()
 	}
-	return t / float64(len(c))
+	return sum / float64(len(c))
 }
 
-func least(c []Candidate, f func(Candidate) float64) int {
-	k := 0
-	b := f(c[0])
+// least returns the index of the first candidate with the lowest load.
+func least(c []Candidate, load func(Candidate) float64) int {
+	chosen := 0
+	lowest := load(c[0])
 	for i, x := range c[1:] {
-		if w := f(x); w < b {
-			b, k = w, i+1
+		if w := load(x); w < lowest {
+			lowest, chosen = w, i+1
 		}
 	}
-	return k
+	return chosen
 }
 
+// rotate returns a copy of the candidates that starts at index n.
 func rotate(c []Candidate, n int) []Candidate {
 	return append(append([]Candidate{}, c[n:]...), c[:n]...)
 }
