--- a/placement/groups_test.go
+++ b/placement/groups_test.go
@@ -32,16 +32,16 @@
 func TestGroupsKeepMostKeys(t *testing.T) {
 	all := replicaIDs(0, 170)
 	for _, c := range []struct {
-		name        string
-		before, now []string
-		maxMoved    float64
+		name          string
+		before, after []string
+		maxMoved      float64
 	}{
 		{"one replica removed", all[:140], all[1:140], 0.02},
 		{"a tenth removed", all[:140], all[14:140], 0.1},
 		{"thirty added", all[:140], all, 0.15},
 		{"two added where the quotient by the group size rounds up", all[:143], all[:145], 0.03},
 	} {
-		a, b := groupsOf(c.before), groupsOf(c.now)
+		a, b := groupsOf(c.before), groupsOf(c.after)
 		moved := 0
 		for i := range 2000 {
 			if k := fmt.Sprint("key", i); a.ForKey(k) != b.ForKey(k) {
--- a/pool/affinity.go
+++ b/pool/affinity.go
@@ -19,12 +19,12 @@
 }
 
 // Pick implements Rule.
-func (h PrefixAffinity) Pick(q Request, c []Candidate, r *rand.Rand) int {
-	least := leastCost(c, r)
+func (p PrefixAffinity) Pick(q Request, c []Candidate, r *rand.Rand) int {
+	cheapest := leastCost(c, r)
 	if q.AffinityKey == "" {
-		return least
+		return cheapest
 	}
-	bound := c[least].costMs() + h.SlackMs
+	bound := c[cheapest].costMs() + p.SlackMs
 	first, second := twoHighest(q.AffinityKey, c)
 	if c[first].costMs() <= bound {
 		return first
@@ -32,7 +32,7 @@
 	if c[second].costMs() <= bound {
 		return second
 	}
-	return least
+	return cheapest
 }
 
 // runningCostMs is the cost of each running request, which slows the others of its
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -42,7 +42,8 @@
 	// ChecksFencingToken is set if the replica rejects requests with a lower fencing token
 	// than it has already received.
 	ChecksFencingToken bool
-	// Draining is set if the replica finishes its requests and gets no new ones.
+	// Draining is set if the replica is about to stop, so that new requests should go
+	// elsewhere.
 	Draining bool
 	// ColdUntil is the end of the time after its start in which the replica may get only a
 	// few requests; zero if it is warm.
--- a/pool/rule.go
+++ b/pool/rule.go
@@ -15,7 +15,7 @@
 
 // Rule chooses one of the candidates, of which there is at least one. It returns its index.
 type Rule interface {
-	Pick(a Request, c []Candidate, r *rand.Rand) int
+	Pick(q Request, c []Candidate, r *rand.Rand) int
 }
 
 // Chooser applies one rule. The type parameter avoids dynamic dispatch of the call.
--- a/rollout/badshare.go
+++ b/rollout/badshare.go
@@ -21,13 +21,13 @@
 
 // with returns the test after further bad answers of the new and the old release.
 // share is the new release's fraction of all answers in the same period.
-func (r badShareTest) with(now, old uint64, share float64) badShareTest {
-	if now+old == 0 {
+func (r badShareTest) with(newBad, oldBad uint64, share float64) badShareTest {
+	if newBad+oldBad == 0 {
 		return r
 	}
 	for i, o := range badOdds {
 		n := math.Log(1 + share*(o-1))
-		r.sums[i] = max(0, r.sums[i]+float64(now)*(math.Log(o)-n)-float64(old)*n)
+		r.sums[i] = max(0, r.sums[i]+float64(newBad)*(math.Log(o)-n)-float64(oldBad)*n)
 	}
 	return r
 }
--- a/rollout/baseline_test.go
+++ b/rollout/baseline_test.go
@@ -12,8 +12,8 @@
 // overloadedTrial simulates a release that is ordered at low load and whose old replicas
 // are overloaded from the start of the trial.
 type overloadedTrial struct {
-	// now is the behaviour of the new release.
-	now behaviour
+	// newRelease is the behaviour of the new release.
+	newRelease behaviour
 	// oldFactor multiplies the times of the old release's answers in the trial, and
 	// newFactor those of the new one's: by what slows both, such as a bad link.
 	oldFactor, newFactor float64
@@ -39,7 +39,7 @@
 	}
 	for range requests {
 		i, k := r.IntN(len(l)), r.IntN(4)
-		l[i].New[k] = countScaledWait(r, l[i].New[k], d.now, d.newFactor)
+		l[i].New[k] = countScaledWait(r, l[i].New[k], d.newRelease, d.newFactor)
 		for range 5 {
 			i, k := r.IntN(len(l)), r.IntN(4)
 			l[i].Old[k] = countScaledWait(r, l[i].Old[k], behaviour{slow: 0.05}, d.oldFactor)
@@ -51,11 +51,11 @@
 }
 
 // Guards against a slow release that passes its trial because the old one is overloaded.
-// When part of the old replicas crash in the trial, as two fifths of them, or in a burst,
-// the others' answers are later still. The new release, with a tenth of the requests, looks
-// sound beside them, although half of its answers take five times as long; clients notice
-// once it gets all requests. So beside an old release that is slower than at its usual
-// load, the new one must be as fast as the old one was then.
+// If two fifths of the old replicas crash in the trial, or in a burst of requests, the other
+// old replicas are overloaded and their answers are late. The new release, with a tenth of
+// the requests, looks sound beside them, although half of its answers take five times as
+// long; clients notice once it gets all requests. So if the old release is slower than at its
+// usual load, the new one must be as fast as the old one was then.
 func TestSlowReleaseIsNotExcusedByLoadOfOldRelease(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -65,10 +65,10 @@
 		requests int
 		passes   bool
 	}{
-		{"half slow, few requests", overloadedTrial{now: behaviour{slow: 0.6}, oldFactor: 5, newFactor: 1}, 25, false},
-		{"half slow", overloadedTrial{now: behaviour{slow: 0.6}, oldFactor: 5, newFactor: 1}, 100, false},
-		{"sound", overloadedTrial{now: behaviour{slow: 0.05}, oldFactor: 5, newFactor: 1}, 100, true},
-		{"sound, old release not overloaded", overloadedTrial{now: behaviour{slow: 0.05}, oldFactor: 1, newFactor: 1}, 100, true},
+		{"half slow, few requests", overloadedTrial{newRelease: behaviour{slow: 0.6}, oldFactor: 5, newFactor: 1}, 25, false},
+		{"half slow", overloadedTrial{newRelease: behaviour{slow: 0.6}, oldFactor: 5, newFactor: 1}, 100, false},
+		{"sound", overloadedTrial{newRelease: behaviour{slow: 0.05}, oldFactor: 5, newFactor: 1}, 100, true},
+		{"sound, old release not overloaded", overloadedTrial{newRelease: behaviour{slow: 0.05}, oldFactor: 1, newFactor: 1}, 100, true},
 	} {
 		wrong := 0
 		for seed := range uint64(30) {
@@ -89,23 +89,23 @@
 // has few requests altogether.
 func TestUnobservedReleaseIsInconclusive(t *testing.T) {
 	for _, c := range []struct {
-		now, old int
-		want     bool
+		newRequests, oldRequests int
+		want                     bool
 	}{{2, 300, true}, {0, 300, true}, {2, 60, true}, {2, 30, false}, {0, 0, false}, {12, 300, false}} {
 		r := rand.New(rand.NewPCG(1, 1))
 		j := rollout.NewJudge()
 		var l rollout.Tally
-		for i := range max(c.now, c.old) {
-			if i < c.now {
+		for i := range max(c.newRequests, c.oldRequests) {
+			if i < c.newRequests {
 				l.New[0] = draw(r, l.New[0], behaviour{})
 			}
-			if i < c.old {
+			if i < c.oldRequests {
 				l.Old[0] = draw(r, l.Old[0], behaviour{})
 			}
 			j.Report("a", l, at(i))
 		}
 		if g := j.Finding().Concerns().Inconclusive; g != c.want {
-			t.Errorf("%d requests beside %d of the old release: got inconclusive %t, want %t", c.now, c.old, g, c.want)
+			t.Errorf("%d requests beside %d of the old release: got inconclusive %t, want %t", c.newRequests, c.oldRequests, g, c.want)
 		}
 	}
 }
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -67,10 +67,10 @@
 	return &Judge{reports: newReports(), failures: NewDetector(failureRates)}
 }
 
-// Report adds an instance's cumulative tally and reports whether the release is found
+// Report adds the cumulative tally of an instance and reports whether the release is found
 // bad because of it. An older report changes nothing.
-func (j *Judge) Report(origin string, t Tally, now time.Time) bool {
-	j.reports.add(origin, t)
+func (j *Judge) Report(instance string, t Tally, now time.Time) bool {
+	j.reports.add(instance, t)
 	was := j.IsBad()
 	l := j.recent(now)
 	j.runTests(now)
@@ -116,8 +116,8 @@
 }
 
 // newShare is the new release's fraction of the answers, 1 if there are none.
-func newShare(now, old Counts) float64 {
-	n, o := now.Outcomes().count(), old.Outcomes().count()
+func newShare(newCounts, oldCounts Counts) float64 {
+	n, o := newCounts.Outcomes().count(), oldCounts.Outcomes().count()
 	if n+o == 0 {
 		return 1
 	}
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -64,8 +64,8 @@
 // their answers, and against good ones that are found bad for faults of all replicas.
 func TestJudgePoolsReports(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		now, old behaviour
+		name                   string
+		newRelease, oldRelease behaviour
 		// oldPerNew is how many answers of the old release there are for each of the new
 		// one.
 		oldPerNew int
@@ -93,10 +93,10 @@
 			n := 0
 			for ; n < 3000 && !j.IsBad(); n++ {
 				i, k := r.IntN(len(l)), r.IntN(6)
-				l[i].New[k] = draw(r, l[i].New[k], c.now)
+				l[i].New[k] = draw(r, l[i].New[k], c.newRelease)
 				for range c.oldPerNew {
 					k := r.IntN(6)
-					l[i].Old[k] = draw(r, l[i].Old[k], c.old)
+					l[i].Old[k] = draw(r, l[i].Old[k], c.oldRelease)
 				}
 				j.Report(fmt.Sprint(i), l[i], at(n))
 			}
@@ -150,16 +150,16 @@
 		l.Old[0] = rollout.Counts{Good: 10_000, Failed: 50, Broken: 50}
 		j.Report("a", l, at(-400))
 		for n := range 700 {
-			now, old := behaviour{failed: 0.01}, behaviour{failed: 0.01}
+			newRelease, oldRelease := behaviour{failed: 0.01}, behaviour{failed: 0.01}
 			switch {
 			case n >= 380 && n < 400:
-				now, old = behaviour{failed: 0.8}, behaviour{failed: 0.8}
+				newRelease, oldRelease = behaviour{failed: 0.8}, behaviour{failed: 0.8}
 			case n >= 600:
-				now = behaviour{failed: 0.5}
+				newRelease = behaviour{failed: 0.5}
 			}
-			l.New[0] = draw(r, l.New[0], now)
+			l.New[0] = draw(r, l.New[0], newRelease)
 			for range 6 {
-				l.Old[0] = draw(r, l.Old[0], old)
+				l.Old[0] = draw(r, l.Old[0], oldRelease)
 			}
 			j.Report("a", l, at(n))
 			if n < 600 && j.IsBad() {
--- a/rollout/logrank.go
+++ b/rollout/logrank.go
@@ -46,9 +46,9 @@
 // as are windows of time with unlike load, and no instance needs a usual time.
 type comparison struct {
 	intervals [IntervalCount]intervalStats
-	// now and old are the number of waits of the new and the old release, and kinds is
-	// the number of kinds of request in one window.
-	now, old, kinds uint64
+	// newWaits and oldWaits are the numbers of waits for the two releases, and kinds is the
+	// number of kinds of request in one window.
+	newWaits, oldWaits, kinds uint64
 }
 
 // intervalStats are the sums of the log-rank test for one interval of the waits.
@@ -66,8 +66,8 @@
 	for i := range t.New {
 		n, o := t.New[i].Waits, t.Old[i].Waits
 		newWaits, oldWaits := n.begun(), o.begun()
-		c.now += newWaits
-		c.old += oldWaits
+		c.newWaits += newWaits
+		c.oldWaits += oldWaits
 		c.kinds += min(1, newWaits+oldWaits)
 		for s := range n.Answered {
 			c.intervals[s] = c.intervals[s].plus(newIntervalStats(float64(n.Answered[s]), float64(n.Outlasted[s]), float64(o.Answered[s]), float64(o.Outlasted[s])))
@@ -101,21 +101,23 @@
 	for i := range c.intervals {
 		c.intervals[i] = c.intervals[i].plus(o.intervals[i])
 	}
-	c.now, c.old = c.now+o.now, c.old+o.old
+	c.newWaits, c.oldWaits = c.newWaits+o.newWaits, c.oldWaits+o.oldWaits
 	return c
 }
 
 // hasEnoughWaits reports whether the window has enough waits of each kind.
-func (c comparison) hasEnoughWaits() bool { return c.now+c.old >= waitsPerKind*c.kinds }
+func (c comparison) hasEnoughWaits() bool { return c.newWaits+c.oldWaits >= waitsPerKind*c.kinds }
 
 // isUnobserved reports whether the new release had next to no requests, although the
 // service has enough for it to get some.
-func (c comparison) isUnobserved() bool { return c.now < minTrialWaits && c.old >= manyOldWaits }
+func (c comparison) isUnobserved() bool {
+	return c.newWaits < minTrialWaits && c.oldWaits >= manyOldWaits
+}
 
 // level is how near the comparison is to finding the new release slow; it has from 1
 // on.
 func (c comparison) level() float64 {
-	if c.now < minWaits || c.old < minWaits {
+	if c.newWaits < minWaits || c.oldWaits < minWaits {
 		return 0
 	}
 	even, early, _ := c.sums()
--- a/rollout/pooled.go
+++ b/rollout/pooled.go
@@ -15,11 +15,11 @@
 
 // Report adds the outcomes that are new in an instance's cumulative counts. An older
 // report changes nothing.
-func (p *PooledOutcomes) Report(origin string, e Outcomes) {
-	o := p.from[origin]
+func (p *PooledOutcomes) Report(instance string, e Outcomes) {
+	o := p.from[instance]
 	n := o.Max(e)
 	p.total = p.total.WithGood(n.Good - o.Good).WithBad(n.Bad - o.Bad)
-	p.from[origin] = n
+	p.from[instance] = n
 }
 
 // Total returns the outcomes from all instances since the last Reset.
--- a/rollout/release.go
+++ b/rollout/release.go
@@ -13,7 +13,8 @@
 	Service string
 	// Target is the software release that the operator ordered.
 	Target string
-	// Order identifies the order; a later order for the same service has a higher number.
+	// Order is the number of the operator's order. A later order for the same service has a
+	// higher one.
 	Order int64
 	// Length is the time that the operator allows for the release. Its end can't be
 	// stored as a time of day, as the instances share no clock: each counts from when it
@@ -23,8 +24,8 @@
 	// Phase is the index of the current phase; it is negative until an instance starts the
 	// first one.
 	Phase int
-	// Elapsed is the least time for which the release had run when its progress was
-	// recorded, for instances that start later and did not see its beginning.
+	// Elapsed is a lower bound of the time for which the release had run when its progress
+	// was recorded. It is for instances that start later and did not see the release start.
 	Elapsed time.Duration
 	// TrialShare is the target's share of the requests in the trial, out of FullShare.
 	TrialShare int
@@ -159,15 +160,15 @@
 	if c.Suspect && r.Phase == len(phaseEnds)-1 || c.Inconclusive && r.Phase == trialPhase {
 		return false
 	}
-	until := r.fraction(phaseEnds[r.Phase])
+	due := r.fraction(phaseEnds[r.Phase])
 	if c.Suspect {
-		until += r.fraction(maxHold)
+		due += r.fraction(maxHold)
 	}
 	least := time.Duration(minPhase * float64(r.PhaseLength()))
 	if r.Phase == trialPhase {
 		least = max(least, minTrialSeen)
 	}
-	return elapsed >= until && inPhase >= least
+	return elapsed >= due && inPhase >= least
 }
 
 // WithNextPhase returns r in its next phase; after the last phase it is done.
--- a/rollout/reports.go
+++ b/rollout/reports.go
@@ -5,6 +5,7 @@
 // otherwise bad answers after a restart would be ignored until they outnumber those
 // from before.
 type reports struct {
+	// from has the reports by instance id.
 	from  map[string]instanceReport
 	total Tally
 }
@@ -22,8 +23,8 @@
 // add adds a tally to the total. A tally of an earlier incarnation, or one that is
 // not newer than the latest, is ignored. Incarnations have no order: an instance's
 // clock may be set back between two of them.
-func (r *reports) add(origin string, t Tally) {
-	k := r.from[origin]
+func (r *reports) add(instance string, t Tally) {
+	k := r.from[instance]
 	switch {
 	case k.past[t.Incarnation] || t.Incarnation == k.latest.Incarnation && t.size() <= k.latest.size():
 		return
@@ -33,7 +34,7 @@
 	}
 	r.total = r.total.Plus(t.minus(k.latest))
 	k.latest = t
-	r.from[origin] = k
+	r.from[instance] = k
 }
 
 // withIncarnation adds an incarnation to the set, which may be nil, and returns it.
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -63,7 +63,7 @@
 		return errors.Newf("rollout: %s to %s is not a change between two versions of one model", r.From, r.To)
 	}
 	if len(r.Steps) == 0 || r.Steps[len(r.Steps)-1].Share != FullShare {
-		return errors.Newf("rollout: no step, or a last step with another share than %d (all sessions)", FullShare)
+		return errors.Newf("rollout: want at least one step, and share %d (all sessions) in the last one", FullShare)
 	}
 	previous := 0
 	for _, s := range r.Steps {
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -33,11 +33,11 @@
 		was := from
 		for r.State == rollout.Running {
 			r = r.WithNextStep()
-			now := r.VersionFor(s)
-			if was == to && now == from {
+			next := r.VersionFor(s)
+			if was == to && next == from {
 				t.Fatalf("session %q returned to the old version at share %d", s, r.Share())
 			}
-			was = now
+			was = next
 		}
 		if was != to {
 			t.Fatalf("session %q at the end: got version %s, want the new one", s, was)
@@ -108,7 +108,7 @@
 		p := rollout.NewPooledOutcomes()
 		last := map[string]rollout.Outcomes{}
 		for range rapid.IntRange(1, 50).Draw(t, "reports") {
-			o := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "origin")
+			o := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "instance")
 			e := rollout.Outcomes{Good: uint64(rapid.IntRange(0, 9).Draw(t, "good")), Bad: uint64(rapid.IntRange(0, 9).Draw(t, "bad"))}
 			p.Report(o, e)
 			last[o] = last[o].Max(e)
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -142,12 +142,12 @@
 }
 
 // Totals returns the sums over all kinds, for the new and the old release.
-func (t Tally) Totals() (now, old Counts) {
+func (t Tally) Totals() (newCounts, oldCounts Counts) {
 	for i := range t.New {
-		now = now.plus(t.New[i])
-		old = old.plus(t.Old[i])
+		newCounts = newCounts.plus(t.New[i])
+		oldCounts = oldCounts.plus(t.Old[i])
 	}
-	return now, old
+	return newCounts, oldCounts
 }
 
 // AnswerCount returns the number of answers of both releases.
