--- a/rollout/pooled.go
+++ b/rollout/pooled.go
@@ -1,8 +1,8 @@
 package rollout
 
-// PooledOutcomes adds up the evidence that many instances report, so that a version
-// which no instance sees much of is judged by all of its answers. It is not
-// safe for concurrent use.
+// PooledOutcomes adds up the outcomes that many instances report for a version, so
+// that a version of which each instance sees few answers is tested by all of them.
+// It is not safe for concurrent use.
 type PooledOutcomes struct {
 	from  map[string]Outcomes
 	total Outcomes
@@ -13,18 +13,18 @@
 	return &PooledOutcomes{from: map[string]Outcomes{}}
 }
 
-// Report takes the origin's cumulative evidence in. An older report changes
-// nothing.
-func (p *PooledOutcomes) Report(origin string, e Outcomes) {
-	o := p.from[origin]
+// Report adds the outcomes that are new in an instance's cumulative counts. An older
+// report changes nothing.
+func (p *PooledOutcomes) Report(instance string, e Outcomes) {
+	o := p.from[instance]
 	n := o.Max(e)
 	p.total = p.total.WithGood(n.Good - o.Good).WithBad(n.Bad - o.Bad)
-	p.from[origin] = n
+	p.from[instance] = n
 }
 
-// Total returns the evidence of all origins.
+// Total returns the outcomes from all instances since the last Reset.
 func (p *PooledOutcomes) Total() Outcomes { return p.total }
 
-// Reset forgets the total and keeps what each origin has reported, so that
-// only what comes after counts.
+// Reset sets the total to 0 but keeps what each instance has reported, so that only
+// later outcomes count.
 func (p *PooledOutcomes) Reset() { p.total = Outcomes{} }
