--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,8 +1,8 @@
-// Package lease tells how old an instance's knowledge of the configuration
-// is. A key that the operator takes away must stop working everywhere within
-// a bound, also at an instance that can't be told: so the right to honour keys
-// is a lease that each confirmation from the store, or from a peer that has
-// one, prolongs.
+// Package lease holds the time since an instance's configuration was last confirmed as the
+// newest. A key that the operator revokes must stop working at all instances within a
+// bound, also at an instance that can't be reached: permission to honour keys is therefore
+// a lease, which is renewed by each confirmation from the store, or from a peer that has
+// one.
 package lease
 
 import (
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// ExpiryRule says what becomes of keys when the last confirmation is too old.
+// ExpiryRule determines whether keys are honoured after the lease has expired.
 type ExpiryRule int
 
 const (
-	// Strict: none is honoured any more.
+	// Strict: no key is honoured.
 	Strict ExpiryRule = iota
-	// Lenient: the newest configuration that is known goes on deciding.
+	// Lenient: the newest configuration received remains in force.
 	Lenient
 )
 
@@ -28,33 +28,32 @@
 	return "strict"
 }
 
-// Lease is the right to honour keys. It is safe for concurrent use.
+// Lease is the permission to honour keys. It is safe for concurrent use.
 type Lease struct {
 	length time.Duration
-	// denies is how old a confirmation may be for a denial.
-	denies time.Duration
-	rule   ExpiryRule
-	start  time.Time
-	// confirmed is nanoseconds from start to the latest confirmed moment;
-	// below 0 there was none.
+	// denialLength is the age of a confirmation up to which requests may be denied.
+	denialLength time.Duration
+	rule         ExpiryRule
+	start        time.Time
+	// confirmed is the latest confirmed moment, in nanoseconds since start, or never.
 	confirmed atomic.Int64
 }
 
-// never is the confirmed moment of a lease that no confirmation has begun.
+// never is the confirmed moment of a lease without a confirmation.
 const never = -1 << 62
 
-// New returns a lease that no confirmation has begun. length is how long a
-// confirmation holds for keys, denies how long one holds for denials: the time within
-// which a change must be in force. now must carry Go's monotonic reading: a time of day
-// that jumps has no say.
-func New(length, denies time.Duration, r ExpiryRule, now time.Time) *Lease {
-	l := &Lease{length: length, denies: denies, rule: r, start: now}
+// New returns a lease without a confirmation. length is how long a confirmation is valid
+// for honouring keys, denials how long for denying requests: the time within which a
+// change must be in force. now must have a monotonic clock reading, so that changes of the
+// wall clock have no effect.
+func New(length, denials time.Duration, r ExpiryRule, now time.Time) *Lease {
+	l := &Lease{length: length, denialLength: denials, rule: r, start: now}
 	l.confirmed.Store(never)
 	return l
 }
 
-// Confirm says that the configuration held was the newest at the moment asOf:
-// when the question was sent, not when the answer came.
+// Confirm records that the configuration was the newest at the moment asOf, which is when
+// the query was sent, not when the answer arrived.
 func (l *Lease) Confirm(asOf time.Time) {
 	n := int64(asOf.Sub(l.start))
 	for {
@@ -65,8 +64,7 @@
 	}
 }
 
-// Age is the time since the last confirmed moment; ok is false if there was
-// none.
+// Age returns the time since the latest confirmed moment; ok is false if there is none.
 func (l *Lease) Age(now time.Time) (age time.Duration, ok bool) {
 	n := l.confirmed.Load()
 	if n == never {
@@ -75,21 +73,22 @@
 	return now.Sub(l.start) - time.Duration(n), true
 }
 
-// AllowsKeys reports whether keys may be honoured now. Under either rule none may
-// before the first confirmation: what an instance has then is nobody's word.
+// AllowsKeys reports whether keys may be honoured at now. Under either rule none may be
+// before the first confirmation: until then no source has confirmed the configuration.
 func (l *Lease) AllowsKeys(now time.Time) bool {
 	_, ok := l.Age(now)
 	return ok && (l.rule == Lenient || l.Fresh(now, 1))
 }
 
-// AllowsDenials reports whether a request may be denied now because the configuration does not allow it:
-// not where a newer one that must be in force may allow it, under either rule.
+// AllowsDenials reports whether a request may be denied at now because the configuration
+// does not allow it. Under either rule it may not be once a newer configuration, which
+// must be in force by now, may allow it.
 func (l *Lease) AllowsDenials(now time.Time) bool {
 	a, ok := l.Age(now)
-	return ok && a < min(l.denies, l.length)
+	return ok && a < min(l.denialLength, l.length)
 }
 
-// Fresh reports whether less than the given part of the lease is used up.
+// Fresh reports whether less than the given part of the lease has passed.
 func (l *Lease) Fresh(now time.Time, part float64) bool {
 	a, ok := l.Age(now)
 	return ok && a < time.Duration(part*float64(l.length))
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -7,15 +7,17 @@
 	"fieldvale/lease"
 )
 
-func TestLease(t *testing.T) {
+// Under the strict rule keys must be honoured for exactly the length of the lease after the
+// latest confirmed moment; an older confirmation that arrives late must not shorten it.
+func TestStrictLease(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 	l := lease.New(4*time.Second, 2*time.Second, lease.Strict, at(0))
 	if l.AllowsKeys(at(0)) {
-		t.Error("holds before any confirmation")
+		t.Error("keys are honoured before any confirmation")
 	}
 	l.Confirm(at(1))
 	if !l.AllowsKeys(at(4.9)) || l.AllowsKeys(at(5)) {
-		t.Error("a confirmation at 1 s must hold until 5 s, not longer")
+		t.Error("a confirmation at 1 s with a length of 4 s must allow keys until 5 s, not longer")
 	}
 	l.Confirm(at(0.5))
 	if !l.AllowsKeys(at(4.9)) {
@@ -23,39 +25,38 @@
 	}
 	l.Confirm(at(6))
 	if a, ok := l.Age(at(7)); !ok || a != time.Second {
-		t.Errorf("age %s, %t, want 1s", a, ok)
+		t.Errorf("age %s, ok %t, want 1s, ok", a, ok)
 	}
 }
 
-// An outage longer than the lease turns nobody away under the lenient rule,
-// but an instance that never knew a configuration honours nothing, and the age
-// goes on telling how old the knowledge is.
+// Under the lenient rule an outage longer than the lease must refuse no keys. Without any
+// configuration no key may be honoured, and Age must return the actual age.
 func TestLenientLease(t *testing.T) {
 	start := time.Unix(1000, 0)
 	l := lease.New(4*time.Second, 2*time.Second, lease.Lenient, start)
 	if l.AllowsKeys(start) {
-		t.Error("holds before any confirmation")
+		t.Error("keys are honoured before any confirmation")
 	}
 	l.Confirm(start)
 	later := start.Add(time.Hour)
 	if !l.AllowsKeys(later) {
-		t.Error("does not hold an hour after the confirmation")
+		t.Error("keys are not honoured an hour after the confirmation")
 	}
 	if l.Fresh(later, 1) {
-		t.Error("is fresh an hour after the confirmation")
+		t.Error("the lease is fresh an hour after the confirmation")
 	}
 	if a, ok := l.Age(later); !ok || a != time.Hour {
-		t.Errorf("age %s, %t, want 1h", a, ok)
+		t.Errorf("age %s, ok %t, want 1h, ok", a, ok)
 	}
 }
 
-// Denials hold for as long as a change may take to be in force, whatever the operator says of keys.
+// Denials must end once a newer configuration may be in force, under either rule for keys.
 func TestDenials(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, r := range []lease.ExpiryRule{lease.Strict, lease.Lenient} {
 		l := lease.New(4*time.Second, 2*time.Second, r, start)
 		if l.AllowsDenials(start) {
-			t.Errorf("%s: denied before the first confirmation", r)
+			t.Errorf("rule %s: denials are allowed before the first confirmation", r)
 		}
 		l.Confirm(start)
 		for _, c := range []struct {
@@ -63,7 +64,7 @@
 			want  bool
 		}{{0, true}, {1999 * time.Millisecond, true}, {2 * time.Second, false}, {time.Hour, false}} {
 			if g := l.AllowsDenials(start.Add(c.after)); g != c.want {
-				t.Errorf("%s, %s after the confirmation: %t, want %t", r, c.after, g, c.want)
+				t.Errorf("rule %s, %s after the confirmation: denials allowed %t, want %t", r, c.after, g, c.want)
 			}
 		}
 	}
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -1,6 +1,6 @@
-// Package mirror keeps an instance's copy of the store's keys up to date: it
-// reads them whole once, follows their changes, and reads them whole again
-// when the store has forgotten the history in between.
+// Package mirror keeps an instance's copy of the store's keys up to date: it reads a
+// snapshot once, follows the changes, and reads a snapshot again when the store has
+// compacted the history in between.
 package mirror
 
 import (
@@ -14,59 +14,58 @@
 )
 
 const (
-	// firstRetry and longestRetry bound the pause after a failed call. Each
-	// call has a price, but a change must be in force within two seconds of
-	// the store's return.
-	firstRetry   = 100 * time.Millisecond
-	longestRetry = 500 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the pause after a failed call. Each call has a
+	// cost, but a change must be in force within two seconds after the store is back.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
 )
 
-// Update is what a mirror hands on.
+// Update is a set of changed keys, or a snapshot.
 type Update struct {
 	// Items has the newest item of each key.
 	Items []store.Item
-	// Snapshot says that Items are all keys there are.
+	// Snapshot is set if Items are all existing keys.
 	Snapshot bool
 	Revision int64
 }
 
-// Listener is told what a mirror learns, from one goroutine.
+// Listener receives the updates of a mirror. Its methods are called from one goroutine.
 type Listener interface {
-	// Changed hands over items; it is not called for empty answers.
+	// Changed receives an update; it is not called for answers without changes.
 	Changed(u Update)
-	// Confirmed says that nothing newer existed at the moment asOf.
+	// Confirmed is called when the updates so far are confirmed as the newest at asOf.
 	Confirmed(asOf time.Time)
-	// Disconnected and Regained tell of the way to the store.
+	// Disconnected and Reconnected are called when the feed fails and when it works again.
 	Disconnected(err error)
 	Reconnected()
 }
 
 // Mirror follows the keys below one prefix.
 type Mirror struct {
-	feed   store.Feed
-	prefix string
-	wait   time.Duration
-	clock  func() time.Time
-	on     Listener
+	feed     store.Feed
+	prefix   string
+	wait     time.Duration
+	clock    func() time.Time
+	listener Listener
 
 	revision int64
-	// confirmed is the last moment of which the mirror knows that nothing newer
-	// existed.
-	confirmed time.Time
-	failed    int
-	retry     time.Duration
-	// pages is what a whole read has brought so far, begun when it began.
-	pages Update
-	begun time.Time
+	// confirmed is the latest moment at which revision was confirmed as the newest.
+	confirmed  time.Time
+	failures   int
+	retryDelay time.Duration
+	// pages has the pages of an unfinished read of a snapshot, pagesAsOf the moment as of
+	// which its first page was current.
+	pages     Update
+	pagesAsOf time.Time
 }
 
-// New returns a mirror of the keys below prefix. wait is how long one call
-// waits for a change, and so how often an idle store confirms.
+// New returns a mirror of the keys below prefix. wait is how long one call waits for a
+// change, and so the interval of confirmations without changes.
 func New(f store.Feed, prefix string, wait time.Duration, clock func() time.Time, on Listener) *Mirror {
-	return &Mirror{feed: f, prefix: prefix, wait: wait, clock: clock, on: on, revision: -1}
+	return &Mirror{feed: f, prefix: prefix, wait: wait, clock: clock, listener: on, revision: -1}
 }
 
-// Run follows the store until ctx ends.
+// Run follows the store until ctx ends. It returns nil.
 func (m *Mirror) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := m.step(ctx)
@@ -78,26 +77,27 @@
 			continue
 		}
 		if err != nil {
-			m.lose(ctx, err)
+			m.backOff(ctx, err)
 			continue
 		}
-		if m.failed > 0 && m.inTouch() {
-			m.failed = 0
-			m.on.Reconnected()
+		if m.failures > 0 && m.isConnected() {
+			m.failures = 0
+			m.listener.Reconnected()
 		}
 	}
 	return nil
 }
 
-// touchWaits is how many waits old knowledge may be that counts as touch: news that reaches one
-// who is cut off says nothing of what came after it.
-const touchWaits = 2.5
+// connectedWaits is the age, in units of the wait, up to which the mirror counts as
+// connected. Older changes that arrive at an instance that is cut off do not show that
+// there are no newer ones.
+const connectedWaits = 2.5
 
-func (m *Mirror) inTouch() bool {
-	return m.clock().Sub(m.confirmed) <= time.Duration(touchWaits*float64(m.wait))
+func (m *Mirror) isConnected() bool {
+	return m.clock().Sub(m.confirmed) <= time.Duration(connectedWaits*float64(m.wait))
 }
 
-// step makes the next call, or the calls of a whole read.
+// step makes the next call for changes, or reads a snapshot.
 func (m *Mirror) step(ctx context.Context) error {
 	if m.revision < 0 {
 		return m.readAll(ctx)
@@ -105,24 +105,24 @@
 	return m.follow(ctx)
 }
 
-// lose waits before the next call.
-func (m *Mirror) lose(ctx context.Context, err error) {
-	m.failed++
-	if m.failed == 1 {
-		m.retry = firstRetry
-		m.on.Disconnected(err)
+// backOff waits before the next call.
+func (m *Mirror) backOff(ctx context.Context, err error) {
+	m.failures++
+	if m.failures == 1 {
+		m.retryDelay = minRetryDelay
+		m.listener.Disconnected(err)
 	}
-	d := m.retry/2 + rand.N(m.retry)
-	m.retry = min(longestRetry, 2*m.retry)
+	d := m.retryDelay/2 + rand.N(m.retryDelay)
+	m.retryDelay = min(maxRetryDelay, 2*m.retryDelay)
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// readAll reads page after page; it goes on at a page that failed. The changes are
-// followed from the first page's revision on, so that what changed between two pages
-// comes again.
+// readAll reads a snapshot page by page; after an error it continues with the page that
+// failed. Changes are followed from the first page's revision, so that what changed
+// between two pages arrives again.
 func (m *Mirror) readAll(ctx context.Context) error {
 	for {
 		p, err := m.read(ctx)
@@ -138,8 +138,8 @@
 	u.Snapshot = true
 	m.pages = Update{}
 	m.revision = u.Revision
-	m.on.Changed(u)
-	m.confirm(m.begun)
+	m.listener.Changed(u)
+	m.confirm(m.pagesAsOf)
 	return nil
 }
 
@@ -151,12 +151,12 @@
 	sent := m.clock()
 	p, err := m.feed.Read(ctx, m.prefix, "")
 	if err == nil {
-		m.pages.Revision, m.begun = p.Revision, sent.Add(-p.Age)
+		m.pages.Revision, m.pagesAsOf = p.Revision, sent.Add(-p.Age)
 	}
 	return p, err
 }
 
-// follow takes in what one call for changes brings.
+// follow makes one call for changes and passes them on.
 func (m *Mirror) follow(ctx context.Context) error {
 	sent := m.clock()
 	wait := m.nextWait(sent)
@@ -166,34 +166,34 @@
 	}
 	m.revision = max(m.revision, c.Revision)
 	if c.Whole {
-		m.on.Changed(Update{Items: c.Items, Snapshot: true, Revision: c.Revision})
+		m.listener.Changed(Update{Items: c.Items, Snapshot: true, Revision: c.Revision})
 	} else if len(c.Items) > 0 {
-		m.on.Changed(Update{Items: newest(c.Items), Revision: c.Revision})
+		m.listener.Changed(Update{Items: latestPerKey(c.Items), Revision: c.Revision})
 	}
 	m.confirm(m.asOf(sent, wait, c))
 	return nil
 }
 
-// confirm hands on that nothing newer existed at the moment asOf.
+// confirm reports that the updates so far were the newest at asOf.
 func (m *Mirror) confirm(asOf time.Time) {
 	m.confirmed = asOf
-	m.on.Confirmed(asOf)
+	m.listener.Confirmed(asOf)
 }
 
-// shortestPart of the longest wait is the least that a call waits.
-const shortestPart = 4
+// minWaitDivisor divides the longest wait into the shortest wait of a call.
+const minWaitDivisor = 4
 
-// nextWait is how long the next call waits for a change. After an answer that
-// brought one late, which proves nothing later than its question, it is less, so
-// that what is known is never much older than one wait: with two, those at the end of
-// a way over two instances would find it too old and all ask the store.
+// nextWait returns how long the next call waits for a change. An answer with a change at
+// the end of the wait confirms only the moment at which the call was sent; the next wait is
+// then shorter, so that the state is never much older than one wait. With two full waits,
+// instances that follow over two others would find it too old and all ask the store.
 func (m *Mirror) nextWait(now time.Time) time.Duration {
-	return min(m.wait, max(m.wait/shortestPart, m.wait-now.Sub(m.confirmed)))
+	return min(m.wait, max(m.wait/minWaitDivisor, m.wait-now.Sub(m.confirmed)))
 }
 
-// newest returns the last item of each key, in their order. A key that went and
-// came back in one answer is there, not gone.
-func newest(l []store.Item) []store.Item {
+// latestPerKey returns the last item of each key, in their order. A key that was deleted
+// and put again in one answer exists.
+func latestPerKey(l []store.Item) []store.Item {
 	last := make(map[string]int, len(l))
 	for i, x := range l {
 		last[x.Key] = i
@@ -210,9 +210,9 @@
 	return n
 }
 
-// asOf is the moment for which an answer speaks. One that waited to the end
-// in vain speaks for the end of the wait; any other only for its start, since
-// the answer may have been long under way.
+// asOf returns the moment for which an answer confirms the state. An answer that waited to
+// the end without a change confirms the end of the wait; any other only the moment at
+// which the call was sent, since the answer may have been long in transit.
 func (m *Mirror) asOf(sent time.Time, wait time.Duration, c store.Changes) time.Time {
 	w := wait
 	if c.Waited > 0 {
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -12,7 +12,7 @@
 	"fieldvale/store"
 )
 
-// feed answers with one burst of changes, then with none.
+// feed returns one set of changes, then waits until the context ends.
 type feed struct {
 	changes []store.Item
 }
@@ -29,8 +29,8 @@
 	return store.Changes{}, ctx.Err()
 }
 
-// lateFeed brings one change at the end of the first wait for changes, and then
-// nothing; it notes for how long it was to wait.
+// lateFeed returns one change at the end of the first wait, and then none; it records the
+// waits.
 type lateFeed struct {
 	waits []time.Duration
 }
@@ -48,60 +48,60 @@
 	return store.Changes{Revision: after}, nil
 }
 
-// confirmations notes how old what is known gets.
-type confirmations struct {
+// ageRecorder is a listener that records the greatest age that the confirmed state reaches.
+type ageRecorder struct {
 	at     time.Time
 	oldest time.Duration
 }
 
-func (c *confirmations) Changed(mirror.Update) {}
-func (c *confirmations) Disconnected(error)    {}
-func (c *confirmations) Reconnected()          {}
+func (c *ageRecorder) Changed(mirror.Update) {}
+func (c *ageRecorder) Disconnected(error)    {}
+func (c *ageRecorder) Reconnected()          {}
 
-func (c *confirmations) Confirmed(asOf time.Time) {
+func (c *ageRecorder) Confirmed(asOf time.Time) {
 	if !c.at.IsZero() {
 		c.oldest = max(c.oldest, time.Since(c.at))
 	}
 	c.at = asOf
 }
 
-// What is known never gets much older than one wait, also after an answer that
-// brought a change late and so proved nothing later than its question.
-func TestKnowledgeAgesByOneWait(t *testing.T) {
+// A change at the end of a wait confirms only the moment at which the call was sent. With a
+// full next wait the state would be two waits old, too old for instances that follow.
+func TestStateAgesByAtMostOneWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const wait = time.Second
-		f, c := &lateFeed{}, &confirmations{}
+		f, c := &lateFeed{}, &ageRecorder{}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		if err := mirror.New(f, "", wait, time.Now, c).Run(ctx); err != nil {
 			t.Error(err)
 		}
 		if c.oldest > wait*5/4 {
-			t.Errorf("what was known got %s old with waits of %s", c.oldest, f.waits)
+			t.Errorf("the state got %s old with waits of %s, want at most 1.25 s", c.oldest, f.waits)
 		}
 	})
 }
 
-// updates notes what it is told.
-type updates struct {
+// updateChan is a listener that sends the updates to a channel.
+type updateChan struct {
 	c chan mirror.Update
 }
 
-func (u updates) Changed(x mirror.Update) { u.c <- x }
-func (u updates) Confirmed(time.Time)     {}
-func (u updates) Disconnected(error)      {}
-func (u updates) Reconnected()            {}
+func (u updateChan) Changed(x mirror.Update) { u.c <- x }
+func (u updateChan) Confirmed(time.Time)     {}
+func (u updateChan) Disconnected(error)      {}
+func (u updateChan) Reconnected()            {}
 
-// A key that goes and comes back in one answer is there, one that comes and
-// goes is not.
-func TestTheNewestItemOfAKeyCounts(t *testing.T) {
+// Only the last of several changes of a key in one answer may count: a key that is deleted
+// and put again exists, and one that is put and deleted again does not.
+func TestLastChangeOfAKeyCounts(t *testing.T) {
 	f := &feed{changes: []store.Item{
 		{Key: "back", Revision: 4, Deleted: true},
 		{Key: "gone", Revision: 5, Value: []byte("x")},
 		{Key: "back", Revision: 6, Value: []byte("y")},
 		{Key: "gone", Revision: 7, Deleted: true},
 	}}
-	u := updates{make(chan mirror.Update, 2)}
+	u := updateChan{make(chan mirror.Update, 2)}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- mirror.New(f, "", time.Second, time.Now, u).Run(ctx) }()
@@ -116,7 +116,7 @@
 	}
 }
 
-// agingFeed fails once, then brings changes that are as old as its ages say, one after the other.
+// agingFeed fails once, then returns changes of the given ages, one after the other.
 type agingFeed struct {
 	failed bool
 	ages   []time.Duration
@@ -140,32 +140,33 @@
 	return store.Changes{Items: []store.Item{{Key: "a", Revision: after + 1}}, Revision: after + 1, Age: a}, nil
 }
 
-// touch notes after how many changes the store was regained.
-type touch struct {
-	changes, lost int
-	regained      []int
+// reconnectionRecorder is a listener that records the number of changes before each reconnection.
+type reconnectionRecorder struct {
+	changes, disconnected int
+	reconnected           []int
 }
 
-func (t *touch) Changed(u mirror.Update) {
+func (t *reconnectionRecorder) Changed(u mirror.Update) {
 	if !u.Snapshot {
 		t.changes++
 	}
 }
-func (t *touch) Confirmed(time.Time) {}
-func (t *touch) Disconnected(error)  { t.lost++ }
-func (t *touch) Reconnected()        { t.regained = append(t.regained, t.changes) }
+func (t *reconnectionRecorder) Confirmed(time.Time) {}
+func (t *reconnectionRecorder) Disconnected(error)  { t.disconnected++ }
+func (t *reconnectionRecorder) Reconnected()        { t.reconnected = append(t.reconnected, t.changes) }
 
-// Old news is no touch with the store.
-func TestOldNewsIsNoTouch(t *testing.T) {
+// Changes that arrive at an instance that is cut off may be old. They must not count as a
+// reconnection.
+func TestOldChangesAreNoReconnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, on := &agingFeed{ages: []time.Duration{9 * time.Second, 3 * time.Second, 100 * time.Millisecond}}, &touch{}
+		f, on := &agingFeed{ages: []time.Duration{9 * time.Second, 3 * time.Second, 100 * time.Millisecond}}, &reconnectionRecorder{}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		if err := mirror.New(f, "", time.Second, time.Now, on).Run(ctx); err != nil {
 			t.Error(err)
 		}
-		if d := cmp.Diff([]int{3}, on.regained); d != "" || on.lost != 1 {
-			t.Errorf("lost %d times, regained after so many changes: %s", on.lost, d)
+		if d := cmp.Diff([]int{3}, on.reconnected); d != "" || on.disconnected != 1 {
+			t.Errorf("disconnected %d times, want 1; number of changes before each reconnection: %s", on.disconnected, d)
 		}
 	})
 }
--- a/state/change.go
+++ b/state/change.go
@@ -7,31 +7,32 @@
 	"fieldvale/route"
 )
 
-// Change is news of one moment.
+// Change is a set of changes that take effect together.
 type Change struct {
 	// Table is nil if the configuration did not change.
 	Table    *route.Table
 	Replicas []pool.Replica
-	// RemovedReplicas are the names of replicas whose entries went, UnusableReplicas of those whose
-	// entries another writer has put in place of theirs.
+	// RemovedReplicas are the names of replicas whose entries were deleted, UnusableReplicas
+	// those of replicas whose entries were overwritten by another writer.
 	RemovedReplicas, UnusableReplicas []string
-	// AllReplicas, if not nil, are the names of all replicas there are.
+	// AllReplicas, if not nil, has the names of all replicas that have an entry. It is set
+	// if the change is a snapshot of the store.
 	AllReplicas map[string]bool
 	Orders      []rollout.Release
 	Records     []Record
-	// Evacuated are data centres whose replicas are to get nothing more, Restored
-	// those of which that is over. Where Known is given, Evacuated are all there
-	// are.
+	// Evacuated are data centres whose replicas must not get further requests, Restored
+	// those whose evacuation has ended. If AllReplicas is set, Evacuated has all evacuated
+	// data centres.
 	Evacuated, Restored []string
-	// Members are instances of the fleet that announce themselves, Left the
-	// ids of those whose announcement is over.
+	// Members are instances that are registered as members, LeftMembers the ids of those
+	// whose registration was deleted or has expired.
 	Members     []peer.Member
 	LeftMembers []string
 }
 
-// Record is what the store holds of a release.
+// Record is the progress of a release as recorded in the store.
 type Record struct {
 	Release rollout.Release
-	// Version guards the record's next change.
+	// Version is the version that the store's entry must have when the record is replaced.
 	Version int64
 }
--- a/state/start_test.go
+++ b/state/firstconfig_test.go
@@ -13,8 +13,8 @@
 	"fieldvale/route"
 )
 
-// A request at a starting instance waits for the first configuration, but not
-// where the store can't be reached, and never for long.
+// A request at a starting instance must wait for the first configuration, but neither while
+// the store can't be reached nor longer than its share of the remaining time.
 func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -24,13 +24,13 @@
 		want  bool
 		took  time.Duration
 	}{
-		{"it is known soon", 8 * time.Second, 300 * time.Millisecond, known, true, 300 * time.Millisecond},
-		{"it is not known soon", 8 * time.Second, time.Second, known, false, startWait},
-		{"the request has little time", time.Second, 300 * time.Millisecond, known, false, 250 * time.Millisecond},
-		{"it is read, not confirmed", 8 * time.Second, 300 * time.Millisecond, read, false, startWait},
-		{"the store is lost", 8 * time.Second, 300 * time.Millisecond, lost, false, 300 * time.Millisecond},
-		{"the store is lost before", 8 * time.Second, 0, lost, false, 0},
-		{"the store was lost before and is back", 8 * time.Second, 0, func(s *State) { lost(s); s.StoreReconnected(); known(s) }, true, 0},
+		{"it is confirmed soon", 8 * time.Second, 300 * time.Millisecond, confirm, true, 300 * time.Millisecond},
+		{"it is confirmed too late", 8 * time.Second, time.Second, confirm, false, maxFirstConfigWait},
+		{"the request has little time", time.Second, 300 * time.Millisecond, confirm, false, 250 * time.Millisecond},
+		{"it is read but not confirmed", 8 * time.Second, 300 * time.Millisecond, apply, false, maxFirstConfigWait},
+		{"the store is lost during the wait", 8 * time.Second, 300 * time.Millisecond, disconnect, false, 300 * time.Millisecond},
+		{"the store was lost before", 8 * time.Second, 0, disconnect, false, 0},
+		{"the store was lost before and is back", 8 * time.Second, 0, func(s *State) { disconnect(s); s.StoreReconnected(); confirm(s) }, true, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 				began := time.Now()
 				got := s.AwaitFirstConfig(t.Context(), time.Now().Add(c.left))
 				if d := time.Since(began); got != c.want || d != c.took {
-					t.Errorf("%t after %s, want %t after %s", got, d, c.want, c.took)
+					t.Errorf("AwaitFirstConfig returned %t after %s, want %t after %s", got, d, c.want, c.took)
 				}
 				time.Sleep(2 * time.Second)
 			})
@@ -52,11 +52,11 @@
 	}
 }
 
-func read(s *State) { s.Apply(Change{Table: route.New(7, nil, nil, nil, route.Limits{})}) }
+func apply(s *State) { s.Apply(Change{Table: route.New(7, nil, nil, nil, route.Limits{})}) }
 
-func known(s *State) {
-	read(s)
+func confirm(s *State) {
+	apply(s)
 	s.Confirm(time.Now())
 }
 
-func lost(s *State) { s.StoreDisconnected(errors.New("no answer")) }
+func disconnect(s *State) { s.StoreDisconnected(errors.New("no answer")) }
--- a/state/releases.go
+++ b/state/releases.go
@@ -6,17 +6,17 @@
 	"fieldvale/rollout"
 )
 
-// release is one service's release as this instance knows it.
+// release is the state of one service's release.
 type release struct {
 	order  rollout.Release
 	record Record
-	// ordered is when this instance learnt of the order, recorded when of the
-	// record, and since when of its phase.
-	ordered, recorded, since time.Time
+	// orderedAt is when this instance received the order, recordedAt when it received the
+	// record, and phaseSince when the record's phase or state last changed.
+	orderedAt, recordedAt, phaseSince time.Time
 }
 
-// current is the release with its record's progress. An order without a record
-// has not begun: an instance that starts may read it before its record.
+// current returns the ordered release with the progress of its record. An order without a
+// record has not begun: an instance that starts may read it before its record.
 func (r *release) current() rollout.Release {
 	c := r.order
 	p := r.record.Release
@@ -34,11 +34,11 @@
 	return c
 }
 
-// ran is how long the release has run, at least.
-func (r *release) ran(now time.Time) time.Duration {
-	d := now.Sub(r.ordered)
+// minRuntime returns for how long the release has run at least.
+func (r *release) minRuntime(now time.Time) time.Duration {
+	d := now.Sub(r.orderedAt)
 	if r.record.Release.Order == r.order.Order {
-		d = max(d, r.record.Release.Elapsed+now.Sub(r.recorded))
+		d = max(d, r.record.Release.Elapsed+now.Sub(r.recordedAt))
 	}
 	return d
 }
@@ -48,32 +48,32 @@
 	return r.order.Order > 0 && r.current().State == rollout.Running
 }
 
-// keepEvery is the part of a release's length after which it is recorded anew
-// how long it has run: what that is behind when all instances are lost.
-const keepEvery = 1.0 / 32
+// runtimeRecordPart is the part of a release's length after which the time that it has run
+// is recorded again. At most that much of it is lost when all instances are lost.
+const runtimeRecordPart = 1.0 / 32
 
-// due returns what is to be recorded of a running release after the wait for
-// this instance's turn, and whether that is so by now.
-func (r *release) due(now time.Time, wait time.Duration, s rollout.Concerns) (Record, bool) {
+// dueRecord returns the record to write for a running release, and whether it is due at
+// now. The wait is what this instance leaves the instances ranked before it to write it.
+func (r *release) dueRecord(now time.Time, wait time.Duration, s rollout.Concerns) (Record, bool) {
 	c := r.current()
-	ran, lasted := r.ran(now)-wait, now.Sub(r.since)-wait
+	elapsed, phaseElapsed := r.minRuntime(now)-wait, now.Sub(r.phaseSince)-wait
 	if r.record.Release.Order != r.order.Order {
-		return r.next(c.WithNextPhase(), ran), ran >= 0
+		return r.nextRecord(c.WithNextPhase(), elapsed), elapsed >= 0
 	}
-	if c.IsNextPhaseDue(ran, lasted, s) {
-		return r.next(c.WithNextPhase(), ran), true
+	if c.IsNextPhaseDue(elapsed, phaseElapsed, s) {
+		return r.nextRecord(c.WithNextPhase(), elapsed), true
 	}
-	return r.next(c, ran), ran-c.Elapsed >= time.Duration(keepEvery*float64(c.Length))
+	return r.nextRecord(c, elapsed), elapsed-c.Elapsed >= time.Duration(runtimeRecordPart*float64(c.Length))
 }
 
-// next is the record of the release that takes the place of the one known.
-func (r *release) next(c rollout.Release, ran time.Duration) Record {
-	c.Elapsed = max(c.Elapsed, ran)
+// nextRecord returns a record that replaces the current one.
+func (r *release) nextRecord(c rollout.Release, elapsed time.Duration) Record {
+	c.Elapsed = max(c.Elapsed, elapsed)
 	return Record{Release: c, Version: r.record.Version}
 }
 
-// of returns what is known of the service's release; it may be nothing yet.
-func (s *State) of(service string) *release {
+// releaseFor returns the state of the service's release, which is empty if there is none.
+func (s *State) releaseFor(service string) *release {
 	r, ok := s.releases[service]
 	if !ok {
 		r = &release{}
@@ -82,41 +82,41 @@
 	return r
 }
 
-// order takes the operator's order in, if it is newer.
-func (s *State) order(o rollout.Release, now time.Time) {
-	r := s.of(o.Service)
+// applyOrder applies an operator's order if it is newer than the current one.
+func (s *State) applyOrder(o rollout.Release, now time.Time) {
+	r := s.releaseFor(o.Service)
 	if o.Order <= r.order.Order {
 		return
 	}
-	r.order, r.ordered = o, now
+	r.order, r.orderedAt = o, now
 	s.log("release_ordered", "service", o.Service, "release", o.Target, "order", o.Order, "length", o.Length)
 }
 
-// record takes a release's progress in, if it is newer.
-func (s *State) record(n Record, now time.Time) {
-	r := s.of(n.Release.Service)
+// applyRecord applies a recorded progress if it is newer than the current one.
+func (s *State) applyRecord(n Record, now time.Time) {
+	r := s.releaseFor(n.Release.Service)
 	if n.Version <= r.record.Version {
 		return
 	}
-	was := r.record.Release
-	r.record, r.recorded = n, now
-	if was.Order != n.Release.Order || was.Phase != n.Release.Phase || was.State != n.Release.State {
-		r.since = now
+	previous := r.record.Release
+	r.record, r.recordedAt = n, now
+	if previous.Order != n.Release.Order || previous.Phase != n.Release.Phase || previous.State != n.Release.State {
+		r.phaseSince = now
 	}
 	s.log("release_progress", "service", n.Release.Service, "release", n.Release.Target, "order", n.Release.Order, "phase", n.Release.Phase, "state", n.Release.State)
 }
 
-// Turn is how long this instance waits for each service's release while others
-// may record what is due, and what the release shows.
-type Turn func(rel rollout.Release) (wait time.Duration, s rollout.Concerns)
+// RecordDelay returns how long this instance leaves other instances to write a record of
+// the release that is due, and its concerns about the release.
+type RecordDelay func(rel rollout.Release) (wait time.Duration, s rollout.Concerns)
 
-// DueRecords returns the releases of which something is to be recorded by now: those
-// that no record tells of yet, those whose phase has lasted, each one phase
-// further, and those of which it is recorded too long ago how long they ran.
-func (s *State) DueRecords(now time.Time, turn Turn) []Record {
+// DueRecords returns the records to write at now: the first record of a release, the next
+// phase of a release whose phase has lasted long enough, and the time for which a release
+// has run if that was recorded too long ago.
+func (s *State) DueRecords(now time.Time, delay RecordDelay) []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lost {
+	if s.disconnected {
 		return nil
 	}
 	var l []Record
@@ -124,15 +124,15 @@
 		if !r.isRunning() {
 			continue
 		}
-		wait, standing := turn(r.current())
-		if n, ok := r.due(now, wait, standing); ok {
+		wait, concerns := delay(r.current())
+		if n, ok := r.dueRecord(now, wait, concerns); ok {
 			l = append(l, n)
 		}
 	}
 	return l
 }
 
-// TripRecord returns the record that stops the release, if it still runs.
+// TripRecord returns the record that stops the release, if it is still running.
 func (s *State) TripRecord(rel rollout.Release) (Record, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/state/replicas.go
+++ b/state/replicas.go
@@ -8,20 +8,20 @@
 	"fieldvale/pool"
 )
 
-// coldWordWithin is how long after a replica has turned cold its own word of that may
-// take to arrive: the second or so between its writes, and the seconds in which a
-// change of the store is in force everywhere.
-const coldWordWithin = 3 * time.Second
+// coldReportDelay is how long after a replica has turned cold its own report of that may
+// take to arrive: the second or so between two of its writes, and the seconds until a
+// change of the store is in force at all instances.
+const coldReportDelay = 3 * time.Second
 
-// applyEvacuations takes in which data centres are to be emptied. Those that are
-// given back are taken to be cold until their replicas have said otherwise: they
-// turn cold when it is over or shortly before it began, and say so late.
+// applyEvacuations applies the changes of evacuated data centres. The replicas of restored
+// data centres are assumed to be cold until they have reported otherwise: they turn cold
+// when the evacuation ends or shortly before it began, and report it late.
 func (s *State) applyEvacuations(c Change, now time.Time) {
-	over := c.Restored
+	ended := c.Restored
 	if c.AllReplicas != nil {
-		over = slices.Collect(maps.Keys(s.evacuated))
+		ended = slices.Collect(maps.Keys(s.evacuated))
 	}
-	for _, dc := range over {
+	for _, dc := range ended {
 		if s.evacuated[dc] && !slices.Contains(c.Evacuated, dc) {
 			delete(s.evacuated, dc)
 			n := s.replicas.AssumeCold(dc, now, s.coldFor)
@@ -36,16 +36,16 @@
 	}
 }
 
-// coldFor is how long the replica is taken to be cold that may have turned so just
-// now; 0 where its service's replicas don't.
+// coldFor returns how long a replica that may just have turned cold is assumed to be cold;
+// 0 if the replicas of its service don't turn cold.
 func (s *State) coldFor(r pool.Replica) time.Duration {
 	if v := s.table.Service(r.Service); v.ColdPerSecond > 0 {
-		return v.ColdFor + coldWordWithin
+		return v.ColdFor + coldReportDelay
 	}
 	return 0
 }
 
-// ColdCount returns how many replicas count as cold.
+// ColdCount returns the number of cold replicas.
 func (s *State) ColdCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,15 +58,15 @@
 	return n
 }
 
-// EvacuatedCount returns how many data centres are to be emptied.
+// EvacuatedCount returns the number of evacuated data centres.
 func (s *State) EvacuatedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.evacuated)
 }
 
-// serving are the replicas that may get requests by where they are.
-func (s *State) serving() []*pool.Replica {
+// eligibleReplicas returns the replicas outside evacuated data centres.
+func (s *State) eligibleReplicas() []*pool.Replica {
 	l := s.replicas.Replicas()
 	if len(s.evacuated) == 0 {
 		return l
@@ -74,18 +74,18 @@
 	return slices.DeleteFunc(l, func(r *pool.Replica) bool { return s.evacuated[r.DataCentre] })
 }
 
-// logReplica logs what a replica's entry changes of what is believed of it.
-func (s *State) logReplica(r, was pool.Replica, known bool, now time.Time) {
-	if known && was.ID != r.ID {
-		s.log("replica_restarted", "replica", r.ID, "before", was.ID, "service", r.Service)
+// logReplica logs how a replica's entry changed.
+func (s *State) logReplica(r, previous pool.Replica, known bool, now time.Time) {
+	if known && previous.ID != r.ID {
+		s.log("replica_restarted", "replica", r.ID, "before", previous.ID, "service", r.Service)
 	}
-	if r.Draining && !was.Draining {
+	if r.Draining && !previous.Draining {
 		s.log("replica_leaving", "replica", r.ID, "service", r.Service)
 	}
-	if r.IsCold(now) && !was.IsCold(now) {
+	if r.IsCold(now) && !previous.IsCold(now) {
 		s.log("replica_cold", "replica", r.ID, "service", r.Service, "left", r.ColdUntil.Sub(now), "source", "entry")
 	}
-	if known && was.ID == r.ID && was.IsCold(now) && !r.IsCold(now) {
+	if known && previous.ID == r.ID && previous.IsCold(now) && !r.IsCold(now) {
 		s.log("replica_warm", "replica", r.ID, "service", r.Service, "source", "entry")
 	}
 }
--- a/state/state.go
+++ b/state/state.go
@@ -1,6 +1,6 @@
-// Package state holds what an instance knows of configuration, replicas and
-// releases, and puts it in force for the router. It never goes back to an
-// older configuration.
+// Package state holds the configuration, replicas, releases and members that an instance
+// has received, and publishes them to the router. It never goes back to an older
+// configuration.
 package state
 
 import (
@@ -18,7 +18,7 @@
 	"fieldvale/route"
 )
 
-// State is safe for concurrent use.
+// State is the state of one instance. It is safe for concurrent use.
 type State struct {
 	mu       sync.Mutex
 	view     *entry.CurrentView
@@ -27,30 +27,30 @@
 	log      func(event string, fields ...any)
 	table    *route.Table
 	replicas *discovery.Set
-	// evacuated are the data centres whose replicas get nothing. An order stands
-	// until it is known to be taken back, also while the store can't be reached:
-	// that leaves room unused, and the other way breaks the operator's word.
+	// evacuated are the data centres whose replicas get no requests. An order to evacuate
+	// stands until its withdrawal is received, also while the store can't be reached:
+	// keeping it leaves capacity unused, while dropping it would violate the order.
 	evacuated map[string]bool
 	releases  map[string]*release
 	members   map[string]peer.Member
-	// lapsed are the members whose announcement is over, until when they are
-	// kept all the same.
-	lapsed map[string]time.Time
-	start  *start
-	lost   bool
-	// unconfirmed says that the configuration's lease has run out.
-	unconfirmed bool
-	// onMembers is told of each change of the fleet.
+	// expired are the members whose registration was deleted or has expired, and until when
+	// they are kept nevertheless.
+	expired      map[string]time.Time
+	firstConfig  *firstConfig
+	disconnected bool
+	// isUnconfirmed is set while the configuration's lease has expired.
+	isUnconfirmed bool
+	// onMembers is called with all members after each change.
 	onMembers func([]peer.Member)
 }
 
-// New returns an empty state that puts what it knows into v.
-// onMembers is told of each change of the fleet.
+// New returns an empty state that publishes to v and calls onMembers with all members
+// after each change of them.
 func New(v *entry.CurrentView, l *lease.Lease, clock func() time.Time, log func(event string, fields ...any), onMembers func([]peer.Member)) *State {
-	return &State{view: v, lease: l, clock: clock, log: log, replicas: discovery.NewSet(), evacuated: map[string]bool{}, releases: map[string]*release{}, members: map[string]peer.Member{}, lapsed: map[string]time.Time{}, start: newStart(), onMembers: onMembers}
+	return &State{view: v, lease: l, clock: clock, log: log, replicas: discovery.NewSet(), evacuated: map[string]bool{}, releases: map[string]*release{}, members: map[string]peer.Member{}, expired: map[string]time.Time{}, firstConfig: newFirstConfig(), onMembers: onMembers}
 }
 
-// Apply takes news in.
+// Apply applies a change and publishes the result.
 func (s *State) Apply(c Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,19 +63,19 @@
 	s.applyEvacuations(c, now)
 	s.applyMembers(c, now)
 	for _, o := range c.Orders {
-		s.order(o, now)
+		s.applyOrder(o, now)
 	}
 	for _, r := range c.Records {
-		s.record(r, now)
+		s.applyRecord(r, now)
 	}
 	s.publish()
 }
 
-// applyReplicas takes the replicas' changes in.
+// applyReplicas applies the changes of replicas.
 func (s *State) applyReplicas(c Change, now time.Time) {
 	for _, r := range c.Replicas {
-		was, known := s.replicas.Put(r)
-		s.logReplica(r, was, known, now)
+		previous, known := s.replicas.Put(r)
+		s.logReplica(r, previous, known, now)
 	}
 	for _, name := range c.UnusableReplicas {
 		s.replicas.Drop(name)
@@ -87,78 +87,78 @@
 	if c.AllReplicas != nil {
 		s.replicas.Retain(c.AllReplicas, now)
 	}
-	s.settle(now)
+	s.dropMissing(now)
 }
 
-// lapsedFor is how long a member whose announcement is over is kept: as long as
-// one that lives takes to announce itself again, which it finds out when it
-// renews it. Announcements lapse for all at once while the store is away; with
-// an empty list all instances would ask the store, and nobody one another. One
-// that has ended is passed over as it is silent.
-const lapsedFor = 10 * time.Second
+// expiredGrace is how long a member is kept after its registration has expired: as long as
+// a running instance takes to register again, which it does when it fails to renew the
+// registration. Registrations of all members expire while the store is down; without
+// members, all instances would ask the store instead of one another. A member that has
+// ended is avoided, as it does not answer.
+const expiredGrace = 10 * time.Second
 
-// applyMembers takes the fleet's changes in.
+// applyMembers applies the changes of members.
 func (s *State) applyMembers(c Change, now time.Time) {
 	if len(c.Members)+len(c.LeftMembers) == 0 && c.AllReplicas == nil {
 		return
 	}
 	if c.AllReplicas != nil {
 		for id := range s.members {
-			s.lapse(id, now)
+			s.expireMember(id, now)
 		}
 	}
 	for _, m := range c.Members {
 		s.members[m.ID] = m
-		delete(s.lapsed, m.ID)
+		delete(s.expired, m.ID)
 	}
 	for _, id := range c.LeftMembers {
-		s.lapse(id, now)
+		s.expireMember(id, now)
 	}
 	s.onMembers(s.memberList())
 }
 
-// lapse notes that the member's announcement is over.
-func (s *State) lapse(id string, now time.Time) {
+// expireMember marks a member as expired.
+func (s *State) expireMember(id string, now time.Time) {
 	_, known := s.members[id]
-	_, already := s.lapsed[id]
+	_, already := s.expired[id]
 	if known && !already {
-		s.lapsed[id] = now.Add(lapsedFor)
+		s.expired[id] = now.Add(expiredGrace)
 	}
 }
 
-// dropLapsed drops the members that were kept for long enough, and reports
-// whether there were any.
-func (s *State) dropLapsed(now time.Time) bool {
-	any := false
-	for id, until := range s.lapsed {
+// dropExpired drops the members whose grace period has passed, and reports whether there
+// were any.
+func (s *State) dropExpired(now time.Time) bool {
+	dropped := false
+	for id, until := range s.expired {
 		if now.Before(until) {
 			continue
 		}
-		delete(s.lapsed, id)
+		delete(s.expired, id)
 		delete(s.members, id)
-		any = true
+		dropped = true
 	}
-	if any {
+	if dropped {
 		s.onMembers(s.memberList())
 	}
-	return any
+	return dropped
 }
 
-// RegisteredCount returns how many members' announcements stand.
+// RegisteredCount returns the number of members whose registration has not expired.
 func (s *State) RegisteredCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.members) - len(s.lapsed)
+	return len(s.members) - len(s.expired)
 }
 
-// memberList returns the instances in the order of their ids.
+// memberList returns the members in the order of their ids.
 func (s *State) memberList() []peer.Member {
 	return slices.SortedFunc(maps.Values(s.members), func(a, b peer.Member) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// settle drops the replicas whose entries did not return with the store, and
-// reports whether there were any.
-func (s *State) settle(now time.Time) bool {
+// dropMissing drops the replicas whose entries were not restored after the store was back,
+// and reports whether there were any.
+func (s *State) dropMissing(now time.Time) bool {
 	gone := s.replicas.Settle(now)
 	for _, id := range gone {
 		s.log("replica_gone", "replica", id, "reason", "its entry did not return with the store")
@@ -166,7 +166,7 @@
 	return len(gone) > 0
 }
 
-// publish puts what is known in force.
+// publish puts the current state in force at the router.
 func (s *State) publish() {
 	m := map[string]rollout.Release{}
 	for k, r := range s.releases {
@@ -174,80 +174,80 @@
 			m[k] = r.current()
 		}
 	}
-	s.view.Put(entry.NewViewOf(nil, s.serving(), s.memberList(), nil).WithRoutes(s.table, m))
+	s.view.Put(entry.NewViewOf(nil, s.eligibleReplicas(), s.memberList(), nil).WithRoutes(s.table, m))
 }
 
-// Tick does what is due by the time alone.
+// Tick does what is due as time passes. It has to be called regularly.
 func (s *State) Tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock()
-	settled, dropped := s.settle(now), s.dropLapsed(now)
+	settled, dropped := s.dropMissing(now), s.dropExpired(now)
 	if settled || dropped {
 		s.publish()
 	}
 	s.checkLease(now)
 }
 
-// checkLease logs when the configuration's lease has run out and when it is
+// checkLease logs when the configuration's lease expires and when the configuration is
 // confirmed again.
 func (s *State) checkLease(now time.Time) {
-	if s.table == nil || s.unconfirmed != s.lease.Fresh(now, 1) {
+	if s.table == nil || s.isUnconfirmed != s.lease.Fresh(now, 1) {
 		return
 	}
-	s.unconfirmed = !s.unconfirmed
+	s.isUnconfirmed = !s.isUnconfirmed
 	a, _ := s.lease.Age(now)
-	if s.unconfirmed {
+	if s.isUnconfirmed {
 		s.log("config_unconfirmed", "version", s.table.Version, "age", a, "keys_honoured", s.lease.AllowsKeys(now))
 		return
 	}
 	s.log("config_confirmed", "version", s.table.Version, "age", a)
 }
 
-// Confirm says that nothing newer than what was applied existed at asOf.
+// Confirm records that the applied state was the newest of the store at asOf.
 func (s *State) Confirm(asOf time.Time) {
 	s.lease.Confirm(asOf)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.confirmStart()
+	s.signalFirstConfig()
 }
 
-// StoreDisconnected says that the store is not reached.
+// StoreDisconnected records that the store can't be reached.
 func (s *State) StoreDisconnected(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.lost {
-		close(s.start.lost)
+	if !s.disconnected {
+		close(s.firstConfig.disconnected)
 	}
-	s.lost = true
+	s.disconnected = true
 	s.replicas.Away()
 	a, _ := s.lease.Age(s.clock())
 	s.log("store_lost", "error", err, "confirmed_ago", a)
 }
 
-// StoreReconnected says that it is reached again.
+// StoreReconnected records that the store is reached again.
 func (s *State) StoreReconnected() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lost {
-		s.start.lost = make(chan struct{})
+	if s.disconnected {
+		s.firstConfig.disconnected = make(chan struct{})
 	}
-	s.lost = false
+	s.disconnected = false
 	now := s.clock()
 	s.replicas.Back(now)
 	a, _ := s.lease.Age(now)
 	s.log("store_back", "confirmed_ago", a)
 }
 
-// freshPart of the lease may be used up at an instance that is ready. New
-// connections go elsewhere before keys can't be honoured here: the platform
-// takes two seconds to notice.
-const freshPart = 0.6
+// readyLeasePart is the part of the lease up to which an instance is ready. New
+// connections have to go to other instances before keys can't be honoured at this one, and
+// the platform takes two seconds to notice.
+const readyLeasePart = 0.6
 
-// Ready reports whether requests can be answered: there is a configuration
-// that was confirmed a short while ago, and a replica.
+// Ready reports whether requests can be answered: there are a replica and a configuration
+// that was confirmed recently.
 func (s *State) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table != nil && s.replicas.Len() > 0 && s.lease.Fresh(s.clock(), freshPart)
+	return s.table != nil && s.replicas.Len() > 0 && s.lease.Fresh(s.clock(), readyLeasePart)
 }
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -15,7 +15,7 @@
 	"fieldvale/route"
 )
 
-// large returns the state of an instance before so many replicas.
+// large returns a state with so many replicas.
 func large(replicas int) *State {
 	s := New(entry.NewCurrentView(), lease.New(time.Second, 2*time.Second, lease.Strict, time.Now()), time.Now, func(string, ...any) {}, func([]peer.Member) {})
 	var c Change
@@ -30,12 +30,12 @@
 	return pool.Replica{ID: fmt.Sprintf("i-%08x", i*7919), Addr: "10.1.1.1:80", Kind: pool.Service, Service: "s", Release: "v1", Slots: 12, DataCentre: "a"}
 }
 
-// What is done each tenth of a second and at each question for readiness costs
-// nothing by the number of replicas.
-func TestTickIsFree(t *testing.T) {
+// Tick is called ten times a second, and Ready at each readiness check: their cost must
+// not grow with the number of replicas.
+func TestTickAndReadyDoNotAllocate(t *testing.T) {
 	s := large(3000)
 	if n := testing.AllocsPerRun(20, func() { s.Tick(); s.Ready() }); n > 0 {
-		t.Errorf("%.0f allocations, want none", n)
+		t.Errorf("Tick and Ready made %.0f allocations, want none", n)
 	}
 }
 
@@ -47,8 +47,8 @@
 	}
 }
 
-// One line says that the configuration could not be confirmed for its lease,
-// with whether keys are honoured all the same, and one that it is again.
+// An expired lease of the configuration must be logged once, with whether keys are still
+// honoured, and its next confirmation once as well.
 func TestUnconfirmedConfigurationIsLogged(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var log []string
@@ -73,33 +73,33 @@
 	}
 }
 
-// Members whose announcements lapse stay known for as long as they take to
-// announce themselves again, and do not count as listed meanwhile.
-func TestLapsedMembersStayForAWhile(t *testing.T) {
+// Registrations of all members expire while the store is down. Members must be kept for as
+// long as they take to register again, and not be counted as registered meanwhile.
+func TestExpiredMembersAreKeptForAWhile(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var known []peer.Member
-	s := New(entry.NewCurrentView(), lease.New(time.Second, 2*time.Second, lease.Strict, now), func() time.Time { return now }, func(string, ...any) {}, func(m []peer.Member) { known = m })
+	var members []peer.Member
+	s := New(entry.NewCurrentView(), lease.New(time.Second, 2*time.Second, lease.Strict, now), func() time.Time { return now }, func(string, ...any) {}, func(m []peer.Member) { members = m })
 	a, b, c := peer.Member{ID: "a"}, peer.Member{ID: "b"}, peer.Member{ID: "c"}
-	check := func(when string, listed int, want ...peer.Member) {
+	check := func(when string, registered int, want ...peer.Member) {
 		t.Helper()
-		if d := cmp.Diff(want, known); d != "" || s.RegisteredCount() != listed {
-			t.Errorf("%s: %d listed, want %d; %s", when, s.RegisteredCount(), listed, d)
+		if d := cmp.Diff(want, members); d != "" || s.RegisteredCount() != registered {
+			t.Errorf("%s: %d members registered, want %d; members: %s", when, s.RegisteredCount(), registered, d)
 		}
 	}
 	s.Apply(Change{Members: []peer.Member{a, b}})
-	check("announced", 2, a, b)
+	check("registered", 2, a, b)
 	s.Apply(Change{LeftMembers: []string{"a", "b"}})
-	check("lapsed", 0, a, b)
-	now = now.Add(lapsedFor / 2)
+	check("expired", 0, a, b)
+	now = now.Add(expiredGrace / 2)
 	s.Apply(Change{Members: []peer.Member{b}})
 	s.Tick()
-	check("b is back", 1, a, b)
+	check("b registered again", 1, a, b)
 	s.Apply(Change{AllReplicas: map[string]bool{}, Members: []peer.Member{c}})
-	check("the list is read whole", 1, a, b, c)
-	now = now.Add(lapsedFor / 2)
+	check("snapshot without a and b", 1, a, b, c)
+	now = now.Add(expiredGrace / 2)
 	s.Tick()
 	check("a is dropped", 1, b, c)
-	now = now.Add(lapsedFor / 2)
+	now = now.Add(expiredGrace / 2)
 	s.Tick()
 	check("b is dropped", 1, c)
 }
