--- a/relay/backoff.go
+++ b/relay/backoff.go
@@ -3,48 +3,45 @@
 import "time"
 
 const (
-	// firstPause and longestPause bound how long an instance of the first two
-	// tiers leaves a store alone that failed it: all have to know what is
-	// newest three seconds after its return, also where the watching ones have
-	// ended meanwhile. The next tiers leave it alone longer, once more for
-	// each tier before them, but for mostPauses at most: all calls have a
-	// price, and those ranked before go on asking.
-	firstPause   = 400 * time.Millisecond
-	longestPause = 1200 * time.Millisecond
-	mostPauses   = 8
+	// initialPause and maxPause bound for how long an instance of the first two tiers does
+	// not ask a store that failed: all instances must have the newest state three seconds
+	// after the store is back, also where the watchers have ended meanwhile. Later tiers
+	// pause longer, by a factor that is their tier up to maxPauseFactor: each call has a
+	// cost, and the instances ranked before them go on asking.
+	initialPause   = 400 * time.Millisecond
+	maxPause       = 1200 * time.Millisecond
+	maxPauseFactor = 8
 )
 
-// backoff is until when an instance leaves a store alone that failed it; it
-// asks other instances meanwhile. The zero value lets it ask at once.
+// backoff is until when an instance does not ask a store that failed; it queries other
+// instances meanwhile. The zero value permits a call at once.
 type backoff struct {
 	until time.Time
-	// pause is how long the store was left alone the last time.
+	// pause is the length of the last pause.
 	pause time.Duration
 }
 
-// waits reports whether it is not yet time to ask the store again.
-func (b backoff) waits(now time.Time) bool { return now.Before(b.until) }
+// isActive reports whether the store must not be asked yet.
+func (b backoff) isActive(now time.Time) bool { return now.Before(b.until) }
 
-// withFailure returns the backoff after the store failed an instance of that
-// tier.
-func (b backoff) withFailure(tier int, now time.Time) backoff {
-	t := time.Duration(min(mostPauses, max(1, tier)))
-	p := min(t*longestPause, max(t*firstPause, 2*b.pause))
+// afterFailure returns the backoff after the store failed for an instance of the tier.
+func (b backoff) afterFailure(tier int, now time.Time) backoff {
+	t := time.Duration(min(maxPauseFactor, max(1, tier)))
+	p := min(t*maxPause, max(t*initialPause, 2*b.pause))
 	return backoff{until: now.Add(p), pause: p}
 }
 
-// leftToOthers is the backoff of an instance that leaves the store to others.
-func leftToOthers(now time.Time) backoff {
-	const pause = mostPauses * longestPause
+// deferredBackoff returns the backoff of an instance that leaves the store to others.
+func deferredBackoff(now time.Time) backoff {
+	const pause = maxPauseFactor * maxPause
 	return backoff{until: now.Add(pause), pause: pause}
 }
 
-// withSource returns the backoff after another instance could tell what the
-// store could not.
-func (b backoff) withSource(now time.Time) backoff {
-	return backoff{until: now.Add(avoidFor), pause: b.pause}
+// afterPeerAnswer returns the backoff after the store failed and another instance answered.
+func (b backoff) afterPeerAnswer(now time.Time) backoff {
+	return backoff{until: now.Add(longAvoid), pause: b.pause}
 }
 
-// withAnswer returns the backoff after the store answered: its next pause is
+// afterStoreAnswer returns the backoff after an answer of the store: the next pause is
 // short again.
-func (b backoff) withAnswer() backoff { return backoff{until: b.until} }
+func (b backoff) afterStoreAnswer() backoff { return backoff{until: b.until} }
--- a/relay/changelog.go
+++ b/relay/changelog.go
@@ -1,7 +1,16 @@
-// Package relay passes what the store holds, and its changes, on between instances, so
-// that few of them have to read and watch the store. An instance that follows another one asks
-// it as it would ask the store, and is told how old that instance's own
-// knowledge is: ages add up, and arrivals prove nothing.
+// Package relay passes the contents of the store and their changes on between instances,
+// so that few of them have to read and watch the store.
+//
+// The members of the fleet are ranked by their links and by hashing. Those of the first
+// tier, the watchers, watch the store. Every other instance follows a source: it queries
+// another instance as it would query the store. A query waits for a change, and its answer
+// has the changes after the queried revision. Each answer states its age, which is how long
+// ago the store confirmed it, over all instances on its path: the arrival of an answer does
+// not confirm that its state is current. An instance without a current answer is
+// disconnected.
+//
+// Queries and answers are datagrams. Large changes and snapshots, which have all keys of
+// the store, are fetched over connections.
 package relay
 
 import (
@@ -14,169 +23,170 @@
 	"fieldvale/store"
 )
 
-// leastLog and maxLogBytes bound the changes kept for followers; a follower that is
-// further behind fetches the whole. In a store of many keys as many changes are kept
-// as there are keys: a release of half of the replicas changes thousands within
-// seconds.
+// minLogItems and maxLogBytes bound the changes kept for followers; a follower that is
+// further behind fetches a snapshot. If the store has more than minLogItems keys, as many
+// changes are kept as it has keys: a release to half of the replicas changes thousands of
+// keys within seconds.
 const (
-	leastLog    = 512
+	minLogItems = 512
 	maxLogBytes = 3 << 20
 )
 
-// ChangeLog is what an instance knows of the store: all that it holds, and its recent
-// changes. It is safe for concurrent use.
+// ChangeLog is the copy of the store of one instance: a snapshot and the recent changes.
+// It is safe for concurrent use.
 type ChangeLog struct {
-	mu    sync.Mutex
-	items []store.Item
-	// floor is the revision from which on items are complete; below 0 there
-	// are none yet.
+	mu sync.Mutex
+	// recent has the newest change of each key that changed after the revision floor. floor
+	// is below 0 as long as there is no snapshot.
+	recent   []store.Item
 	floor    int64
 	revision int64
 	// changed is closed and replaced at each change.
 	changed chan struct{}
-	// confirmed is when the revision was last known to be the newest.
+	// confirmed is the latest moment at which revision was the newest of the store.
 	confirmed time.Time
-	// hops is how many instances what is known has come through: none if the
-	// store itself told it; lost says that the instance is out of touch.
-	hops    int
-	lost    bool
-	content content
-	// fetched is a whole as it came from another instance, at a revision.
+	// hops is through how many instances the state passed: 0 if it is from the store itself.
+	// disconnected is set while the instance reaches neither the store nor a source.
+	hops         int
+	disconnected bool
+	snapshot     snapshot
+	// fetched is a packed snapshot from another instance that Reset is about to add.
 	fetched fetched
 }
 
-// fetched is a packed whole.
+// fetched is a packed snapshot at a revision.
 type fetched struct {
 	packed   []byte
 	revision int64
 }
 
-// NewChangeLog returns a log that knows nothing.
+// NewChangeLog returns an empty log.
 func NewChangeLog() *ChangeLog {
-	return &ChangeLog{floor: -1, hops: unknownHops, changed: make(chan struct{}), content: packedContent(nil, 0)}
+	return &ChangeLog{floor: -1, hops: unknownHops, changed: make(chan struct{}), snapshot: snapshotFromPacked(nil, 0)}
 }
 
-// Reset takes all items that the store holds. What is new among them, and what
-// is gone, counts as changed at the revision: followers need not read the
-// store whole when it has forgotten its history. After an error the log knows nothing.
+// Reset replaces the snapshot by all items of the store. Items that are new in it, and
+// keys that are missing from it, count as changes at the revision: followers need not read
+// a snapshot when the store has compacted its history. After an error the log is empty.
 func (l *ChangeLog) Reset(items []store.Item, revision int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	was, err := l.content.items()
+	previous, err := l.snapshot.items()
 	if err != nil {
-		return l.forget(err)
+		return l.discard(err)
 	}
-	if l.content, err = l.contentOf(items, revision); err != nil {
-		return l.forget(err)
+	if l.snapshot, err = l.buildSnapshot(items, revision); err != nil {
+		return l.discard(err)
 	}
 	if l.floor < 0 {
 		l.floor, l.revision = revision, revision
-		l.wake()
+		l.notify()
 		return nil
 	}
-	var news []store.Item
+	var changes []store.Item
 	for _, i := range items {
 		if i.Revision > l.revision {
-			news = append(news, i)
+			changes = append(changes, i)
 		}
 	}
-	for _, k := range missing(was, items) {
-		news = append(news, store.Item{Key: k, Revision: revision, Deleted: true})
+	for _, k := range missingKeys(previous, items) {
+		changes = append(changes, store.Item{Key: k, Revision: revision, Deleted: true})
 	}
-	l.append(news, revision)
+	l.appendChanges(changes, revision)
 	return nil
 }
 
-// contentOf returns the items as content: as they came, where another instance has packed
-// them.
-func (l *ChangeLog) contentOf(items []store.Item, revision int64) (content, error) {
+// buildSnapshot returns the items as a snapshot: the packed form in which they were
+// fetched from another instance, if they were.
+func (l *ChangeLog) buildSnapshot(items []store.Item, revision int64) (snapshot, error) {
 	f := l.fetched
 	l.fetched = fetched{}
 	if f.packed != nil && f.revision == revision {
-		return packedContent(f.packed, len(items)), nil
+		return snapshotFromPacked(f.packed, len(items)), nil
 	}
-	return newContent(items)
+	return newSnapshot(items)
 }
 
-// fetch notes a whole that came packed from another instance.
-func (l *ChangeLog) fetch(packed []byte, revision int64) {
+// setFetched sets a packed snapshot that was fetched from another instance.
+func (l *ChangeLog) setFetched(packed []byte, revision int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fetched = fetched{packed, revision}
 }
 
-// Add appends changes up to the revision. Of each key the newest item is
-// kept: a follower has no use for those before. After an error the log knows nothing.
+// Add appends the changes up to the revision. Only the newest item of each key is kept:
+// followers don't need earlier ones. After an error the log is empty.
 func (l *ChangeLog) Add(items []store.Item, revision int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.content.put(items); err != nil {
-		return l.forget(err)
+	if err := l.snapshot.put(items); err != nil {
+		return l.discard(err)
 	}
-	l.append(items, revision)
+	l.appendChanges(items, revision)
 	return nil
 }
 
-// forget has the log know nothing, as it can't be told from what it holds.
-func (l *ChangeLog) forget(err error) error {
-	l.content, l.items, l.floor = packedContent(nil, 0), nil, -1
-	l.wake()
-	return errors.Wrap(err, "relay.Log")
+// discard empties the log after an error, since its contents may be incomplete.
+func (l *ChangeLog) discard(err error) error {
+	l.snapshot, l.recent, l.floor = snapshotFromPacked(nil, 0), nil, -1
+	l.notify()
+	return errors.Wrap(err, "relay.ChangeLog")
 }
 
-// append puts items that changed up to the revision behind the others.
-func (l *ChangeLog) append(items []store.Item, revision int64) {
+// appendChanges appends items that changed up to the revision, in place of earlier changes
+// of their keys.
+func (l *ChangeLog) appendChanges(items []store.Item, revision int64) {
 	changed := map[string]bool{}
 	for _, i := range items {
 		changed[i.Key] = true
 	}
-	n := make([]store.Item, 0, len(l.items)+len(items))
-	for _, i := range l.items {
+	n := make([]store.Item, 0, len(l.recent)+len(items))
+	for _, i := range l.recent {
 		if !changed[i.Key] {
 			n = append(n, i)
 		}
 	}
-	l.items = append(n, items...)
+	l.recent = append(n, items...)
 	l.revision = max(l.revision, revision)
 	l.trim()
-	l.wake()
+	l.notify()
 }
 
-// trim drops the oldest items beyond the bounds.
+// trim drops the oldest changes beyond the bounds.
 func (l *ChangeLog) trim() {
-	n, size := len(l.items), 0
-	most := max(leastLog, l.content.len())
-	for n > 0 && len(l.items)-n < most && size+len(l.items[n-1].Value) <= maxLogBytes {
+	n, size := len(l.recent), 0
+	maxItems := max(minLogItems, l.snapshot.len())
+	for n > 0 && len(l.recent)-n < maxItems && size+len(l.recent[n-1].Value) <= maxLogBytes {
 		n--
-		size += len(l.items[n].Value)
+		size += len(l.recent[n].Value)
 	}
 	if n > 0 {
-		l.floor = max(l.floor, l.items[n-1].Revision)
-		l.items = append([]store.Item(nil), l.items[n:]...)
+		l.floor = max(l.floor, l.recent[n-1].Revision)
+		l.recent = append([]store.Item(nil), l.recent[n:]...)
 	}
 }
 
-// Confirm says that nothing newer than what was added existed at asOf.
+// Confirm records that the log held the newest state of the store at asOf.
 func (l *ChangeLog) Confirm(asOf time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.confirmed.IsZero() {
-		l.wake()
+		l.notify()
 	}
 	if asOf.After(l.confirmed) {
 		l.confirmed = asOf
 	}
 }
 
-// SetLost says whether the instance is out of touch with what it follows.
-func (l *ChangeLog) SetLost(lost bool) {
+// SetDisconnected records whether the instance reaches neither the store nor a source.
+func (l *ChangeLog) SetDisconnected(disconnected bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lost = lost
-	l.wake()
+	l.disconnected = disconnected
+	l.notify()
 }
 
-// SetHops says how many instances what is known has come through.
+// SetHops sets through how many instances the state passed.
 func (l *ChangeLog) SetHops(hops int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -184,99 +194,102 @@
 		return
 	}
 	l.hops = hops
-	l.wake()
+	l.notify()
 }
 
-// Hops returns how many instances what is known has come through.
+// Hops returns through how many instances the state passed.
 func (l *ChangeLog) Hops() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.hops
 }
 
-func (l *ChangeLog) wake() {
+// notify wakes all that wait for a change.
+func (l *ChangeLog) notify() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// since returns what changed after the revision, how old that knowledge is at
-// now, and whether the log can tell, which it can't if it came through more
-// than maxHops instances. changed is closed at the next change.
+// since returns the changes after the revision and their age at now. The status is
+// statusFetchSnapshot if the log no longer has all of these changes, and
+// statusDisconnected if the log is empty or disconnected, or if its state passed through
+// more than maxHops instances. changed is closed at the next change.
 func (l *ChangeLog) since(after int64, maxHops int, now time.Time) (c store.Changes, changed <-chan struct{}, s status) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.Revision = l.revision
 	c.Age = now.Sub(l.confirmed)
 	switch {
-	case l.floor < 0 || l.confirmed.IsZero() || l.lost || l.hops > maxHops:
-		return c, l.changed, lostTouch
+	case l.floor < 0 || l.confirmed.IsZero() || l.disconnected || l.hops > maxHops:
+		return c, l.changed, statusDisconnected
 	case after < l.floor:
-		return c, l.changed, forgotten
+		return c, l.changed, statusFetchSnapshot
 	}
-	for _, i := range l.items {
+	for _, i := range l.recent {
 		if i.Revision > after {
 			c.Items = append(c.Items, i)
 		}
 	}
-	return c, l.changed, known
+	return c, l.changed, statusOK
 }
 
-// whole is all that the store held at a revision, and when that was the newest.
-type whole struct {
-	content  content
+// datedSnapshot is a snapshot at a revision; asOf is when that was confirmed as the newest.
+type datedSnapshot struct {
+	snapshot snapshot
 	revision int64
 	asOf     time.Time
 }
 
-// all returns all that is known; ok is false if that is nothing yet.
-func (l *ChangeLog) all() (w whole, ok bool) {
+// current returns the snapshot at the current revision; ok is false if there is none yet.
+func (l *ChangeLog) current() (w datedSnapshot, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.floor < 0 || l.confirmed.IsZero() {
-		return whole{}, false
+		return datedSnapshot{}, false
 	}
-	c := l.content
+	c := l.snapshot
 	c.changed = maps.Clone(c.changed)
-	return whole{content: c, revision: l.revision, asOf: l.confirmed}, true
+	return datedSnapshot{snapshot: c, revision: l.revision, asOf: l.confirmed}, true
 }
 
-// newest returns the newest revision known, and when it was last known to be that; ok
-// is false if nothing is known yet.
+// newest returns the newest revision and when it was last confirmed as that; ok is false
+// if there is none yet.
 func (l *ChangeLog) newest() (revision int64, confirmed time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.revision, l.confirmed, l.floor >= 0 && !l.confirmed.IsZero()
 }
 
-// next is closed at the next change.
-func (l *ChangeLog) next() <-chan struct{} {
+// changeSignal returns a channel that is closed at the next change.
+func (l *ChangeLog) changeSignal() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-// isLost reports whether the instance is out of touch with what it follows.
-func (l *ChangeLog) isLost() bool {
+// isDisconnected reports whether the instance reaches neither the store nor a source.
+func (l *ChangeLog) isDisconnected() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lost
+	return l.disconnected
 }
 
-// status is how an instance answers a follower.
+// status is the status of an answer or the result of a query.
 type status int
 
 const (
-	known status = iota
-	// forgotten: the follower is too far behind.
-	forgotten
-	// lostTouch: the instance itself can't tell what is newest.
-	lostTouch
-	// tooLarge: the changes are more than maxPacked, and are to be fetched.
-	tooLarge
-	// starting: the instance is about to know the whole.
-	starting
-	// unheard: no answer came.
-	unheard
-	// busy: the link has no room for what is known.
-	busy
+	// statusOK: the answer has the changes after the queried revision.
+	statusOK status = iota
+	// statusFetchSnapshot: the follower is too far behind and has to fetch a snapshot.
+	statusFetchSnapshot
+	// statusDisconnected: the answering instance has no current state.
+	statusDisconnected
+	// statusTooLarge: the changes exceed maxPackedBytes and have to be fetched.
+	statusTooLarge
+	// statusStarting: the answering instance is about to have a snapshot.
+	statusStarting
+	// statusNoAnswer: no answer arrived. It is never sent.
+	statusNoAnswer
+	// statusBusy: the link has no capacity for the changes.
+	statusBusy
 )
--- a/relay/chunks.go
+++ b/relay/chunks.go
@@ -9,104 +9,106 @@
 )
 
 const (
-	// pieceSize is the most that one datagram holds, in bytes; a message that
-	// is larger goes in pieces. Few fragments on a usual link of 1,500 bytes.
-	pieceSize = 8 << 10
-	// maxPieces bounds the pieces of a message: 2 MB.
-	maxPieces = 256
-	// maxPartial is how many messages may be incomplete at a time; a lost
-	// piece leaves one behind, and the oldest gives way.
-	maxPartial = 8
-	// pieceHead is the bytes before a piece: kind, message, index and count.
-	pieceHead = 1 + 8 + 2 + 2
+	// chunkSize is the largest message that one datagram holds, in bytes; a larger message
+	// is sent in chunks. A datagram of this size has few IP fragments on a usual link with
+	// an MTU of 1,500 bytes.
+	chunkSize = 8 << 10
+	// maxChunks bounds the chunks of a message: 2 MB.
+	maxChunks = 256
+	// maxIncomplete is how many incomplete messages are kept; a lost chunk leaves one
+	// behind, and the oldest is dropped first.
+	maxIncomplete = 8
+	// chunkHeaderSize is the size of a chunk's header, in bytes: kind, message id, index and
+	// count.
+	chunkHeaderSize = 1 + 8 + 2 + 2
 )
 
-// split returns the message as datagrams.
+// split returns the message as one or more datagrams.
 func split(id uint64, b []byte) ([][]byte, error) {
-	if len(b) <= pieceSize {
+	if len(b) <= chunkSize {
 		return [][]byte{b}, nil
 	}
-	n := (len(b) + pieceSize - 1) / pieceSize
-	if n > maxPieces {
-		return nil, errors.Newf("relay.split: %d bytes are too many", len(b))
+	n := (len(b) + chunkSize - 1) / chunkSize
+	if n > maxChunks {
+		return nil, errors.Newf("relay.split: a message of %d bytes is too large for 256 chunks of 8 KiB", len(b))
 	}
 	var l [][]byte
 	for i := range n {
-		h := binary.BigEndian.AppendUint64([]byte{piece}, id)
+		h := binary.BigEndian.AppendUint64([]byte{kindChunk}, id)
 		h = binary.BigEndian.AppendUint16(h, uint16(i))
 		h = binary.BigEndian.AppendUint16(h, uint16(n))
-		l = append(l, append(h, b[i*pieceSize:min(len(b), (i+1)*pieceSize)]...))
+		l = append(l, append(h, b[i*chunkSize:min(len(b), (i+1)*chunkSize)]...))
 	}
 	return l, nil
 }
 
-// partial is a message of which pieces have come.
-type partial struct {
-	from   string
-	id     uint64
-	pieces [][]byte
-	left   int
+// incompleteMessage is a message of which some chunks have arrived.
+type incompleteMessage struct {
+	from    string
+	id      uint64
+	chunks  [][]byte
+	missing int
 }
 
-// pieces puts messages together. It is safe for concurrent use.
-type pieces struct {
-	mu sync.Mutex
-	l  []*partial
+// reassembler joins the chunks of messages. It is safe for concurrent use.
+type reassembler struct {
+	mu         sync.Mutex
+	incomplete []*incompleteMessage
 }
 
-// join takes a datagram and returns the message that is complete by it, nil if
-// there is none. The datagram's bytes are copied.
-func (p *pieces) join(from string, b []byte) ([]byte, error) {
-	if len(b) == 0 || b[0] != piece {
+// join takes a datagram and returns the message that it completes, or nil. The bytes of a
+// chunk are copied.
+func (p *reassembler) join(from string, b []byte) ([]byte, error) {
+	if len(b) == 0 || b[0] != kindChunk {
 		return b, nil
 	}
-	id, i, n, err := readHead(b)
+	id, i, n, err := parseChunkHeader(b)
 	if err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	x := p.of(from, id, n)
-	if len(x.pieces) != n || x.pieces[i] != nil {
+	x := p.message(from, id, n)
+	if len(x.chunks) != n || x.chunks[i] != nil {
 		return nil, nil
 	}
-	x.pieces[i] = append([]byte{}, b[pieceHead:]...)
-	if x.left--; x.left > 0 {
+	x.chunks[i] = append([]byte{}, b[chunkHeaderSize:]...)
+	if x.missing--; x.missing > 0 {
 		return nil, nil
 	}
 	p.drop(x)
-	return slices.Concat(x.pieces...), nil
+	return slices.Concat(x.chunks...), nil
 }
 
-// readHead returns the piece's message, its index and the count.
-func readHead(b []byte) (id uint64, i, n int, err error) {
-	if len(b) < pieceHead {
-		return 0, 0, 0, errors.New("relay.join: a short piece")
+// parseChunkHeader returns the id of the chunk's message, the chunk's index and the count.
+func parseChunkHeader(b []byte) (id uint64, i, n int, err error) {
+	if len(b) < chunkHeaderSize {
+		return 0, 0, 0, errors.New("relay.join: chunk is shorter than its header")
 	}
 	id = binary.BigEndian.Uint64(b[1:])
 	i, n = int(binary.BigEndian.Uint16(b[9:])), int(binary.BigEndian.Uint16(b[11:]))
-	if n == 0 || n > maxPieces || i >= n {
-		return 0, 0, 0, errors.Newf("relay.join: piece %d of %d", i, n)
+	if n == 0 || n > maxChunks || i >= n {
+		return 0, 0, 0, errors.Newf("relay.join: chunk index is %d of %d, want an index below the count, and a count of 1 to 256", i, n)
 	}
 	return id, i, n, nil
 }
 
-// of returns the message's pieces so far.
-func (p *pieces) of(from string, id uint64, n int) *partial {
-	for _, x := range p.l {
+// message returns the incomplete message of a chunk, and adds it if there is none.
+func (p *reassembler) message(from string, id uint64, n int) *incompleteMessage {
+	for _, x := range p.incomplete {
 		if x.from == from && x.id == id {
 			return x
 		}
 	}
-	x := &partial{from: from, id: id, pieces: make([][]byte, n), left: n}
-	if len(p.l) == maxPartial {
-		p.l = p.l[1:]
+	x := &incompleteMessage{from: from, id: id, chunks: make([][]byte, n), missing: n}
+	if len(p.incomplete) == maxIncomplete {
+		p.incomplete = p.incomplete[1:]
 	}
-	p.l = append(p.l, x)
+	p.incomplete = append(p.incomplete, x)
 	return x
 }
 
-// drop forgets the message.
-func (p *pieces) drop(x *partial) {
-	p.l = slices.DeleteFunc(p.l, func(y *partial) bool { return y == x })
+// drop removes a message.
+func (p *reassembler) drop(x *incompleteMessage) {
+	p.incomplete = slices.DeleteFunc(p.incomplete, func(y *incompleteMessage) bool { return y == x })
 }
--- a/relay/compaction_test.go
+++ b/relay/compaction_test.go
@@ -12,85 +12,89 @@
 	"fieldvale/store"
 )
 
-// A whole that another instance has is no newer than what was known: the store has to be read.
-func TestHistoryDroppedWhileWatchersAreTurnedAway(t *testing.T) {
+// The store refuses the watchers and compacts its history. The snapshots that other
+// instances have are no newer than the compacted revision, so the store has to be read.
+func TestCompactionWhileStoreRefusesWatchers(t *testing.T) {
 	for _, c := range []struct {
 		fleet  int
 		silent bool
 	}{{3, false}, {6, false}, {6, true}, {30, true}, {82, false}} {
 		t.Run(fmt.Sprintf("%d silent=%t", c.fleet, c.silent), func(t *testing.T) {
 			withFleet(t, c.fleet, func(t *testing.T, f *fleet, s *fakeStore) {
-				away := Watchers(f.members())
-				f.turnAway(away, c.silent)
+				refused := Watchers(f.members())
+				f.refuse(refused, c.silent)
 				s.compact()
 				time.Sleep(2 * time.Second)
 				r := s.put("a", "2")
 				time.Sleep(2 * time.Second)
-				f.know(t, r, away)
+				f.wantState(t, r, refused)
 			})
 		})
 	}
 }
 
-// Watching instances ask others where the store turns them away, as they start and as history is gone.
-func TestWatchersThatTheStoreTurnsAwayAreTold(t *testing.T) {
+// A watcher that the store refuses must fetch a snapshot from other instances, as it starts
+// and after the history was compacted.
+func TestRefusedWatchersFetchFromOthers(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		befall func(f *fleet, s *fakeStore)
+		name  string
+		fault func(f *fleet, s *fakeStore)
 	}{
-		{"as they start", func(f *fleet, _ *fakeStore) { f.restart(Watchers(f.members())...) }},
-		{"after history", func(_ *fleet, s *fakeStore) { s.compact() }},
+		{"at their start", func(f *fleet, _ *fakeStore) { f.restart(Watchers(f.members())...) }},
+		{"after a compaction", func(_ *fleet, s *fakeStore) { s.compact() }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			withFleet(t, 6, func(t *testing.T, f *fleet, s *fakeStore) {
-				f.turnAway(Watchers(f.members()), false)
-				c.befall(f, s)
+				f.refuse(Watchers(f.members()), false)
+				c.fault(f, s)
 				time.Sleep(5 * time.Second)
 				r := s.put("a", "2")
 				time.Sleep(2 * time.Second)
-				f.know(t, r, nil)
+				f.wantState(t, r, nil)
 			})
 		})
 	}
 }
 
-// turnAway has the store turn the instances away.
-func (f *fleet) turnAway(m []peer.Member, silent bool) {
+// refuse has the store refuse the instances, or not answer them if silent is set.
+func (f *fleet) refuse(m []peer.Member, silent bool) {
 	for _, x := range m {
-		f.away[x.ID].silent = silent
-		f.away[x.ID].set(true)
+		f.outages[x.ID].silent = silent
+		f.outages[x.ID].set(true)
 	}
 }
 
-// know checks that all instances but those turned away know the revision, and are in touch.
-func (f *fleet) know(t *testing.T, revision int64, away []peer.Member) {
+// wantState fails unless all instances but those in away have the revision, confirmed
+// recently.
+func (f *fleet) wantState(t *testing.T, revision int64, refused []peer.Member) {
 	t.Helper()
-	out := map[string]bool{}
-	for _, m := range away {
-		out[m.ID] = true
+	excluded := map[string]bool{}
+	for _, m := range refused {
+		excluded[m.ID] = true
 	}
-	for id, on := range f.on {
-		if got, confirmed, _ := on.state(); !out[id] && (got < revision || time.Since(confirmed) > times.MaxAge+times.StoreWait) {
-			t.Errorf("%s is at revision %d of %d, confirmed %s ago", id, got, revision, time.Since(confirmed))
+	for id, listener := range f.listeners {
+		if got, confirmed, _ := listener.state(); !excluded[id] && (got < revision || time.Since(confirmed) > testTiming.MaxAge+testTiming.StoreWait) {
+			t.Errorf("%s is at revision %d, want at least %d; confirmed %s ago, want at most Timing.MaxAge plus StoreWait", id, got, revision, time.Since(confirmed))
 		}
 	}
 }
 
-// It is neither offered to one that knows as much, nor taken where it is offered all the same.
-func TestAWholeThatIsNoNewerIsNotTaken(t *testing.T) {
+// A snapshot that is no newer than the state of the receiver must be neither offered to it
+// nor accepted by it: after the history was compacted it would have to read again at once.
+func TestSnapshotMustBeNewer(t *testing.T) {
 	items, err := pack([]store.Item{{Key: "a", Revision: 7}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Unix(1_700_000_000, 0)
 	for _, c := range []struct {
-		asked, fetched int64
-		want           status
-		err            error
+		queriedAfter, fetched int64
+		want                  status
+		err                   error
 	}{
-		{nothing, 7, forgotten, errOlder}, {6, 7, forgotten, errOlder}, {7, 8, lostTouch, nil}, {8, 6, lostTouch, errOlder},
+		{noRevision, 7, statusFetchSnapshot, errNotNewer}, {6, 7, statusFetchSnapshot, errNotNewer}, {7, 8, statusDisconnected, nil}, {8, 6, statusDisconnected, errNotNewer},
 	} {
-		b, err := encode(message{Answer: &answer{All: true, Revision: c.fetched}}, items)
+		b, err := encode(message{Answer: &answer{Snapshot: true, Revision: c.fetched}}, items)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -99,68 +103,71 @@
 			t.Fatal(err)
 		}
 		l.Confirm(now)
-		n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: l, Fetcher: slowTransfer{b, 0, &now}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
-		if g := n.wholeStatus(c.asked); g != c.want {
-			t.Errorf("one that knows %d is told %d, want %d", c.asked, g, c.want)
+		n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: l, Fetcher: slowFetcher{b, 0, &now}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, testTiming)
+		if g := n.snapshotStatus(c.queriedAfter); g != c.want {
+			t.Errorf("snapshot status for an instance at revision %d is %d, want %d", c.queriedAfter, g, c.want)
 		}
-		if _, err := n.fetch(t.Context(), "x", nothing); !errors.Is(err, c.err) {
-			t.Errorf("a whole at %d was fetched where 7 is known: %v, want %v", c.fetched, err, c.err)
+		if _, err := n.fetch(t.Context(), "x", noRevision); !errors.Is(err, c.err) {
+			t.Errorf("fetch of a snapshot at revision %d with own state at 7: error %v, want %v", c.fetched, err, c.err)
 		}
 	}
 }
 
-// Where all others have been silent, these are asked again.
-func TestSilentOnesAreAskedWhereNobodyElseIsLeft(t *testing.T) {
+// Where no member answered its last queries, they must be queried again nevertheless: this
+// instance may have been the one that was cut off.
+func TestSilentSourcesAreQueriedWhenNoOthersAreLeft(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	n := NewNode(peer.Member{ID: "a"}, 1, Ports{ChangeLog: NewChangeLog(), Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
+	n := NewNode(peer.Member{ID: "a"}, 1, Ports{ChangeLog: NewChangeLog(), Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, testTiming)
 	m := []peer.Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	n.SetMembers(m)
 	for _, x := range m[1:] {
-		n.passSilent(x)
-		n.passSilent(x)
+		n.avoidSilent(x)
+		n.avoidSilent(x)
 	}
-	if before, rest, _ := n.sources(); len(before) != 0 || len(rest) != 2 {
-		t.Errorf("%v are asked first, %v last, want both others last", before, rest)
+	if primary, fallback, _ := n.sources(); len(primary) != 0 || len(fallback) != 2 {
+		t.Errorf("primary sources %v, fallback sources %v, want none and both other members", primary, fallback)
 	}
 }
 
-// fullLink is the way to an instance whose link has room at the second question for its news.
-type fullLink struct {
-	n     *Node
-	asked *int
+// busyLink is the transport to an instance whose link has capacity for the changes only at
+// the second query for them.
+type busyLink struct {
+	n       *Node
+	queries *int
 }
 
-func (f fullLink) Send(_ string, b []byte) error {
+func (f busyLink) Send(_ string, b []byte) error {
 	m, err := decode(b)
 	if err != nil {
 		return err
 	}
-	a := answer{ID: m.Question.ID, Status: known, Revision: 2}
-	if !m.Question.Peek {
-		*f.asked++
-		a.Status, a.Items = busy, nil
-		if *f.asked > 1 {
-			a.Status, a.Items = known, []store.Item{{Key: "a", Revision: 2}}
+	a := answer{ID: m.Query.ID, Status: statusOK, Revision: 2}
+	if !m.Query.Peek {
+		*f.queries++
+		a.Status, a.Items = statusBusy, nil
+		if *f.queries > 1 {
+			a.Status, a.Items = statusOK, []store.Item{{Key: "a", Revision: 2}}
 		}
 	}
-	f.n.waiting.Deliver(a.ID, a)
+	f.n.pending.Deliver(a.ID, a)
 	return nil
 }
 
-// One whose link is full has not lost its way to the store: it is asked again.
-func TestAFullLinkIsAskedAgain(t *testing.T) {
+// An instance whose link has no capacity is not disconnected: it must be queried again
+// instead of the store.
+func TestBusySourceIsQueriedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asked := 0
-		n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: NewChangeLog(), Clock: time.Now, Event: func(string, ...any) {}}, times)
-		n.net = fullLink{n, &asked}
+		queries := 0
+		n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: NewChangeLog(), Clock: time.Now, Event: func(string, ...any) {}}, testTiming)
+		n.net = busyLink{n, &queries}
 		c, s := n.follow(t.Context(), []peer.Member{{ID: "a", Addr: "a"}, {ID: "b", Addr: "b"}}, 1)
-		if s != known || len(c.Items) != 1 || n.sourceLost {
-			t.Errorf("status %d with %d items, source lost %t", s, len(c.Items), n.sourceLost)
+		if s != statusOK || len(c.Items) != 1 || n.sourceDisconnected {
+			t.Errorf("status %d, want 0; %d items, want 1; source disconnected %t, want false", s, len(c.Items), n.sourceDisconnected)
 		}
 	})
 }
 
-// sentAnswers keeps the answers that are sent.
+// sentAnswers is a transport that records the answers sent.
 type sentAnswers struct{ l *[]answer }
 
 func (s sentAnswers) Send(_ string, b []byte) error {
@@ -171,14 +178,15 @@
 	return err
 }
 
-// An answer for which the link has no room says so, and not that the store is lost.
-func TestAnAnswerSaysThatTheLinkIsFull(t *testing.T) {
+// An answer for which the link has no capacity must have statusBusy, not
+// statusDisconnected, which would send the followers to the store.
+func TestAnswerReportsBusyLink(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	var sent []answer
-	n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: NewChangeLog(), Net: sentAnswers{&sent}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
-	n.linkFree = now.Add(time.Hour)
-	n.reply("b", question{After: 1}, store.Changes{Items: []store.Item{{Key: "a", Revision: 2}}, Revision: 2}, known)
-	if len(sent) != 1 || sent[0].Status != busy || sent[0].Revision != 2 {
-		t.Errorf("sent %+v, want one answer that says busy", sent)
+	n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: NewChangeLog(), Net: sentAnswers{&sent}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, testTiming)
+	n.linkFreeAt = now.Add(time.Hour)
+	n.reply("b", query{After: 1}, store.Changes{Items: []store.Item{{Key: "a", Revision: 2}}, Revision: 2}, statusOK)
+	if len(sent) != 1 || sent[0].Status != statusBusy || sent[0].Revision != 2 {
+		t.Errorf("sent %+v, want one answer with statusBusy and revision 2", sent)
 	}
 }
--- a/relay/fetchtree.go
+++ b/relay/fetchtree.go
@@ -6,41 +6,42 @@
 )
 
 const (
-	// fanOut is how many instances fetch the whole from one.
+	// fanOut is how many instances fetch a snapshot from one instance.
 	fanOut = 4
-	// treeFor is for how long those that asked for the whole are remembered after the
-	// last of them: while a fleet starts, some ask each second.
-	treeFor = 10 * time.Second
+	// treeExpiry is how long the tree is kept after the last query for a snapshot: while a
+	// fleet starts, some instances ask in each second.
+	treeExpiry = 10 * time.Second
 )
 
-// tree deals those that ask an instance for the whole among each other: the first ones
-// get it from the instance, each of the next ones from one that asked before, so that
-// twice as many take some steps more, not twice the time, and no link carries more
+// fetchTree arranges the instances that ask for a snapshot in a tree: the first ones fetch
+// it from this instance, each later one from an instance that asked before it. Twice as
+// many instances then take a few steps more, not twice the time, and no link carries more
 // than fanOut copies. It is safe for concurrent use.
-type tree struct {
+type fetchTree struct {
 	mu sync.Mutex
-	// askers are addresses in the order of their questions; place is where each is.
-	askers []string
-	place  map[string]int
-	until  time.Time
+	// askers are the addresses in the order of their first query; index has their positions.
+	askers    []string
+	index     map[string]int
+	expiresAt time.Time
 }
 
-// parent returns where the asker fetches the whole; it is empty for the instance itself.
-// lost is where it did not get it, if not empty: who asks then takes that one's place.
-func (t *tree) parent(asker, lost string, now time.Time) string {
+// parent returns the address from which the asker fetches the snapshot; it is empty for
+// this instance. failed, if not empty, is the address from which the fetch failed: the
+// asker takes the position of that instance.
+func (t *fetchTree) parent(asker, failed string, now time.Time) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.After(t.until) {
-		t.askers, t.place = nil, map[string]int{}
+	if now.After(t.expiresAt) {
+		t.askers, t.index = nil, map[string]int{}
 	}
-	t.until = now.Add(treeFor)
-	i, known := t.place[asker]
-	if !known {
+	t.expiresAt = now.Add(treeExpiry)
+	i, exists := t.index[asker]
+	if !exists {
 		i = len(t.askers)
 		t.askers = append(t.askers, asker)
-		t.place[asker] = i
+		t.index[asker] = i
 	}
-	if j, ok := t.place[lost]; ok && j < i {
+	if j, ok := t.index[failed]; ok && j < i {
 		t.swap(i, j)
 		i = j
 	}
@@ -50,28 +51,28 @@
 	return t.askers[i/fanOut-1]
 }
 
-// changeTree is the tree of those that are told of one large change: they fetch it in the
-// same moment. It is safe for concurrent use.
+// changeTree is the fetch tree of the newest large change, which all followers fetch at
+// the same moment. It is safe for concurrent use.
 type changeTree struct {
 	mu       sync.Mutex
 	revision int64
-	tree     *tree
+	tree     *fetchTree
 }
 
-// parent returns where the asker fetches the changes up to the revision; it is empty for
-// the instance itself.
+// parent returns the address from which the asker fetches the changes up to the revision;
+// it is empty for this instance.
 func (c *changeTree) parent(asker string, revision int64, now time.Time) string {
 	c.mu.Lock()
 	if c.tree == nil || c.revision != revision {
-		c.revision, c.tree = revision, &tree{}
+		c.revision, c.tree = revision, &fetchTree{}
 	}
 	t := c.tree
 	c.mu.Unlock()
 	return t.parent(asker, "", now)
 }
 
-// swap exchanges two askers' places.
-func (t *tree) swap(i, j int) {
+// swap exchanges the positions of two askers.
+func (t *fetchTree) swap(i, j int) {
 	t.askers[i], t.askers[j] = t.askers[j], t.askers[i]
-	t.place[t.askers[i]], t.place[t.askers[j]] = i, j
+	t.index[t.askers[i]], t.index[t.askers[j]] = i, j
 }
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -19,37 +19,37 @@
 
 var _ = seed.Fix()
 
-// The packer makes its channels with its first use, which has to be outside the bubbles
-// of tests.
+// The first use of the packer creates its channels, which must not happen inside the
+// synctest bubble of a test.
 var _, _ = pack([]store.Item{{Key: "k"}})
 
-// fakeStore is a feed whose history is kept whole.
+// fakeStore is a feed that keeps its full history until compact is called.
 type fakeStore struct {
 	mu    sync.Mutex
 	items []store.Item
 	down  bool
 	calls int
-	// reads are the calls that read all keys.
+	// reads is the number of calls that read all keys.
 	reads int
-	// forgotten is the revision before which the history is gone.
-	forgotten int64
-	// deaf says that calls for changes hear of none.
-	deaf bool
+	// compactedTo is the revision before which the history is gone.
+	compactedTo int64
+	// missesChanges has calls for changes return none.
+	missesChanges bool
 }
 
-// setDeaf has calls for changes hear of none, or of all again.
-func (f *fakeStore) setDeaf(deaf bool) {
+// setMissesChanges sets whether calls for changes return none.
+func (f *fakeStore) setMissesChanges(missesChanges bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.deaf = deaf
+	f.missesChanges = missesChanges
 }
 
-// compact forgets the history and ends the calls that wait.
+// compact compacts the history and ends the calls that wait.
 func (f *fakeStore) compact() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.forgotten = int64(len(f.items)) + 1
-	f.items = append(f.items, store.Item{Key: "z", Revision: f.forgotten})
+	f.compactedTo = int64(len(f.items)) + 1
+	f.items = append(f.items, store.Item{Key: "z", Revision: f.compactedTo})
 }
 
 var errDown = errors.New("down")
@@ -62,8 +62,7 @@
 	return r
 }
 
-// setDown has the store fail all calls, or none, and returns how many calls
-// there were until then.
+// setDown sets whether the store fails all calls, and returns the number of calls so far.
 func (f *fakeStore) setDown(down bool) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,14 +89,14 @@
 		f.mu.Lock()
 		n := int64(len(f.items))
 		l := append([]store.Item(nil), f.items[min(after, n):]...)
-		d, gone, deaf := f.down, after < f.forgotten, f.deaf
+		d, isCompacted, missesChanges := f.down, after < f.compactedTo, f.missesChanges
 		f.mu.Unlock()
 		switch {
-		case gone:
+		case isCompacted:
 			return store.Changes{}, store.ErrCompacted
 		case d:
 			return store.Changes{}, errDown
-		case deaf && ctx.Err() == nil:
+		case missesChanges && ctx.Err() == nil:
 			continue
 		case ctx.Err() != nil:
 			return store.Changes{}, ctx.Err()
@@ -107,38 +106,38 @@
 	}
 }
 
-// network delivers datagrams after a delay; cut holds the ways that are cut.
+// network delivers datagrams after a delay. cut has the links that are cut, as "from>to".
 type network struct {
 	mu    sync.Mutex
 	nodes map[string]*Node
 	cut   map[string]bool
-	// lose has how many of the next datagrams of each way are lost.
-	lose  map[string]int
-	delay time.Duration
-	// rate is what each instance's link sends in a second, in bytes; 0 for no
-	// bound. What would wait longer than fullAfter is lost.
-	rate  float64
-	until map[string]time.Time
-	// transit is how long what was fetched is under way once it was given.
-	transit time.Duration
-	// lossPart is the part of all datagrams that are lost.
-	lossPart float64
-	// links are the rates of single instances' links, where they differ.
-	links map[string]float64
+	// dropNext is how many of the next datagrams of each link are lost.
+	dropNext map[string]int
+	delay    time.Duration
+	// rate is what each instance's link sends in a second, in bytes; 0 for no bound. A
+	// datagram that would wait longer than maxQueueDelay is lost.
+	rate       float64
+	linkFreeAt map[string]time.Time
+	// transferDelay is added to the time that the bytes of a fetch take.
+	transferDelay time.Duration
+	// lossRate is the part of all datagrams that is lost.
+	lossRate float64
+	// linkRates are the rates of the links that differ from rate.
+	linkRates map[string]float64
 }
 
 // rateOf returns what the instance's link sends in a second, in bytes; n.mu is held.
 func (n *network) rateOf(from string) float64 {
-	if r, ok := n.links[from]; ok {
+	if r, ok := n.linkRates[from]; ok {
 		return r
 	}
 	return n.rate
 }
 
-// fullAfter is how long the queue of a link is.
-const fullAfter = 200 * time.Millisecond
+// maxQueueDelay is the length of a link's queue.
+const maxQueueDelay = 200 * time.Millisecond
 
-// reserve returns how long bytes of a connection take over their sender's link; n.mu is
+// reserve returns how long the bytes of a connection take on the sender's link; n.mu is
 // held.
 func (n *network) reserve(from string, bytes int) time.Duration {
 	rate := n.rateOf(from)
@@ -146,52 +145,52 @@
 		return 0
 	}
 	now := time.Now()
-	at := n.until[from]
+	at := n.linkFreeAt[from]
 	if at.Before(now) {
 		at = now
 	}
 	at = at.Add(time.Duration(float64(bytes) / rate * float64(time.Second)))
-	n.until[from] = at
+	n.linkFreeAt[from] = at
 	return at.Sub(now)
 }
 
-// queue returns how long the datagram waits for its sender's link, and whether
-// it is sent at all; n.mu is held.
+// queue returns how long a datagram takes on the sender's link, and whether it is sent at
+// all; n.mu is held.
 func (n *network) queue(from string, bytes int) (time.Duration, bool) {
 	rate := n.rateOf(from)
 	if rate == 0 {
 		return 0, true
 	}
 	now := time.Now()
-	at := n.until[from]
+	at := n.linkFreeAt[from]
 	if at.Before(now) {
 		at = now
 	}
-	if at.Sub(now) > fullAfter {
+	if at.Sub(now) > maxQueueDelay {
 		return 0, false
 	}
 	at = at.Add(time.Duration(float64(bytes) / rate * float64(time.Second)))
-	n.until[from] = at
+	n.linkFreeAt[from] = at
 	return at.Sub(now), true
 }
 
-type way struct {
+type endpoint struct {
 	n    *network
 	from string
 }
 
-func (w way) Send(to string, b []byte) error {
+func (w endpoint) Send(to string, b []byte) error {
 	w.n.mu.Lock()
 	defer w.n.mu.Unlock()
 	x := w.n.nodes[to]
 	if x == nil || w.n.cut[w.from+">"+to] {
 		return nil
 	}
-	if w.n.lose[w.from+">"+to] > 0 {
-		w.n.lose[w.from+">"+to]--
+	if w.n.dropNext[w.from+">"+to] > 0 {
+		w.n.dropNext[w.from+">"+to]--
 		return nil
 	}
-	if rand.Float64() < w.n.lossPart {
+	if rand.Float64() < w.n.lossRate {
 		return nil
 	}
 	d, ok := w.n.queue(w.from, len(b))
@@ -201,8 +200,8 @@
 	return nil
 }
 
-// Fetch implements Transfer. The bytes pass the link of the one who gives them.
-func (w way) Fetch(ctx context.Context, to string, after int64) ([]byte, error) {
+// Fetch implements Fetcher. The bytes take capacity of the link of the serving instance.
+func (w endpoint) Fetch(ctx context.Context, to string, after int64) ([]byte, error) {
 	w.n.mu.Lock()
 	x := w.n.nodes[to]
 	cut := x == nil || w.n.cut[w.from+">"+to] || w.n.cut[to+">"+w.from]
@@ -218,7 +217,7 @@
 	err := x.Serve(ctx, after, func(b []byte) error {
 		got = b
 		w.n.mu.Lock()
-		d := w.n.reserve(to, len(b)) + w.n.transit
+		d := w.n.reserve(to, len(b)) + w.n.transferDelay
 		w.n.mu.Unlock()
 		if !sleep(ctx, d) {
 			return ctx.Err()
@@ -228,21 +227,21 @@
 	return got, err
 }
 
-// listener notes what a follower learns.
-type listener struct {
-	mu        sync.Mutex
-	revision  int64
-	confirmed time.Time
-	lost      bool
+// recorder records the updates that an instance receives.
+type recorder struct {
+	mu           sync.Mutex
+	revision     int64
+	confirmed    time.Time
+	disconnected bool
 }
 
-func (l *listener) Changed(u mirror.Update) {
+func (l *recorder) Changed(u mirror.Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.revision = u.Revision
 }
 
-func (l *listener) Confirmed(t time.Time) {
+func (l *recorder) Confirmed(t time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if t.After(l.confirmed) {
@@ -250,51 +249,52 @@
 	}
 }
 
-func (l *listener) Disconnected(error) { l.set(true) }
+func (l *recorder) Disconnected(error) { l.set(true) }
 
-func (l *listener) Reconnected() { l.set(false) }
+func (l *recorder) Reconnected() { l.set(false) }
 
-func (l *listener) set(b bool) {
+func (l *recorder) set(b bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lost = b
+	l.disconnected = b
 }
 
-func (l *listener) state() (int64, time.Time, bool) {
+func (l *recorder) state() (int64, time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.revision, l.confirmed, l.lost
+	return l.revision, l.confirmed, l.disconnected
 }
 
-type flag struct {
+// outage is the state of one instance's path to the store; on is set while it is cut.
+type outage struct {
 	mu sync.Mutex
 	on bool
-	// silent says that calls made while it is on hear nothing, in place of a refusal.
+	// silent has calls during the outage wait until their context ends, instead of failing.
 	silent bool
 }
 
-func (f *flag) set(on bool) {
+func (f *outage) set(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.on = on
 }
 
-func (f *flag) get() bool {
+func (f *outage) get() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.on
 }
 
-// gate is one instance's way to the store. A call that waits when the way is
-// cut hears nothing any more.
-type gate struct {
+// storePath is the path of one instance to the store. A call that waits when an outage
+// begins gets no answer any more.
+type storePath struct {
 	*fakeStore
-	away *flag
+	outage *outage
 }
 
-func (g gate) Read(ctx context.Context, prefix, after string) (store.Page, error) {
-	if g.away.get() {
-		if g.away.silent {
+func (g storePath) Read(ctx context.Context, prefix, after string) (store.Page, error) {
+	if g.outage.get() {
+		if g.outage.silent {
 			<-ctx.Done()
 		}
 		return store.Page{}, errDown
@@ -302,15 +302,15 @@
 	return g.fakeStore.Read(ctx, prefix, after)
 }
 
-func (g gate) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) (store.Changes, error) {
-	if g.away.get() {
-		if g.away.silent {
+func (g storePath) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) (store.Changes, error) {
+	if g.outage.get() {
+		if g.outage.silent {
 			<-ctx.Done()
 		}
 		return store.Changes{}, errDown
 	}
 	c, err := g.fakeStore.Changes(ctx, prefix, after, wait)
-	if g.away.get() {
+	if g.outage.get() {
 		<-ctx.Done()
 		return store.Changes{}, ctx.Err()
 	}
@@ -321,42 +321,42 @@
 	net   *network
 	store *fakeStore
 	all   []peer.Member
-	// run starts an instance anew; ended ends those that ran before.
-	run   func(m peer.Member)
-	ended map[string]context.CancelFunc
-	// listed is how many instances, from the first on, are on the list.
-	listed int
-	// away says whose way to the store is cut.
-	away map[string]*flag
-	on   map[string]*listener
-	// trace gets each event of each instance.
+	// run starts an instance; cancel ends the instances that are running.
+	run    func(m peer.Member)
+	cancel map[string]context.CancelFunc
+	// registered is how many instances, from the first on, are registered as members.
+	registered int
+	// outages are the outages of each instance's path to the store.
+	outages   map[string]*outage
+	listeners map[string]*recorder
+	// trace receives each event of each instance.
 	trace func(instance, event string, fields []any)
 }
 
-// start runs n instances, of which the first ones are listed; each has its
-// own way to the store, so that the store can turn single ones away.
-func start(ctx context.Context, g *sync.WaitGroup, n, listed int, shared *fakeStore) *fleet {
-	f := &fleet{listed: listed, net: &network{nodes: map[string]*Node{}, cut: map[string]bool{}, lose: map[string]int{}, delay: time.Millisecond, until: map[string]time.Time{}}, away: map[string]*flag{}, on: map[string]*listener{}}
-	f.store, f.ended, f.trace = shared, map[string]context.CancelFunc{}, func(string, string, []any) {}
+// startFleet runs n instances, of which the first ones are registered. Each has its own
+// path to the store, so that the store can refuse single instances.
+func startFleet(ctx context.Context, g *sync.WaitGroup, n, registered int, shared *fakeStore) *fleet {
+	f := &fleet{registered: registered, net: &network{nodes: map[string]*Node{}, cut: map[string]bool{}, dropNext: map[string]int{}, delay: time.Millisecond, linkFreeAt: map[string]time.Time{}}, outages: map[string]*outage{}, listeners: map[string]*recorder{}}
+	f.store, f.cancel, f.trace = shared, map[string]context.CancelFunc{}, func(string, string, []any) {}
 	var m []peer.Member
 	for i := range n {
 		id := fmt.Sprint("n", i)
 		m = append(m, peer.Member{ID: id, Addr: id})
-		f.away[id] = &flag{}
+		f.outages[id] = &outage{}
 	}
 	f.all = m
 	f.run = func(x peer.Member) {
-		l, on := NewChangeLog(), &listener{}
+		l, listener := NewChangeLog(), &recorder{}
 		ctx, cancel := context.WithCancel(ctx)
-		f.ended[x.ID] = cancel
-		r := NewNode(x, 1, Ports{ChangeLog: l, Store: gate{shared, f.away[x.ID]}, Net: way{f.net, x.ID}, Fetcher: way{f.net, x.ID}, Clock: time.Now, Event: func(e string, l ...any) { f.trace(x.ID, e, l) }}, times)
-		r.SetMembers(m[:listed])
+		f.cancel[x.ID] = cancel
+		r := NewNode(x, 1, Ports{ChangeLog: l, Store: storePath{shared, f.outages[x.ID]}, Net: endpoint{f.net, x.ID}, Fetcher: endpoint{f.net, x.ID}, Clock: time.Now, Event: func(e string, l ...any) { f.trace(x.ID, e, l) }}, testTiming)
+		r.SetMembers(m[:registered])
 		f.net.mu.Lock()
 		f.net.nodes[x.ID] = r
 		f.net.mu.Unlock()
-		f.on[x.ID] = on
+		f.listeners[x.ID] = listener
 		g.Go(func() {
-			_ = mirror.New(r, "", times.StoreWait, time.Now, Tee{ChangeLog: l, Listener: on, Event: func(string, ...any) {}}).Run(ctx)
+			_ = mirror.New(r, "", testTiming.StoreWait, time.Now, Tee{ChangeLog: l, Listener: listener, Event: func(string, ...any) {}}).Run(ctx)
 		})
 	}
 	for _, x := range m {
@@ -365,59 +365,58 @@
 	return f
 }
 
-// restart ends instances and starts them again, which know nothing then.
+// restart ends instances and starts them again without state.
 func (f *fleet) restart(m ...peer.Member) {
 	for _, x := range m {
-		f.ended[x.ID]()
+		f.cancel[x.ID]()
 		f.run(x)
 	}
 }
 
-var times = TimingFor(2 * time.Second)
+var testTiming = TimingFor(2 * time.Second)
 
-// withFleet runs n instances over one store for some seconds, lets play go on
-// from there, and ends them.
-func withFleet(t *testing.T, n int, play func(t *testing.T, f *fleet, s *fakeStore)) {
+// withFleet runs n instances on one store for some seconds, calls body, and ends them.
+func withFleet(t *testing.T, n int, body func(t *testing.T, f *fleet, s *fakeStore)) {
 	t.Helper()
-	withListed(t, n, n, play)
+	withRegistered(t, n, n, body)
 }
 
-// withListed is withFleet for n instances of which the first ones are listed.
-func withListed(t *testing.T, n, listed int, play func(t *testing.T, f *fleet, s *fakeStore)) {
+// withRegistered is withFleet for n instances of which the first ones are registered.
+func withRegistered(t *testing.T, n, registered int, body func(t *testing.T, f *fleet, s *fakeStore)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var g sync.WaitGroup
 		s := &fakeStore{}
 		s.put("a", "1")
-		f := start(ctx, &g, n, listed, s)
+		f := startFleet(ctx, &g, n, registered, s)
 		time.Sleep(5 * time.Second)
-		play(t, f, s)
+		body(t, f, s)
 		cancel()
 		g.Wait()
 		time.Sleep(3 * time.Second)
 	})
 }
 
-// members returns the fleet's listed instances.
+// members returns the registered members.
 func (f *fleet) members() []peer.Member {
 	var m []peer.Member
-	for i := range f.listed {
+	for i := range f.registered {
 		id := fmt.Sprint("n", i)
 		m = append(m, peer.Member{ID: id, Addr: id})
 	}
 	return m
 }
 
-// endWatchers cuts the watching instances off from all, as if they had ended.
+// endWatchers cuts the watchers off from all others and the store, as if they had ended.
 func (f *fleet) endWatchers() map[string]bool {
 	ended := map[string]bool{}
 	f.net.mu.Lock()
 	defer f.net.mu.Unlock()
 	for _, w := range Watchers(f.members()) {
 		ended[w.ID] = true
-		f.away[w.ID].set(true)
-		for id := range f.on {
+		f.outages[w.ID].set(true)
+		for id := range f.listeners {
 			f.net.cut[w.ID+">"+id] = true
 			f.net.cut[id+">"+w.ID] = true
 		}
@@ -425,7 +424,7 @@
 	return ended
 }
 
-// random returns so many bytes that do not compress.
+// random returns a string of the size that does not compress.
 func random(size int) string {
 	r := rand.New(rand.NewPCG(1, 1))
 	b := make([]byte, size)
--- a/relay/fleetstart_test.go
+++ b/relay/fleetstart_test.go
@@ -16,51 +16,48 @@
 	"fieldvale/store"
 )
 
-// What users saw: of 985 instances before 10,000 replicas one was ready as traffic began,
-// 24 s after their start; 97 of 100 requests were refused.
-//
-// Order of events: all instances start at once; each reads the store whole, in 21 pages;
-// the store's link carries some 200 of these reads in a second in place of 985 times 21; a
-// page that takes longer than a second fails, and its reader begins anew.
-//
-// Cause: what the store gives out at a start grows as instances times replicas. Evidence:
-// 35,000 calls of the store where 2,000 were expected, 149 times "the store is lost" at the
-// 111 instances of one data centre, processors and memory idle.
+// If each instance of a starting fleet reads a snapshot from the store, the load on the
+// store grows as instances times replicas. Of 985 instances before 10,000 replicas that
+// start together, each reads 21 pages, and the store's link carries some 200 of these reads
+// in a second; a page that takes longer than a second fails, and its reader starts again.
+// Such a fleet makes 35,000 calls of the store in place of 2,000, one instance is ready
+// after 24 s, and 97 of 100 requests are refused. These tests guard against such a load.
 
 const (
-	// storeRate is what the store's link carries, in bytes a second, pageItems how many
-	// keys a page has, and storeTakes how long an answer takes at least.
-	storeRate  = 1000e6 / 8
-	pageItems  = 500
-	storeTakes = 4 * time.Millisecond
-	// itemBytes is what a replica's entry takes in an answer of the store.
+	// storeRate is the capacity of the store's link, in bytes a second, pageSize the number
+	// of keys in a page, and minStoreLatency the shortest duration of a call.
+	storeRate       = 1000e6 / 8
+	pageSize        = 500
+	minStoreLatency = 4 * time.Millisecond
+	// itemBytes is the size of a replica's entry in an answer of the store.
 	itemBytes = 700
-	// narrowLink and wideLink are what instances' links carry, in bytes a second.
+	// narrowLink and wideLink are the capacities of the instances' links, in bytes a second.
 	narrowLink = 20e6 / 8
 	wideLink   = 200e6 / 8
-	// startSpread is over how long instances come up.
+	// startSpread is the time over which the instances start.
 	startSpread = 300 * time.Millisecond
 )
 
-// wideStore is a store of many keys whose answers pass one link.
-type wideStore struct {
+// pagedStore is a store with many keys whose answers share one link.
+type pagedStore struct {
 	fakeStore
-	// keys are all that it holds, sorted.
+	// keys are all items, sorted by key.
 	keys []store.Item
-	// list are the fleet's instances that are listed.
+	// list has the registered members by id.
 	list map[string]peer.Member
-	// slow times as long as usual takes each answer.
-	slow float64
-	// away says which instances the store refuses.
-	away func(id string) bool
-	// gone is until when the bytes given out so far are under way.
-	gone time.Time
-	// bytes and listReads are what was given out, listWrites how many joined.
+	// delayFactor multiplies minStoreLatency.
+	delayFactor float64
+	// refused reports whether the store refuses an instance; nil serves all.
+	refused func(id string) bool
+	// linkFreeAt is when all bytes so far have been sent.
+	linkFreeAt time.Time
+	// bytes is the number of bytes sent, listReads how often the members were read, and
+	// listWrites how many instances registered.
 	bytes, listReads, listWrites int
 }
 
-func newWideStore(replicas int) *wideStore {
-	s := &wideStore{list: map[string]peer.Member{}, slow: 1}
+func newPagedStore(replicas int) *pagedStore {
+	s := &pagedStore{list: map[string]peer.Member{}, delayFactor: 1}
 	for i := range replicas {
 		s.keys = append(s.keys, store.Item{Key: fmt.Sprintf("servers/i-%08x", uint32(i)*2654435761), Value: fmt.Appendf(nil, "%d", i), Revision: int64(i + 1)})
 	}
@@ -69,56 +66,56 @@
 	return s
 }
 
-// turnAway has the store refuse the instances for which who is true; nil serves all.
-func (s *wideStore) turnAway(who func(id string) bool) {
+// refuse has the store refuse the instances for which match returns true; nil serves all.
+func (s *pagedStore) refuse(match func(id string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = who
+	s.refused = match
 }
 
-// wayOf is one instance's way to the store.
-type wayOf struct {
-	*wideStore
+// pagedStorePath is the path of one instance to the store.
+type pagedStorePath struct {
+	*pagedStore
 	id string
 }
 
-func (w wayOf) isAway() bool {
+func (w pagedStorePath) isRefused() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.away != nil && w.away(w.id)
+	return w.refused != nil && w.refused(w.id)
 }
 
-func (w wayOf) Read(ctx context.Context, prefix, after string) (store.Page, error) {
-	if w.isAway() {
+func (w pagedStorePath) Read(ctx context.Context, prefix, after string) (store.Page, error) {
+	if w.isRefused() {
 		return store.Page{}, errDown
 	}
-	return w.wideStore.Read(ctx, prefix, after)
+	return w.pagedStore.Read(ctx, prefix, after)
 }
 
-func (w wayOf) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) (store.Changes, error) {
-	if w.isAway() {
+func (w pagedStorePath) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) (store.Changes, error) {
+	if w.isRefused() {
 		return store.Changes{}, errDown
 	}
-	return w.wideStore.Changes(ctx, prefix, after, wait)
+	return w.pagedStore.Changes(ctx, prefix, after, wait)
 }
 
-func (w wayOf) list(ctx context.Context, stale bool) ([]peer.Member, error) {
-	if w.isAway() {
+func (w pagedStorePath) list(ctx context.Context, stale bool) ([]peer.Member, error) {
+	if w.isRefused() {
 		return nil, errDown
 	}
 	return w.members(ctx, stale)
 }
 
-// give waits until so many bytes have left.
-func (s *wideStore) give(ctx context.Context, bytes int) error {
+// transmit counts a call and waits until its answer has been sent.
+func (s *pagedStore) transmit(ctx context.Context, bytes int) error {
 	s.mu.Lock()
 	s.calls++
 	s.bytes += bytes
-	if now := time.Now(); s.gone.Before(now) {
-		s.gone = now
+	if now := time.Now(); s.linkFreeAt.Before(now) {
+		s.linkFreeAt = now
 	}
-	s.gone = s.gone.Add(time.Duration(float64(bytes) / storeRate * float64(time.Second)))
-	d := time.Until(s.gone) + time.Duration(s.slow*float64(storeTakes))
+	s.linkFreeAt = s.linkFreeAt.Add(time.Duration(float64(bytes) / storeRate * float64(time.Second)))
+	d := time.Until(s.linkFreeAt) + time.Duration(s.delayFactor*float64(minStoreLatency))
 	down := s.down
 	s.mu.Unlock()
 	if down {
@@ -131,13 +128,13 @@
 }
 
 // Read implements store.Feed.
-func (s *wideStore) Read(ctx context.Context, _, after string) (store.Page, error) {
+func (s *pagedStore) Read(ctx context.Context, _, after string) (store.Page, error) {
 	i, _ := slices.BinarySearchFunc(s.keys, store.Item{Key: after}, byKey)
 	if after != "" {
 		i++
 	}
-	end := min(len(s.keys), i+pageItems)
-	if err := s.give(ctx, (end-i)*itemBytes); err != nil {
+	end := min(len(s.keys), i+pageSize)
+	if err := s.transmit(ctx, (end-i)*itemBytes); err != nil {
 		return store.Page{}, err
 	}
 	s.mu.Lock()
@@ -148,20 +145,20 @@
 	return store.Page{Items: s.keys[i:end], Revision: int64(len(s.items)), More: end < len(s.keys)}, nil
 }
 
-// members reads the list.
-func (s *wideStore) members(ctx context.Context, _ bool) ([]peer.Member, error) {
+// members reads the registered members.
+func (s *pagedStore) members(ctx context.Context, _ bool) ([]peer.Member, error) {
 	s.mu.Lock()
 	l := slices.Collect(maps.Values(s.list))
 	s.listReads++
 	s.mu.Unlock()
 	slices.SortFunc(l, func(a, b peer.Member) int { return cmp.Compare(a.ID, b.ID) })
-	return l, s.give(ctx, 100+200*len(l))
+	return l, s.transmit(ctx, 100+200*len(l))
 }
 
-// join puts an instance on the list.
-func (s *wideStore) join(ctx context.Context, m peer.Member) {
+// join registers an instance as a member.
+func (s *pagedStore) join(ctx context.Context, m peer.Member) {
 	for range 2 {
-		if s.give(ctx, 100) != nil {
+		if s.transmit(ctx, 100) != nil {
 			return
 		}
 	}
@@ -171,73 +168,73 @@
 	s.listWrites++
 }
 
-// startingFleet are instances that start together.
+// startingFleet is a fleet of instances that start together.
 type startingFleet struct {
-	store *wideStore
-	net   *network
-	on    map[string]*listener
-	// knows is when each knew all for the first time.
-	mu    sync.Mutex
-	knows map[string]time.Time
+	store     *pagedStore
+	net       *network
+	listeners map[string]*recorder
+	mu        sync.Mutex
+	// completeAt is when each instance first had all keys.
+	completeAt map[string]time.Time
 }
 
-// knowing notes when an instance knows all.
-type knowing struct {
-	*listener
+// completionListener is a listener that records when an instance has all keys.
+type completionListener struct {
+	*recorder
 	f  *startingFleet
 	id string
 }
 
-func (k knowing) Changed(u mirror.Update) {
-	k.listener.Changed(u)
+func (k completionListener) Changed(u mirror.Update) {
+	k.recorder.Changed(u)
 	if keys := k.f.store.keys; !u.Snapshot || len(u.Items) < len(keys) {
 		return
 	}
 	k.f.mu.Lock()
 	defer k.f.mu.Unlock()
-	if _, ok := k.f.knows[k.id]; !ok {
-		k.f.knows[k.id] = time.Now()
+	if _, ok := k.f.completeAt[k.id]; !ok {
+		k.f.completeAt[k.id] = time.Now()
 	}
 }
 
-// node runs one instance.
-func (f *startingFleet) node(ctx context.Context, m peer.Member) {
-	l, on := NewChangeLog(), &listener{}
+// runNode runs one instance.
+func (f *startingFleet) runNode(ctx context.Context, m peer.Member) {
+	l, listener := NewChangeLog(), &recorder{}
 	n := NewNode(m, 1, Ports{
-		ChangeLog: l, Store: wayOf{f.store, m.ID}, Net: way{f.net, m.Addr}, Fetcher: way{f.net, m.Addr}, ListMembers: wayOf{f.store, m.ID}.list,
+		ChangeLog: l, Store: pagedStorePath{f.store, m.ID}, Net: endpoint{f.net, m.Addr}, Fetcher: endpoint{f.net, m.Addr}, ListMembers: pagedStorePath{f.store, m.ID}.list,
 		Register: func() { go f.store.join(ctx, m) }, Clock: time.Now, Event: func(string, ...any) {},
 	}, TimingFor(5*time.Second))
 	f.net.mu.Lock()
 	f.net.nodes[m.Addr] = n
-	f.net.links[m.Addr] = m.LinkMbps * 1e6 / 8
+	f.net.linkRates[m.Addr] = m.LinkMbps * 1e6 / 8
 	f.net.mu.Unlock()
 	f.mu.Lock()
-	f.on[m.ID] = on
+	f.listeners[m.ID] = listener
 	f.mu.Unlock()
-	_ = mirror.New(n, "", n.times.StoreWait, time.Now, Tee{ChangeLog: l, Listener: knowing{on, f, m.ID}}).Run(ctx)
+	_ = mirror.New(n, "", n.timing.StoreWait, time.Now, Tee{ChangeLog: l, Listener: completionListener{listener, f, m.ID}}).Run(ctx)
 }
 
-// startPlay is a start of a whole fleet.
-type startPlay struct {
+// startScenario is the start of a whole fleet.
+type startScenario struct {
 	instances, replicas int
-	// listed is how many a list of an earlier run names.
-	listed int
-	// spread is over how long instances come up.
+	// registered is how many instances are registered from an earlier run.
+	registered int
+	// spread is the time over which the instances start.
 	spread time.Duration
-	// disturb happens beside the start.
-	disturb func(f *startingFleet)
-	// absent is how many of the first instances don't run, though they may be listed.
+	// fault runs concurrently with the start.
+	fault func(f *startingFleet)
+	// absent is how many of the first instances don't run, though they may be registered.
 	absent int
-	// within is when all have to know all.
+	// within is the time within which all instances must have all keys.
 	within time.Duration
-	// except is how many need not.
-	except int
-	// check looks at the fleet before it ends.
+	// maxIncomplete is how many instances may miss keys nevertheless.
+	maxIncomplete int
+	// check checks the fleet before it ends.
 	check func(f *startingFleet)
 }
 
-// member is the ith instance; one in twenty has a wide link.
-func (p startPlay) member(i int) peer.Member {
+// member returns the ith instance; one in twenty has a wide link.
+func (p startScenario) member(i int) peer.Member {
 	id := fmt.Sprint("n", i)
 	m := peer.Member{ID: id, Addr: id, DataCentre: fmt.Sprint("dc", i%5), LinkMbps: narrowLink * 8 / 1e6}
 	if i%20 == 0 {
@@ -246,41 +243,41 @@
 	return m
 }
 
-// run plays the start and returns the fleet as it stood at the end.
-func (p startPlay) run(t *testing.T) *startingFleet {
+// run runs the start and returns the fleet in its final state.
+func (p startScenario) run(t *testing.T) *startingFleet {
 	t.Helper()
-	f := &startingFleet{store: newWideStore(p.replicas), on: map[string]*listener{}, knows: map[string]time.Time{}}
+	f := &startingFleet{store: newPagedStore(p.replicas), listeners: map[string]*recorder{}, completeAt: map[string]time.Time{}}
 	synctest.Test(t, func(t *testing.T) {
-		f.net = &network{nodes: map[string]*Node{}, cut: map[string]bool{}, lose: map[string]int{}, delay: time.Millisecond, until: map[string]time.Time{}, links: map[string]float64{}}
+		f.net = &network{nodes: map[string]*Node{}, cut: map[string]bool{}, dropNext: map[string]int{}, delay: time.Millisecond, linkFreeAt: map[string]time.Time{}, linkRates: map[string]float64{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		var g sync.WaitGroup
 		began := time.Now()
-		for i := range p.listed {
+		for i := range p.registered {
 			m := p.member(i)
 			f.store.list[m.ID] = m
 		}
-		if p.disturb != nil {
-			g.Go(func() { p.disturb(f) })
+		if p.fault != nil {
+			g.Go(func() { p.fault(f) })
 		}
 		for i := p.absent; i < p.instances; i++ {
 			g.Go(func() {
 				sleep(ctx, p.spread*time.Duration(i*7919%p.instances)/time.Duration(p.instances))
-				f.node(ctx, p.member(i))
+				f.runNode(ctx, p.member(i))
 			})
 		}
 		time.Sleep(p.within)
 		f.mu.Lock()
-		if late := p.instances - p.absent - len(f.knows); late > p.except {
-			t.Errorf("%d of %d instances do not know all after %s, want at most %d", late, p.instances, p.within, p.except)
+		if late := p.instances - p.absent - len(f.completeAt); late > p.maxIncomplete {
+			t.Errorf("%d of %d instances miss keys after %s, want at most %d", late, p.instances, p.within, p.maxIncomplete)
 		}
 		var last time.Duration
-		for _, at := range f.knows {
+		for _, at := range f.completeAt {
 			last = max(last, at.Sub(began))
 		}
 		f.mu.Unlock()
 		f.store.mu.Lock()
-		t.Logf("%d instances before %d replicas: the last of %d that know all after %s, the store read whole %d times, %d calls, %.1f MB, %d reads of the list, %d joined",
-			p.instances, p.replicas, len(f.knows), last, f.store.reads, f.store.calls, float64(f.store.bytes)/1e6, f.store.listReads, f.store.listWrites)
+		t.Logf("%d instances before %d replicas: %d have all keys, the last after %s; store: %d snapshot reads, %d calls, %.1f MB, %d reads of the members, %d registrations",
+			p.instances, p.replicas, len(f.completeAt), last, f.store.reads, f.store.calls, float64(f.store.bytes)/1e6, f.store.listReads, f.store.listWrites)
 		f.store.mu.Unlock()
 		if p.check != nil {
 			p.check(f)
@@ -292,24 +289,24 @@
 	return f
 }
 
-// All replicas come up within seconds: their changes reach all soon after they are made,
-// and few ask the store.
-func TestManyChangesReachTheWholeFleet(t *testing.T) {
+// While all replicas start within seconds, their changes must reach all instances soon, and
+// few instances may call the store.
+func TestManyChangesReachAll(t *testing.T) {
 	const rounds, each = 30, 150
 	var made int64
-	startPlay{instances: 600, listed: 48, spread: startSpread, within: 12 * time.Second,
-		disturb: func(f *startingFleet) {
+	startScenario{instances: 600, registered: 48, spread: startSpread, within: 12 * time.Second,
+		fault: func(f *startingFleet) {
 			time.Sleep(4 * time.Second)
 			for range rounds {
 				for i := range each {
 					made = f.store.put(fmt.Sprintf("servers/i-%08x", uint32(made)*2654435761), random(60)+fmt.Sprint(i))
 				}
 				time.Sleep(100 * time.Millisecond)
-				f.behind(t, made, 15*each)
+				f.checkLag(t, made, 15*each)
 			}
 		},
 		check: func(f *startingFleet) {
-			f.behind(t, made, 0)
+			f.checkLag(t, made, 0)
 			if f.store.calls > 1500 {
 				t.Errorf("%d calls of the store, want at most 1,500", f.store.calls)
 			}
@@ -317,46 +314,46 @@
 	}.run(t)
 }
 
-// behind fails if an instance is more than so many revisions behind, or out of touch.
-func (f *startingFleet) behind(t *testing.T, revision, most int64) {
+// checkLag fails if an instance is more than most revisions behind, or disconnected.
+func (f *startingFleet) checkLag(t *testing.T, revision, maxLag int64) {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n, lost := 0, 0
-	for _, on := range f.on {
-		r, _, l := on.state()
-		if revision-r > most {
+	n, disconnected := 0, 0
+	for _, listener := range f.listeners {
+		r, _, l := listener.state()
+		if revision-r > maxLag {
 			n++
 		}
 		if l {
-			lost++
+			disconnected++
 		}
 	}
-	if n > 0 || lost > 0 {
-		t.Errorf("%d instances are more than %d revisions behind, %d are out of touch", n, most, lost)
+	if n > 0 || disconnected > 0 {
+		t.Errorf("%d instances are more than %d revisions behind, %d are disconnected, want none", n, maxLag, disconnected)
 	}
 }
 
-// mostBytes is what a start may take from the store, in bytes, for any size of fleet.
-const mostBytes = 100e6
+// maxStoreBytes bounds the bytes that the store may send at a start of a fleet of any size.
+const maxStoreBytes = 100e6
 
-// A whole fleet starts, with nobody known, and after all were ended: all know all 10,000
-// replicas in time, and the store gives out no more for twice the instances.
-func TestWholeFleetStarts(t *testing.T) {
+// At a start without members, and at one after all instances have ended, all instances must
+// have all 10,000 replicas in time. The store must send no more for twice the instances.
+func TestFleetStarts(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		play startPlay
+		name  string
+		start startScenario
 	}{
-		{"1,000 instances for the first time", startPlay{instances: 1000, replicas: 10_000, spread: 1800 * time.Millisecond, within: 10 * time.Second}},
-		{"2,000 instances for the first time", startPlay{instances: 2000, replicas: 10_000, spread: 1800 * time.Millisecond, within: 10 * time.Second}},
-		{"1,000 instances again", startPlay{instances: 1000, replicas: 10_000, listed: 48, spread: startSpread, within: 5 * time.Second}},
-		{"2,000 instances again", startPlay{instances: 2000, replicas: 10_000, listed: 48, spread: startSpread, within: 5 * time.Second}},
-		{"7 instances for the first time", startPlay{instances: 7, replicas: 21, spread: startSpread, within: 2 * time.Second}},
+		{"1,000 instances for the first time", startScenario{instances: 1000, replicas: 10_000, spread: 1800 * time.Millisecond, within: 10 * time.Second}},
+		{"2,000 instances for the first time", startScenario{instances: 2000, replicas: 10_000, spread: 1800 * time.Millisecond, within: 10 * time.Second}},
+		{"1,000 instances again", startScenario{instances: 1000, replicas: 10_000, registered: 48, spread: startSpread, within: 5 * time.Second}},
+		{"2,000 instances again", startScenario{instances: 2000, replicas: 10_000, registered: 48, spread: startSpread, within: 5 * time.Second}},
+		{"7 instances for the first time", startScenario{instances: 7, replicas: 21, spread: startSpread, within: 2 * time.Second}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := c.play.run(t)
-			if f.store.bytes > mostBytes {
-				t.Errorf("the store gave out %.0f MB, want at most %.0f", float64(f.store.bytes)/1e6, mostBytes/1e6)
+			f := c.start.run(t)
+			if f.store.bytes > maxStoreBytes {
+				t.Errorf("the store sent %.0f MB, want at most %.0f", float64(f.store.bytes)/1e6, maxStoreBytes/1e6)
 			}
 		})
 	}
@@ -370,45 +367,45 @@
 	}
 }
 
-// The start of a whole fleet beside troubles: nobody reads the store whole but few, and
-// all know all soon after it is over.
-func TestWholeFleetStartsInTrouble(t *testing.T) {
-	const instances, replicas, listed = 500, 3000, 48
+// During faults at the start of a fleet only few instances may read a snapshot from the
+// store, and all must have all keys soon after the fault ends.
+func TestFleetStartsDuringFaults(t *testing.T) {
+	const instances, replicas, registered = 500, 3000, 48
 	for _, c := range []struct {
-		name string
-		play startPlay
-		// reads is how often the store may be read whole.
+		name  string
+		start startScenario
+		// reads bounds how often a snapshot may be read from the store.
 		reads int
 	}{
-		{"the store is sixty times slower", startPlay{listed: listed, within: 12 * time.Second, disturb: func(f *startingFleet) {
+		{"the store is sixty times slower", startScenario{registered: registered, within: 12 * time.Second, fault: func(f *startingFleet) {
 			f.store.mu.Lock()
 			defer f.store.mu.Unlock()
-			f.store.slow = 60
+			f.store.delayFactor = 60
 		}}, 4},
-		{"the store turns a third away for four seconds", startPlay{listed: listed, within: 9 * time.Second, disturb: func(f *startingFleet) {
-			f.store.turnAway(func(id string) bool { return len(id)%3 == 0 || id[len(id)-1]%3 == 0 })
+		{"the store refuses a third for four seconds", startScenario{registered: registered, within: 9 * time.Second, fault: func(f *startingFleet) {
+			f.store.refuse(func(id string) bool { return len(id)%3 == 0 || id[len(id)-1]%3 == 0 })
 			time.Sleep(4 * time.Second)
-			f.store.turnAway(nil)
+			f.store.refuse(nil)
 		}}, 6},
-		{"the store is away for three seconds", startPlay{listed: listed, within: 8 * time.Second, disturb: func(f *startingFleet) {
+		{"the store is down for three seconds", startScenario{registered: registered, within: 8 * time.Second, fault: func(f *startingFleet) {
 			f.store.setDown(true)
 			time.Sleep(3 * time.Second)
 			f.store.setDown(false)
 		}}, 6},
-		{"both that read the store first are turned away", startPlay{listed: listed, within: 4 * time.Second, except: 2, disturb: func(f *startingFleet) {
+		{"the store refuses both watchers", startScenario{registered: registered, within: 4 * time.Second, maxIncomplete: 2, fault: func(f *startingFleet) {
 			var l []peer.Member
 			for _, m := range f.store.list {
 				l = append(l, m)
 			}
 			w := Watchers(l)
-			f.store.turnAway(func(id string) bool { return id == w[0].ID || id == w[1].ID })
+			f.store.refuse(func(id string) bool { return id == w[0].ID || id == w[1].ID })
 		}}, 6},
-		{"three datagrams in ten are lost", startPlay{listed: listed, within: 8 * time.Second, disturb: func(f *startingFleet) {
+		{"three datagrams in ten are lost", startScenario{registered: registered, within: 8 * time.Second, fault: func(f *startingFleet) {
 			f.net.mu.Lock()
 			defer f.net.mu.Unlock()
-			f.net.lossPart = 0.3
+			f.net.lossRate = 0.3
 		}}, 6},
-		{"those that read the store are cut off midway", startPlay{listed: listed, within: 10 * time.Second, except: 2, disturb: func(f *startingFleet) {
+		{"the watchers are cut off midway", startScenario{registered: registered, within: 10 * time.Second, maxIncomplete: 2, fault: func(f *startingFleet) {
 			time.Sleep(400 * time.Millisecond)
 			var l []peer.Member
 			for _, m := range f.store.list {
@@ -420,47 +417,48 @@
 				f.cutOff(w.ID)
 			}
 		}}, 8},
-		{"all that are listed have ended", startPlay{listed: listed, absent: listed, within: 15 * time.Second}, 8},
+		{"all members have ended", startScenario{registered: registered, absent: registered, within: 15 * time.Second}, 8},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := c.play
+			p := c.start
 			p.instances, p.replicas, p.spread = instances, replicas, startSpread
 			if f := p.run(t); f.store.reads > c.reads {
-				t.Errorf("the store was read whole %d times, want at most %d", f.store.reads, c.reads)
+				t.Errorf("%d snapshots were read from the store, want at most %d", f.store.reads, c.reads)
 			}
 		})
 	}
 }
 
-// transferOf gives the same bytes to all that fetch.
-type transferOf []byte
+// fixedFetcher returns the same bytes for each fetch.
+type fixedFetcher []byte
 
-func (b transferOf) Fetch(context.Context, string, int64) ([]byte, error) { return b, nil }
+func (b fixedFetcher) Fetch(context.Context, string, int64) ([]byte, error) { return b, nil }
 
-// An instance takes no state that is torn, older than its own, or none at all.
-func TestNoBadStateIsTaken(t *testing.T) {
-	whole := func(revision int64) []byte {
+// A fetched state that is truncated, corrupted, older than the receiver's own, or empty must
+// be rejected.
+func TestInvalidStateIsRejected(t *testing.T) {
+	encodeSnapshot := func(revision int64) []byte {
 		items, err := pack([]store.Item{{Key: "a", Value: []byte(random(2000)), Revision: 7}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, err := encode(message{Answer: &answer{All: true, Revision: revision}}, items)
+		b, err := encode(message{Answer: &answer{Snapshot: true, Revision: revision}}, items)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return b
 	}
-	flipped := whole(9)
+	flipped := encodeSnapshot(9)
 	flipped[len(flipped)/2] ^= 1
 	for _, c := range []struct {
 		name string
 		b    []byte
 		ok   bool
 	}{
-		{"sound", whole(9), true},
-		{"torn", whole(9)[:1500], false},
-		{"with a bit turned", flipped, false},
-		{"older", whole(7), false},
+		{"valid", encodeSnapshot(9), true},
+		{"truncated", encodeSnapshot(9)[:1500], false},
+		{"with a flipped bit", flipped, false},
+		{"older", encodeSnapshot(7), false},
 		{"empty", nil, false},
 		{"no state", []byte("\x00{}"), false},
 		{"other bytes", []byte(random(100)), false},
@@ -468,46 +466,47 @@
 		l := NewChangeLog()
 		l.Reset([]store.Item{{Key: "a", Revision: 7}}, 8)
 		l.Confirm(time.Now())
-		n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: l, Fetcher: transferOf(c.b), Clock: time.Now, Event: func(string, ...any) {}}, times)
+		n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: l, Fetcher: fixedFetcher(c.b), Clock: time.Now, Event: func(string, ...any) {}}, testTiming)
 		if a, err := n.fetch(t.Context(), "x", -1); (err == nil) != c.ok {
-			t.Errorf("%s: %d items, %v", c.name, len(a.Items), err)
+			t.Errorf("%s state: fetched %d items, error %v, want an error unless valid", c.name, len(a.Items), err)
 		}
 	}
 }
 
-// slowTransfer takes its time, as where the process stands still.
-type slowTransfer struct {
+// slowFetcher returns the bytes after a time, as if the process was paused meanwhile.
+type slowFetcher struct {
 	b    []byte
 	took time.Duration
 	now  *time.Time
 }
 
-func (s slowTransfer) Fetch(context.Context, string, int64) ([]byte, error) {
+func (s slowFetcher) Fetch(context.Context, string, int64) ([]byte, error) {
 	*s.now = s.now.Add(s.took)
 	return s.b, nil
 }
 
-// A whole that was long under way is passed on as old as it is.
-func TestAWholeIsPassedOnAsOldAsItIs(t *testing.T) {
+// A snapshot whose transfer took long must be passed on with its actual age: otherwise the
+// receiver counts it as confirmed too recently.
+func TestFetchedSnapshotKeepsItsAge(t *testing.T) {
 	items, err := pack([]store.Item{{Key: "a", Revision: 7}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := encode(message{Answer: &answer{All: true, Revision: 9, Age: 500}}, items)
+	b, err := encode(message{Answer: &answer{Snapshot: true, Revision: 9, AgeMs: 500}}, items)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Unix(1_700_000_000, 0)
-	n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: NewChangeLog(), Fetcher: slowTransfer{b, 3 * time.Second, &now}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, times)
+	n := NewNode(peer.Member{ID: "n"}, 1, Ports{ChangeLog: NewChangeLog(), Fetcher: slowFetcher{b, 3 * time.Second, &now}, Clock: func() time.Time { return now }, Event: func(string, ...any) {}}, testTiming)
 	if _, err := n.fetch(t.Context(), "x", -1); err != nil {
 		t.Fatal(err)
 	}
-	p, err := n.passedOn(-1)
+	p, err := n.encodeState(-1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	m, err := decode(p)
 	if err != nil || m.Answer.age() < 3500*time.Millisecond {
-		t.Errorf("it is passed on as %s old, want 3.5 s at least, %v", m.Answer.age(), err)
+		t.Errorf("the snapshot is passed on with an age of %s, want at least 3.5 s; error %v", m.Answer.age(), err)
 	}
 }
--- a/relay/follow.go
+++ b/relay/follow.go
@@ -11,112 +11,116 @@
 )
 
 const (
-	// askAgain is how long an instance is passed over that answered without
-	// knowing: it may have to watch the store itself any moment.
-	askAgain = 200 * time.Millisecond
-	// mostGathers bounds, in Times.Gather, how long an instance of the later
-	// tiers waits for the second tier when the watching ones can't tell.
-	mostGathers = 2
-	// askedTogether is how many instances are asked at once where the first can't tell.
-	askedTogether = 8
+	// shortAvoid is how long an instance is not queried after it answered without current
+	// state, or did not answer one query: it may have to watch the store itself at any
+	// moment.
+	shortAvoid = 200 * time.Millisecond
+	// maxBatchDelays bounds, in units of Timing.BatchDelay, how long an instance of the
+	// later tiers waits for the second tier when the watchers are disconnected.
+	maxBatchDelays = 2
+	// maxConcurrentQueries is how many instances are queried at once when the first source
+	// has no current state.
+	maxConcurrentQueries = 8
 )
 
-// follow asks the first source, where it waits for a change. If that one can't tell, the others
-// are asked at once: in turn, silent ones would take as long as a change has time.
+// follow queries the first source, which waits for a change before it answers. If that
+// source has no current state, the others are queried concurrently: one after another,
+// silent ones would take longer than a change may take to be in force.
 func (n *Node) follow(ctx context.Context, sources []peer.Member, after int64) (store.Changes, status) {
-	n.sourceLost, n.busy = false, nil
+	n.sourceDisconnected, n.busySources = false, nil
 	if len(sources) == 0 {
-		return store.Changes{}, lostTouch
+		return store.Changes{}, statusDisconnected
 	}
-	if c, ok := n.take(ctx, n.ask(ctx, question{After: after, Wait: n.times.Follow.Milliseconds()}, sources[0], n.times.Follow+answerSlack), after); ok {
-		return c, known
+	if c, ok := n.acceptResult(ctx, n.ask(ctx, query{After: after, WaitMs: n.timing.PeerWait.Milliseconds()}, sources[0], n.timing.PeerWait+answerSlack), after); ok {
+		return c, statusOK
 	}
-	for l := range slices.Chunk(sources[1:], askedTogether) {
-		if c, ok := n.followAny(ctx, l, after, n.times.Follow); ok {
-			return c, known
+	for l := range slices.Chunk(sources[1:], maxConcurrentQueries) {
+		if c, ok := n.followAny(ctx, l, after, n.timing.PeerWait); ok {
+			return c, statusOK
 		}
 	}
-	return n.followBusy(ctx, after)
+	return n.retryBusy(ctx, after)
 }
 
-// followBusy asks those again that know more and had no room on their link: the store would not
-// tell sooner.
-func (n *Node) followBusy(ctx context.Context, after int64) (store.Changes, status) {
-	for range mostGathers {
-		if len(n.busy) == 0 || !sleep(ctx, n.times.Gather/2+rand.N(n.times.Gather)) {
+// retryBusy queries the sources again that have newer state and whose links had no
+// capacity for it: the store would not answer sooner.
+func (n *Node) retryBusy(ctx context.Context, after int64) (store.Changes, status) {
+	for range maxBatchDelays {
+		if len(n.busySources) == 0 || !sleep(ctx, n.timing.BatchDelay/2+rand.N(n.timing.BatchDelay)) {
 			break
 		}
-		l := n.busy
-		n.busy = nil
-		if c, ok := n.followAny(ctx, l, after, n.times.Follow); ok {
-			return c, known
+		l := n.busySources
+		n.busySources = nil
+		if c, ok := n.followAny(ctx, l, after, n.timing.PeerWait); ok {
+			return c, statusOK
 		}
 	}
-	return store.Changes{}, lostTouch
+	return store.Changes{}, statusDisconnected
 }
 
-// followAny asks the sources at once what they know, and one that knows more for it: the news
-// of all would fill the links.
-func (n *Node) followAny(ctx context.Context, sources []peer.Member, after int64, patience time.Duration) (store.Changes, bool) {
-	x, cancel := context.WithCancel(ctx)
+// followAny queries the sources concurrently for their revisions, and one that has newer
+// state for its changes: the changes of all sources would fill the links.
+func (n *Node) followAny(ctx context.Context, sources []peer.Member, after int64, timeout time.Duration) (store.Changes, bool) {
+	queryCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := n.askTogether(x, sources, after, patience)
+	answers := n.askAll(queryCtx, sources, after, timeout)
 	for range sources {
 		h := <-answers
-		if h.ok && h.answer.Status == known && h.answer.Revision > after && len(h.answer.Items) == 0 {
-			h = n.ask(x, question{After: after}, h.from, n.times.Follow+answerSlack)
+		if h.ok && h.answer.Status == statusOK && h.answer.Revision > after && len(h.answer.Items) == 0 {
+			h = n.ask(queryCtx, query{After: after}, h.source, n.timing.PeerWait+answerSlack)
 		}
-		if c, ok := n.take(ctx, h, after); ok {
+		if c, ok := n.acceptResult(ctx, h, after); ok {
 			return c, true
 		}
 	}
 	return store.Changes{}, false
 }
 
-// take returns what came of a question, if that is fresh enough to go by or brings changes.
-func (n *Node) take(ctx context.Context, h heard, after int64) (store.Changes, bool) {
-	m, a := h.from, h.answer
+// acceptResult returns the changes of a query's result if the answer is usable.
+func (n *Node) acceptResult(ctx context.Context, h queryResult, after int64) (store.Changes, bool) {
+	m, a := h.source, h.answer
 	if ctx.Err() != nil {
 		return store.Changes{}, false
 	}
 	if !h.ok {
-		n.passSilent(m)
+		n.avoidSilent(m)
 		return store.Changes{}, false
 	}
-	n.heard(m)
+	n.markResponsive(m)
 	switch {
-	case a.Status == known && n.isNews(a):
-		return n.taken(m, a), true
-	case a.Status == tooLarge || a.Status == forgotten:
+	case a.Status == statusOK && n.isUsable(a):
+		return n.acceptChanges(m, a), true
+	case a.Status == statusTooLarge || a.Status == statusFetchSnapshot:
 		if c, ok := n.fetchChanges(ctx, m, a, after); ok {
 			return c, true
 		}
-	case a.Status == busy:
-		n.busy = append(n.busy, m)
+	case a.Status == statusBusy:
+		n.busySources = append(n.busySources, m)
 	default:
-		n.sourceLost = true
+		n.sourceDisconnected = true
 	}
-	n.pass(m, askAgain)
+	n.avoidSource(m, shortAvoid)
 	return store.Changes{}, false
 }
 
-// isNews reports whether the answer is fresh enough to go by, or brings changes: these
-// are taken in however old the knowledge is, whose age is told with them.
-func (n *Node) isNews(a answer) bool {
-	return a.age() <= n.times.MaxAge || len(a.Items) > 0
+// isUsable reports whether the answer is recent enough or has changes. Changes are applied
+// whatever their age, which is passed on with them.
+func (n *Node) isUsable(a answer) bool {
+	return a.age() <= n.timing.MaxAge || len(a.Items) > 0
 }
 
-// fetchChanges fetches changes that are too many for datagrams, or the whole where they
-// are forgotten, from the instance m that answered a, or from whom it names.
+// fetchChanges fetches changes that are too large for datagrams, or a snapshot where the
+// changes are no longer kept. It fetches from the address named in the answer a of the
+// instance m, and if that fails from m itself.
 func (n *Node) fetchChanges(ctx context.Context, m peer.Member, a answer, after int64) (store.Changes, bool) {
-	for _, addr := range []string{a.Instead, m.Addr} {
+	for _, addr := range []string{a.FetchFrom, m.Addr} {
 		if addr == "" {
 			continue
 		}
 		f, err := n.fetch(ctx, addr, after)
-		if err == nil && f.age() <= n.times.MaxAge {
+		if err == nil && f.age() <= n.timing.MaxAge {
 			f.Hops, f.Followers = a.Hops, a.Followers
-			c := n.taken(m, f)
+			c := n.acceptChanges(m, f)
 			c.Waited = 0
 			return c, true
 		}
@@ -125,44 +129,44 @@
 	return store.Changes{}, false
 }
 
-// taken returns the changes of an instance's answer, and notes that it is
-// followed.
-func (n *Node) taken(m peer.Member, a answer) store.Changes {
-	n.from(m.ID)
-	n.log.SetHops(a.Hops + 1)
+// acceptChanges returns the changes of an answer of the instance m, and records m as the
+// source.
+func (n *Node) acceptChanges(m peer.Member, a answer) store.Changes {
+	n.setSource(m.ID)
+	n.changeLog.SetHops(a.Hops + 1)
 	n.setSourceFollowers(a.Followers)
 	c := a.changes()
-	c.Waited = n.times.Follow
+	c.Waited = n.timing.PeerWait
 	return c
 }
 
-// waitForBefore has an instance of the later tiers wait for those before it
-// when they answer that they can't tell any more: the second tier asks the store
-// at once, and tells the others. Where all are silent there is nobody to wait for.
-func (n *Node) waitForBefore(ctx context.Context, tier int, after int64) (store.Changes, status) {
-	if n.lost || tier < tiers || !n.sourceLost {
-		return store.Changes{}, lostTouch
+// awaitEarlierTiers has an instance of the later tiers query the earlier tiers again after
+// they answered that they are disconnected: the second tier asks the store at once and
+// answers from then on. Where no source answered at all there is nothing to wait for.
+func (n *Node) awaitEarlierTiers(ctx context.Context, tier int, after int64) (store.Changes, status) {
+	if n.disconnected || tier < sourceTiers || !n.sourceDisconnected {
+		return store.Changes{}, statusDisconnected
 	}
-	n.lost = true
-	for range min(mostGathers, tier-tiers+1) {
-		if !sleep(ctx, n.times.Gather) {
+	n.disconnected = true
+	for range min(maxBatchDelays, tier-sourceTiers+1) {
+		if !sleep(ctx, n.timing.BatchDelay) {
 			break
 		}
-		before, _, _ := n.sources()
-		if c, ok := n.followAny(ctx, before, after, answerSlack); ok {
-			return c, known
+		primary, _, _ := n.sources()
+		if c, ok := n.followAny(ctx, primary, after, answerSlack); ok {
+			return c, statusOK
 		}
 	}
-	return n.followBusy(ctx, after)
+	return n.retryBusy(ctx, after)
 }
 
-// from logs whom the instance follows when that changes.
-func (n *Node) from(source string) {
+// setSource records the source that the instance follows, and logs a change of it.
+func (n *Node) setSource(source string) {
 	n.mu.Lock()
-	was := n.source
+	previous := n.source
 	n.source = source
 	n.mu.Unlock()
-	if was != source {
-		n.event("following", "source", source, "before", was)
+	if previous != source {
+		n.event("following", "source", source, "before", previous)
 	}
 }
--- a/relay/followers.go
+++ b/relay/followers.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// followerQuestions is for how many waits of a question a follower counts that
-// asked none since: one may be lost, and another instance may be asked once.
-const followerQuestions = 4
+// followerExpiryWaits is how many times the wait of a query may pass without a query until
+// a follower is removed: one query may be lost, and one may go to another instance.
+const followerExpiryWaits = 4
 
-// followers are the unlisted instances that ask this one, by address. They are
+// followers is the set of unregistered instances that query this one, by address. It is
 // safe for concurrent use.
 type followers struct {
 	mu sync.Mutex
-	// counts is how long a question counts.
-	counts time.Duration
-	until  map[string]time.Time
+	// expiry is how long a follower is kept after its last query.
+	expiry    time.Duration
+	expiresAt map[string]time.Time
 }
 
-func newFollowers(counts time.Duration) *followers {
-	return &followers{counts: counts, until: map[string]time.Time{}}
+func newFollowers(expiry time.Duration) *followers {
+	return &followers{expiry: expiry, expiresAt: map[string]time.Time{}}
 }
 
-// saw notes a question.
-func (f *followers) saw(addr string, now time.Time) {
+// record records a query.
+func (f *followers) record(addr string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.until[addr] = now.Add(f.counts)
+	f.expiresAt[addr] = now.Add(f.expiry)
 }
 
-// addrs returns where the followers are reached.
+// addrs returns the addresses of the followers.
 func (f *followers) addrs(now time.Time) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var l []string
-	for a, t := range f.until {
+	for a, t := range f.expiresAt {
 		if now.After(t) {
-			delete(f.until, a)
+			delete(f.expiresAt, a)
 			continue
 		}
 		l = append(l, a)
@@ -44,8 +44,8 @@
 	return l
 }
 
-// count returns how many followers there are.
+// count returns the number of followers.
 func (f *followers) count(now time.Time) int { return len(f.addrs(now)) }
 
-// Followers returns the addresses of the unlisted instances that follow this one.
+// Followers returns the addresses of the unregistered instances that follow this one.
 func (n *Node) Followers() []string { return n.followers.addrs(n.clock()) }
--- a/relay/node.go
+++ b/relay/node.go
@@ -12,130 +12,133 @@
 	"fieldvale/store"
 )
 
-// avoidFor is how long an instance that could not tell, or a store that
-// could not be reached while others could tell, is passed over.
-const avoidFor = 2 * time.Second
+// longAvoid is how long an instance that did not answer twice in a row is not queried, and
+// how long the store is not asked after it failed while another instance answered.
+const longAvoid = 2 * time.Second
 
-// Ports are what a node works with.
+// Ports are the dependencies of a node.
 type Ports struct {
-	// ChangeLog is what it tells others.
+	// ChangeLog holds the state that this instance passes on to its followers.
 	ChangeLog *ChangeLog
 	Store     store.Feed
 	Net       Transport
 	Fetcher   Fetcher
-	// ListMembers reads the list of the fleet's instances at the store; stale allows an answer
-	// that is some seconds old, which costs less. nil leaves it to SetMembers.
+	// ListMembers reads the registered members from the store. stale allows an answer that
+	// is some seconds old, which costs less. If it is nil, only SetMembers sets the members.
 	ListMembers func(ctx context.Context, stale bool) ([]peer.Member, error)
-	// Register has this instance put itself on the list, as nobody is there or all that are
-	// seem to have ended. It may be nil.
+	// Register has this instance register itself as a member: there are no registered
+	// members, or none of them answers. It may be nil.
 	Register func()
 	Clock    func() time.Time
 	Event    func(event string, fields ...any)
 }
 
-// Node follows other instances and is followed.
+// Node follows the store or other instances, and serves the instances that follow it.
 type Node struct {
-	self     peer.Member
-	log      *ChangeLog
-	store    store.Feed
-	net      Transport
-	transfer Fetcher
-	list     func(ctx context.Context, stale bool) ([]peer.Member, error)
-	join     func()
-	clock    func() time.Time
-	event    func(event string, fields ...any)
-	times    Timing
-	// waiting are the questions to other instances.
-	waiting *reply.Waiters[answer]
-	pieces  pieces
-	packs   *packs
-	tree    tree
-	// changeTree is of those that fetch the newest large change.
+	self        peer.Member
+	changeLog   *ChangeLog
+	store       store.Feed
+	net         Transport
+	fetcher     Fetcher
+	listMembers func(ctx context.Context, stale bool) ([]peer.Member, error)
+	register    func()
+	clock       func() time.Time
+	event       func(event string, fields ...any)
+	timing      Timing
+	// pending are the queries to other instances that wait for an answer.
+	pending     *reply.Waiters[answer]
+	reassembler reassembler
+	cache       *packCache
+	tree        fetchTree
+	// changeTree arranges the instances that fetch the newest large change.
 	changeTree changeTree
-	// transfers holds one for each instance that fetches now.
+	// transfers holds one element for each instance that is fetching state from this one.
 	transfers chan struct{}
-	// followers are the unlisted instances that ask this one.
+	// followers are the unregistered instances that query this one.
 	followers *followers
 
-	// backoff, lost, sourceLost, leftStore and gatherUntil belong to the
-	// one caller of Changes. backoff is when the store may be asked again.
+	// The fields from backoff to batchUntil are used only by the single caller of Changes.
+	// backoff is until when the store must not be asked again.
 	backoff backoff
-	// lost says that nobody could tell what is newest the last time.
-	lost bool
-	// sourceLost says that one of those asked the last time answered that it is
-	// out of touch itself, leftStore that the store is left to them.
-	sourceLost bool
-	// busy are those of them whose link had no room for the answer.
-	busy      []peer.Member
-	leftStore bool
-	// gatherUntil is when changes that came after the last ones are asked for.
-	gatherUntil time.Time
+	// disconnected is set if the last call found neither the store nor a current source.
+	disconnected bool
+	// sourceDisconnected is set if an instance queried in the last round answered that it
+	// is disconnected itself.
+	sourceDisconnected bool
+	// busySources are the instances of that round whose link had no capacity for the answer.
+	busySources []peer.Member
+	// storeDeferred is set while the store is left to the registered members.
+	storeDeferred bool
+	// batchUntil is when the store is next asked for changes after it has returned some.
+	batchUntil time.Time
 
-	mu      sync.Mutex
-	members []peer.Member
-	avoid   map[string]time.Time
-	// silent are the instances that gave no answer the last time.
+	mu         sync.Mutex
+	members    []peer.Member
+	avoidUntil map[string]time.Time
+	// silent are the instances that did not answer the last query.
 	silent map[string]bool
 	source string
-	// linkFree is when the link has room for another answer.
-	linkFree time.Time
-	// sourceFollowers is how many unlisted instances, this one among them, the
-	// one followed last says it has.
+	// linkFreeAt is when the link of this instance has capacity for another answer.
+	linkFreeAt time.Time
+	// sourceFollowers is how many unregistered followers, this instance included, the last
+	// source reported.
 	sourceFollowers int
 }
 
 var _ store.Feed = (*Node)(nil)
 
-// NewNode returns the instance self.
+// NewNode returns the node of the instance self. start is the first query id.
 func NewNode(self peer.Member, start uint64, p Ports, t Timing) *Node {
 	return &Node{
-		self: self, log: p.ChangeLog, store: p.Store, net: p.Net, transfer: p.Fetcher, list: p.ListMembers, join: p.Register, clock: p.Clock, event: p.Event, times: t,
-		waiting: reply.New[answer](start), packs: newPacks(), transfers: make(chan struct{}, transfersAtOnce),
-		avoid: map[string]time.Time{}, silent: map[string]bool{}, followers: newFollowers(followerQuestions * t.Follow),
+		self: self, changeLog: p.ChangeLog, store: p.Store, net: p.Net, fetcher: p.Fetcher, listMembers: p.ListMembers, register: p.Register, clock: p.Clock, event: p.Event, timing: t,
+		pending: reply.New[answer](start), cache: newPackCache(), transfers: make(chan struct{}, maxTransfers),
+		avoidUntil: map[string]time.Time{}, silent: map[string]bool{}, followers: newFollowers(followerExpiryWaits * t.PeerWait),
 	}
 }
 
-// SetMembers replaces the list of the fleet's instances.
+// SetMembers replaces the registered members.
 func (n *Node) SetMembers(m []peer.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.members = m
 }
 
-// Changes implements store.Feed. The fleet's instances are ranked; the first
-// ones watch the store, the next ones stand in for them. A listed instance asks
-// those ranked before its own tier, an unlisted one some of all, and, if none of
-// them can tell, the store. Where its own way to the store is cut, it asks others
-// of all tiers. It serves one caller at a time.
+// Changes implements store.Feed. The members are ranked: those of the first tier watch
+// the store, those of the second tier take over when the watchers fail. A registered
+// member queries the members of the sourceTiers tiers before its own, an unregistered
+// instance some of all members. If none of them has current state, the instance asks the
+// store, and if the store can't be reached, other members. Changes must not be called
+// concurrently.
 func (n *Node) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) (store.Changes, error) {
-	before, rest, tier := n.sources()
-	c, s := n.follow(ctx, before, after)
-	if s == lostTouch {
-		c, s = n.waitForBefore(ctx, tier, after)
+	primary, fallback, tier := n.sources()
+	c, s := n.follow(ctx, primary, after)
+	if s == statusDisconnected {
+		c, s = n.awaitEarlierTiers(ctx, tier, after)
 	}
-	if s == known {
-		n.told()
+	if s == statusOK {
+		n.markConnected()
 		return c, nil
 	}
-	if s == lostTouch && n.sourceLost && n.unlisted() {
-		n.leaveStore()
+	if s == statusDisconnected && n.sourceDisconnected && n.isUnregistered() {
+		n.deferStore()
 	}
-	if s == lostTouch && n.backoff.waits(n.clock()) {
-		if c, ok := n.followAny(ctx, rest, after, n.times.Follow); ok {
-			n.told()
+	if s == statusDisconnected && n.backoff.isActive(n.clock()) {
+		if c, ok := n.followAny(ctx, fallback, after, n.timing.PeerWait); ok {
+			n.markConnected()
 			return c, nil
 		}
 		if tier > 0 {
-			return store.Changes{}, errors.Mark(errWaits, store.ErrUnavailable)
+			return store.Changes{}, errors.Mark(errStoreBackoff, store.ErrUnavailable)
 		}
 	}
-	return n.watchOrFollow(ctx, prefix, after, wait, rest, tier)
+	return n.watchOrFollow(ctx, prefix, after, wait, fallback, tier)
 }
 
-// told notes that what is newest is known again.
-func (n *Node) told() {
-	n.lost = false
-	if n.leftStore {
-		n.leftStore, n.backoff = false, backoff{}
+// markConnected records that the store or a source answered, and ends a deferral of the
+// store.
+func (n *Node) markConnected() {
+	n.disconnected = false
+	if n.storeDeferred {
+		n.storeDeferred, n.backoff = false, backoff{}
 	}
 }
--- a/relay/packcache.go
+++ b/relay/packcache.go
@@ -8,42 +8,42 @@
 	"fieldvale/store"
 )
 
-// packs keeps what was packed last: all followers ask for the same changes, and all
-// that start for the same whole. It is safe for concurrent use.
-type packs struct {
+// packCache caches packed items: all followers ask for the same changes, and all instances
+// that start for the same snapshot. It is safe for concurrent use.
+type packCache struct {
 	mu sync.Mutex
-	// changes are those up to the revision until, packed, by the revision after which
-	// they are.
-	until   int64
-	changes map[int64][]byte
+	// changes are the packed changes up to changesRevision, by the revision after which they
+	// start.
+	changesRevision int64
+	changes         map[int64][]byte
 
-	whole packedWhole
-	// kept is closed when a whole is there for the first time.
-	kept chan struct{}
+	snapshot packedSnapshot
+	// ready is closed when there is a snapshot for the first time.
+	ready chan struct{}
 }
 
-// packedWhole is the whole at a revision, packed.
-type packedWhole struct {
+// packedSnapshot is a packed snapshot at a revision.
+type packedSnapshot struct {
 	items    []byte
 	revision int64
-	// asOf is when the revision was known to be the newest, packedAt when it was packed.
+	// asOf is when the revision was confirmed as the newest, packedAt when it was packed.
 	asOf, packedAt time.Time
 }
 
-// wholeFor is how long a packed whole is passed on after newer changes: who gets it
-// asks for those at once, and to pack it takes a small instance some 0.1 s.
-const wholeFor = 2 * time.Second
+// snapshotReuse is how long a packed snapshot is passed on after newer changes: its
+// receiver asks for those at once, and packing takes a small instance some 0.1 s.
+const snapshotReuse = 2 * time.Second
 
-func newPacks() *packs {
-	return &packs{changes: map[int64][]byte{}, kept: make(chan struct{})}
+func newPackCache() *packCache {
+	return &packCache{changes: map[int64][]byte{}, ready: make(chan struct{})}
 }
 
-// of returns the packed items of the changes after a revision.
-func (p *packs) of(after int64, c store.Changes) ([]byte, error) {
+// packedChanges returns the packed items of the changes after a revision.
+func (p *packCache) packedChanges(after int64, c store.Changes) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.until != c.Revision {
-		p.until, p.changes = c.Revision, map[int64][]byte{}
+	if p.changesRevision != c.Revision {
+		p.changesRevision, p.changes = c.Revision, map[int64][]byte{}
 	}
 	if b, ok := p.changes[after]; ok {
 		return b, nil
@@ -56,46 +56,46 @@
 	return b, nil
 }
 
-// keep keeps a whole that was fetched, so that it is passed on as it came. It speaks for
-// the moment at which it was asked for, less its age: the answer may have been long under
-// way, and this process may have stood still.
-func (p *packs) keep(a answer, message []byte, asked, now time.Time) packedWhole {
+// addFetched adds a fetched snapshot, to be passed on as it was received. It is confirmed
+// for the moment at which it was requested, less its age: its transfer may have taken long,
+// and this process may have been paused.
+func (p *packCache) addFetched(a answer, message []byte, requestedAt, now time.Time) packedSnapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	head := int(binary.BigEndian.Uint32(message[1:]))
-	w := packedWhole{items: message[1+headLength+head:], revision: a.Revision, asOf: asked.Add(-a.age()), packedAt: now}
-	if a.Revision >= p.whole.revision {
-		p.set(w)
+	jsonLength := int(binary.BigEndian.Uint32(message[1:]))
+	w := packedSnapshot{items: message[1+jsonLengthSize+jsonLength:], revision: a.Revision, asOf: requestedAt.Add(-a.age()), packedAt: now}
+	if a.Revision >= p.snapshot.revision {
+		p.setSnapshot(w)
 	}
 	return w
 }
 
-// set replaces the whole; p.mu is held.
-func (p *packs) set(w packedWhole) {
-	if p.whole.items == nil {
-		close(p.kept)
+// setSnapshot replaces the snapshot; p.mu is held.
+func (p *packCache) setSnapshot(w packedSnapshot) {
+	if p.snapshot.items == nil {
+		close(p.ready)
 	}
-	p.whole = w
+	p.snapshot = w
 }
 
-// hasWhole reports whether there is a whole to pass on.
-func (p *packs) hasWhole() bool {
+// hasSnapshot reports whether there is a snapshot to pass on.
+func (p *packCache) hasSnapshot() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.whole.items != nil
+	return p.snapshot.items != nil
 }
 
-// all returns the message with the whole that the log holds, or that was fetched just
-// now.
-func (p *packs) all(l *ChangeLog, now time.Time) ([]byte, error) {
+// snapshotMessage returns a message with the snapshot of the log, or with a cached one that
+// is recent enough.
+func (p *packCache) snapshotMessage(l *ChangeLog, now time.Time) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w, ok := p.whole, p.whole.items != nil
-	if r, confirmed, knows := l.newest(); knows && ok && r == w.revision && confirmed.After(w.asOf) {
+	w, ok := p.snapshot, p.snapshot.items != nil
+	if r, confirmed, isKnown := l.newest(); isKnown && ok && r == w.revision && confirmed.After(w.asOf) {
 		w.asOf = confirmed
-	} else if knows && (!ok || r != w.revision && now.Sub(w.packedAt) > wholeFor) {
+	} else if isKnown && (!ok || r != w.revision && now.Sub(w.packedAt) > snapshotReuse) {
 		var err error
-		if w, err = packWhole(l, now); err != nil {
+		if w, err = packSnapshot(l, now); err != nil {
 			return nil, err
 		}
 		ok = true
@@ -103,17 +103,17 @@
 	if !ok {
 		return nil, ErrNoState
 	}
-	p.set(w)
-	a := answer{Status: known, All: true, Revision: w.revision, Age: now.Sub(w.asOf).Milliseconds() + 1, Hops: unknownHops}
+	p.setSnapshot(w)
+	a := answer{Status: statusOK, Snapshot: true, Revision: w.revision, AgeMs: now.Sub(w.asOf).Milliseconds() + 1, Hops: unknownHops}
 	return encode(message{Answer: &a}, w.items)
 }
 
-// packWhole packs all that the log holds.
-func packWhole(l *ChangeLog, now time.Time) (packedWhole, error) {
-	x, ok := l.all()
+// packSnapshot packs the snapshot of the log.
+func packSnapshot(l *ChangeLog, now time.Time) (packedSnapshot, error) {
+	x, ok := l.current()
 	if !ok {
-		return packedWhole{}, ErrNoState
+		return packedSnapshot{}, ErrNoState
 	}
-	b, err := x.content.pack()
-	return packedWhole{items: b, revision: x.revision, asOf: x.asOf, packedAt: now}, err
+	b, err := x.snapshot.pack()
+	return packedSnapshot{items: b, revision: x.revision, asOf: x.asOf, packedAt: now}, err
 }
--- a/relay/query.go
+++ b/relay/query.go
@@ -9,47 +9,48 @@
 )
 
 const (
-	// answerSlack is how much longer an answer may take before another
-	// instance, or the store, is asked.
+	// answerSlack is how much longer than the requested wait an answer may take before
+	// another instance, or the store, is asked.
 	answerSlack = 150 * time.Millisecond
-	// maxPacked bounds the packed items of an answer, in bytes: 40 followers get
-	// them at once, which takes 0.4 s of a link of 10 Mbit/s, the slowest known.
-	// Larger changes are fetched over connections, which lose no piece.
-	maxPacked = 12 << 10
+	// maxPackedBytes bounds the packed items of an answer, in bytes: 40 followers receive
+	// them at once, which takes 0.4 s on a link of 10 Mbit/s, the slowest in use. Larger
+	// changes are fetched over connections, which lose no chunk.
+	maxPackedBytes = 12 << 10
 )
 
-// Transport sends datagrams to other instances. One may be lost.
+// Transport sends datagrams to other instances. A datagram may be lost.
 type Transport interface {
 	Send(addr string, b []byte) error
 }
 
-// ask asks one instance a question about changes and waits so long for its answer.
-func (n *Node) ask(ctx context.Context, q question, m peer.Member, patience time.Duration) heard {
-	a, ok := n.waiting.Ask(ctx, patience, func(id uint64) error {
-		q.ID, q.Unlisted = id, n.unlisted()
-		return n.send(m.Addr, id, message{Question: &q}, nil)
+// ask sends a query to an instance and waits up to the timeout for its answer.
+func (n *Node) ask(ctx context.Context, q query, m peer.Member, timeout time.Duration) queryResult {
+	a, ok := n.pending.Ask(ctx, timeout, func(id uint64) error {
+		q.ID, q.Unregistered = id, n.isUnregistered()
+		return n.send(m.Addr, id, message{Query: &q}, nil)
 	})
-	return heard{m, a, ok}
+	return queryResult{m, a, ok}
 }
 
-// heard is what came of a question; ok is false without an answer.
-type heard struct {
-	from   peer.Member
+// queryResult is the result of a query; ok is false if no answer arrived.
+type queryResult struct {
+	source peer.Member
 	answer answer
 	ok     bool
 }
 
-// askTogether asks instances at once what they know; the answers come in their own order.
-func (n *Node) askTogether(ctx context.Context, m []peer.Member, after int64, patience time.Duration) <-chan heard {
-	c := make(chan heard, len(m))
+// askAll queries the instances at once for the revisions that they have. The results are
+// sent in the order of their arrival.
+func (n *Node) askAll(ctx context.Context, m []peer.Member, after int64, timeout time.Duration) <-chan queryResult {
+	c := make(chan queryResult, len(m))
 	for _, x := range m {
-		go func() { c <- n.ask(ctx, question{After: after, Peek: true}, x, patience) }()
+		go func() { c <- n.ask(ctx, query{After: after, Peek: true}, x, timeout) }()
 	}
 	return c
 }
 
-// send sends a message, in pieces if it is large. id tells the pieces of
-// messages to one instance apart.
+// send sends a message, in chunks if it is large. id distinguishes the chunks of the
+// messages to one instance.
 func (n *Node) send(addr string, id uint64, m message, items []byte) error {
 	b, err := encode(m, items)
 	if err != nil {
@@ -67,9 +68,9 @@
 	return nil
 }
 
-// Receive takes a datagram in; from is where an answer goes.
+// Receive handles a datagram; from is the address for an answer.
 func (n *Node) Receive(from string, b []byte) {
-	b, err := n.pieces.join(from, b)
+	b, err := n.reassembler.join(from, b)
 	if b == nil && err == nil {
 		return
 	}
@@ -81,90 +82,91 @@
 		n.event("datagram_unreadable", "from", from, "error", err)
 		return
 	}
-	if m.Question != nil {
-		if m.Question.Unlisted {
-			n.followers.saw(from, n.clock())
+	if m.Query != nil {
+		if m.Query.Unregistered {
+			n.followers.record(from, n.clock())
 		}
-		if m.Question.Whole {
-			n.answerWhole(from, *m.Question)
+		if m.Query.Snapshot {
+			n.answerSnapshotQuery(from, *m.Query)
 			return
 		}
-		go n.answer(from, *m.Question)
+		go n.answerQuery(from, *m.Query)
 	}
 	if m.Answer != nil {
-		n.waiting.Deliver(m.Answer.ID, *m.Answer)
+		n.pending.Deliver(m.Answer.ID, *m.Answer)
 	}
 }
 
-// answer waits until there is something to say.
-func (n *Node) answer(to string, q question) {
-	t := time.NewTimer(min(n.times.Follow, time.Duration(q.Wait)*time.Millisecond))
+// answerQuery answers once there is a change after the queried revision or the status is
+// not statusOK, at the latest after the wait of the query.
+func (n *Node) answerQuery(to string, q query) {
+	t := time.NewTimer(min(n.timing.PeerWait, time.Duration(q.WaitMs)*time.Millisecond))
 	defer t.Stop()
 	for {
-		c, changed, s := n.log.since(q.After, q.maxHops(), n.clock())
-		if s != known || len(c.Items) > 0 {
+		c, changed, s := n.changeLog.since(q.After, q.maxHops(), n.clock())
+		if s != statusOK || len(c.Items) > 0 {
 			n.reply(to, q, c, s)
 			return
 		}
 		select {
 		case <-changed:
 		case <-t.C:
-			c, _, s = n.log.since(q.After, q.maxHops(), n.clock())
+			c, _, s = n.changeLog.since(q.After, q.maxHops(), n.clock())
 			n.reply(to, q, c, s)
 			return
 		}
 	}
 }
 
-// answerRate is how many bytes of answers an instance sends in a second at most: four
-// fifths of a link of 10 Mbit/s, so that none overruns it.
-const answerRate = 1e6
+// answerBytesPerSecond bounds the bytes of answers that an instance sends in a second:
+// four fifths of a link of 10 Mbit/s, so that no link is overrun.
+const answerBytesPerSecond = 1e6
 
-// awaitLink waits until the link has room for an answer's items, and returns for how
-// long. It reports false at once where the one that asked would not wait so long: an
-// answer to nobody only keeps the link from the others.
-func (n *Node) awaitLink(bytes int) (time.Duration, bool) {
+// awaitLinkCapacity waits until the link has capacity for an answer's items, and returns
+// for how long it waited. It returns false at once if the wait is longer than the sender
+// of the query waits: an answer that nobody waits for takes capacity from the others.
+func (n *Node) awaitLinkCapacity(bytes int) (time.Duration, bool) {
 	if bytes == 0 {
 		return 0, true
 	}
 	now := n.clock()
 	n.mu.Lock()
-	if n.linkFree.Before(now) {
-		n.linkFree = now
+	if n.linkFreeAt.Before(now) {
+		n.linkFreeAt = now
 	}
-	d := n.linkFree.Sub(now)
-	if d > n.times.Follow {
+	d := n.linkFreeAt.Sub(now)
+	if d > n.timing.PeerWait {
 		n.mu.Unlock()
 		return 0, false
 	}
-	n.linkFree = n.linkFree.Add(time.Duration(float64(bytes) / answerRate * float64(time.Second)))
+	n.linkFreeAt = n.linkFreeAt.Add(time.Duration(float64(bytes) / answerBytesPerSecond * float64(time.Second)))
 	n.mu.Unlock()
 	time.Sleep(d)
 	return d, true
 }
 
-// reply sends what there is to say.
-func (n *Node) reply(to string, q question, c store.Changes, s status) {
+// reply sends an answer with the changes, or with a status that says why they are left out.
+func (n *Node) reply(to string, q query, c store.Changes, s status) {
 	var items []byte
 	if len(c.Items) > 0 && !q.Peek {
 		var err error
-		if items, err = n.packs.of(q.After, c); err != nil {
+		if items, err = n.cache.packedChanges(q.After, c); err != nil {
 			n.event("answer_unsent", "to", to, "error", err)
 			return
 		}
 	}
-	if len(items) > maxPacked {
-		items, s = nil, tooLarge
+	if len(items) > maxPackedBytes {
+		items, s = nil, statusTooLarge
 	}
-	waited, ok := n.awaitLink(len(items))
+	waited, ok := n.awaitLinkCapacity(len(items))
 	if !ok {
-		items, s = nil, busy
+		items, s = nil, statusBusy
 	}
 	a := newAnswer(q.ID, c, s)
-	a.Age += waited.Milliseconds()
-	a.Hops, a.Followers = n.log.Hops(), n.followers.count(n.clock())
-	if s == tooLarge {
-		a.Instead = n.changeTree.parent(to, c.Revision, n.clock())
+	a.AgeMs += waited.Milliseconds()
+	a.Hops, a.Followers = n.changeLog.Hops(), n.followers.count(n.clock())
+	if s == statusTooLarge {
+		a.FetchFrom = n.changeTree.parent(to, c.Revision, n.clock())
 	}
 	if err := n.send(to, q.ID, message{Answer: &a}, items); err != nil {
 		n.event("answer_unsent", "to", to, "error", err)
--- a/relay/randomfaults_test.go
+++ b/relay/randomfaults_test.go
@@ -18,54 +18,56 @@
 )
 
 const (
-	// dayLength is how long a drawn day lasts, and dayStep how often it is looked at.
-	dayLength = 20 * time.Second
-	dayStep   = 50 * time.Millisecond
-	// contact is how long an instance must have been without trouble to be held to the bound
-	// applied; outer is how much more it has where the store dropped its history within contact.
-	contact = 3 * time.Second
-	applied = 2 * time.Second
-	outer   = 5 * time.Second
-	// daysDrawn are played by default, and largeDrawn of each large fleet; FIELDVALE_DAYS names
-	// another number.
-	daysDrawn  = 100
-	largeDrawn = 4
+	// scenarioLength is the length of a random scenario, checkInterval the interval of checks.
+	scenarioLength = 20 * time.Second
+	checkInterval  = 50 * time.Millisecond
+	// settleTime is how long an instance must have been without faults until it has to meet
+	// applyBound. compactionGrace is added to the bound if the store lost its history within
+	// settleTime.
+	settleTime      = 3 * time.Second
+	applyBound      = 2 * time.Second
+	compactionGrace = 5 * time.Second
+	// defaultScenarios is the number of scenarios of small fleets, defaultLargeScenarios that
+	// of each size of large fleets; the environment variable FIELDVALE_DAYS replaces both.
+	defaultScenarios      = 100
+	defaultLargeScenarios = 4
 )
 
-func daysOr(most int) int {
+func scenarioCount(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("FIELDVALE_DAYS")); err == nil {
 		return n
 	}
-	return most
+	return defaultCount
 }
 
-// lateDays were late once.
-var lateDays = []int{489, 2117, 2917, 1007, 2346}
+// lateSeeds are seeds of scenarios in which a change was late at an instance.
+var lateSeeds = []int{489, 2117, 2917, 1007, 2346}
 
-// Whatever befalls instances and the store, those in touch know a change in time.
+// Under random faults of instances, links and the store, each instance that has been
+// without faults for settleTime must have every change within its bound.
 func TestChangesAreInForceOnDrawnDays(t *testing.T) {
-	for _, seed := range lateDays {
-		t.Run(fmt.Sprint("late ", seed), func(t *testing.T) { t.Parallel(); drawnDay(t, uint64(seed), smallFleet) })
+	for _, seed := range lateSeeds {
+		t.Run(fmt.Sprint("late ", seed), func(t *testing.T) { t.Parallel(); runScenario(t, uint64(seed), smallFleet) })
 	}
-	for seed := range daysOr(daysDrawn) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { t.Parallel(); drawnDay(t, uint64(seed), smallFleet) })
+	for seed := range scenarioCount(defaultScenarios) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { t.Parallel(); runScenario(t, uint64(seed), smallFleet) })
 	}
 }
 
-// The same holds in large fleets, of which some 50 instances are listed.
-func TestChangesAreInForceInLargeFleetsOnDrawnDays(t *testing.T) {
+// The same must hold in large fleets, of which some 50 instances are registered.
+func TestChangesAreInForceInLargeFleets(t *testing.T) {
 	for _, n := range []int{58, 150, 300} {
-		for seed := range daysOr(largeDrawn) {
+		for seed := range scenarioCount(defaultLargeScenarios) {
 			t.Run(fmt.Sprint(n, " ", seed), func(t *testing.T) {
 				t.Parallel()
-				drawnDay(t, uint64(seed), func(*rand.Rand) (int, int) { return n, min(n, 50) })
+				runScenario(t, uint64(seed), func(*rand.Rand) (int, int) { return n, min(n, 50) })
 			})
 		}
 	}
 }
 
-// smallFleet draws how many instances there are, and how many of them are listed.
-func smallFleet(r *rand.Rand) (n, listed int) {
+// smallFleet draws the number of instances, and how many of them are registered.
+func smallFleet(r *rand.Rand) (n, registered int) {
 	n = 2 + r.IntN(12)
 	if r.IntN(10) == 0 {
 		n = 45
@@ -73,34 +75,34 @@
 	return n, n
 }
 
-// day is a drawn day on one fleet.
-type day struct {
+// scenario is a sequence of random changes and faults in one fleet.
+type scenario struct {
 	f     *fleet
 	s     *fakeStore
 	r     *rand.Rand
 	began time.Time
-	// due are what is still to happen, in no order.
-	due []happening
-	// until is until when each instance has had trouble; down and dropped are that of the store
-	// that did not answer, and that dropped its history.
-	until         map[string]time.Time
-	down, dropped time.Time
-	acked         []acked
+	// due are the events that are still to happen, in no order.
+	due []scheduledEvent
+	// faultyUntil is when the last fault of each instance ends, storeDownUntil when the last
+	// outage of the store ends, historyLostAt when the store compacts its history.
+	faultyUntil                   map[string]time.Time
+	storeDownUntil, historyLostAt time.Time
+	acked                         []ackedChange
 
 	mu sync.Mutex
-	// lines tell what befell the day, under "", and each instance.
+	// lines are the log lines of each instance; those of the whole fleet are under "".
 	lines map[string][]string
 }
 
-// noted keeps a line of the day, or of an instance.
-func (d *day) noted(instance, format string, a ...any) {
+// logf adds a log line of an instance, or of the fleet if instance is empty.
+func (d *scenario) logf(instance, format string, a ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lines[instance] = append(d.lines[instance], fmt.Sprintf("%.3f ", time.Since(d.began).Seconds())+fmt.Sprintf(format, a...))
 }
 
-// story returns the lines of the day and of the instance.
-func (d *day) story(instance string) string {
+// history returns the log lines of the fleet and of the instance in the order of time.
+func (d *scenario) history(instance string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	l := slices.Concat(d.lines[""], d.lines[instance])
@@ -113,70 +115,70 @@
 	return strings.Join(l, "\n")
 }
 
-// happening is something that happens at a moment.
-type happening struct {
+// scheduledEvent is an event that is due at a moment.
+type scheduledEvent struct {
 	at time.Time
 	do func()
 }
 
-// acked is a change and when it was acknowledged.
-type acked struct {
+// ackedChange is a change of the store and when it was acknowledged.
+type ackedChange struct {
 	revision int64
 	at       time.Time
 }
 
-func drawnDay(t *testing.T, seed uint64, size func(*rand.Rand) (n, listed int)) {
+func runScenario(t *testing.T, seed uint64, size func(*rand.Rand) (n, registered int)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var g sync.WaitGroup
 		r := rand.New(rand.NewPCG(seed, 1))
 		s := &fakeStore{}
 		s.put("a", "1")
-		n, listed := size(r)
-		d := &day{f: start(ctx, &g, n, listed, s), s: s, r: r, until: map[string]time.Time{}, lines: map[string][]string{}}
+		n, registered := size(r)
+		d := &scenario{f: startFleet(ctx, &g, n, registered, s), s: s, r: r, faultyUntil: map[string]time.Time{}, lines: map[string][]string{}}
 		time.Sleep(5 * time.Second)
 		d.began = time.Now()
-		d.f.trace = func(instance, event string, fields []any) { d.noted(instance, "%s %s %v", instance, event, fields) }
+		d.f.trace = func(instance, event string, fields []any) { d.logf(instance, "%s %s %v", instance, event, fields) }
 		d.draw()
-		d.play(t)
+		d.run(t)
 		cancel()
 		g.Wait()
-		time.Sleep(contact)
+		time.Sleep(settleTime)
 	})
 }
 
-// draw draws what happens.
-func (d *day) draw() {
-	for at := time.Duration(0); at < dayLength; at += d.between(300*time.Millisecond, 2*time.Second) {
+// draw draws the changes and faults of the scenario.
+func (d *scenario) draw() {
+	for at := time.Duration(0); at < scenarioLength; at += d.between(300*time.Millisecond, 2*time.Second) {
 		d.after(at, d.change)
 	}
 	for range 2 + d.r.IntN(5) {
-		k := []func(){d.turnAway, d.cut, d.drop, d.away, d.restart, d.lose}[d.r.IntN(6)]
-		d.after(d.between(0, dayLength-contact), k)
+		k := []func(){d.refuse, d.cut, d.compact, d.stopStore, d.restart, d.loseDatagrams}[d.r.IntN(6)]
+		d.after(d.between(0, scenarioLength-settleTime), k)
 	}
 }
 
-func (d *day) between(a, b time.Duration) time.Duration {
+func (d *scenario) between(a, b time.Duration) time.Duration {
 	return a + time.Duration(d.r.Int64N(int64(b-a)))
 }
 
-// after has something happen so long from now.
-func (d *day) after(in time.Duration, do func()) {
-	d.due = append(d.due, happening{time.Now().Add(in), do})
+// after schedules an event.
+func (d *scenario) after(in time.Duration, do func()) {
+	d.due = append(d.due, scheduledEvent{time.Now().Add(in), do})
 }
 
-// play goes through the day.
-func (d *day) play(t *testing.T) {
-	for end := time.Now().Add(dayLength); time.Now().Before(end); time.Sleep(dayStep) {
-		d.happen()
+// run runs the scenario until its end or the first late change.
+func (d *scenario) run(t *testing.T) {
+	for end := time.Now().Add(scenarioLength); time.Now().Before(end); time.Sleep(checkInterval) {
+		d.runDue()
 		if d.check(t) {
 			return
 		}
 	}
 }
 
-// happen does what is due.
-func (d *day) happen() {
+// runDue runs the events that are due.
+func (d *scenario) runDue() {
 	l := d.due
 	d.due = nil
 	for _, h := range l {
@@ -188,14 +190,14 @@
 	}
 }
 
-func (d *day) change() {
+func (d *scenario) change() {
 	r := d.s.put("a", "2")
-	d.noted("", "change %d", r)
-	d.acked = append(d.acked, acked{r, time.Now()})
+	d.logf("", "change %d", r)
+	d.acked = append(d.acked, ackedChange{r, time.Now()})
 }
 
-// some returns some of the instances, often those that watch.
-func (d *day) some() []peer.Member {
+// pickInstances returns random instances, in a third of the cases the watchers.
+func (d *scenario) pickInstances() []peer.Member {
 	if d.r.IntN(3) == 0 {
 		return Watchers(d.f.members())
 	}
@@ -206,46 +208,46 @@
 	return l
 }
 
-// trouble notes that instances have trouble until then.
-func (d *day) trouble(m []peer.Member, until time.Time) {
+// markFaulty records that the instances are faulty until the given moment.
+func (d *scenario) markFaulty(m []peer.Member, until time.Time) {
 	for _, x := range m {
-		if until.After(d.until[x.ID]) {
-			d.until[x.ID] = until
+		if until.After(d.faultyUntil[x.ID]) {
+			d.faultyUntil[x.ID] = until
 		}
 	}
 }
 
-// turnAway has the store turn instances away for a while.
-func (d *day) turnAway() {
-	m, last := d.some(), d.between(time.Second, 8*time.Second)
+// refuse has the store refuse instances, or not answer them, for a while.
+func (d *scenario) refuse() {
+	m, duration := d.pickInstances(), d.between(time.Second, 8*time.Second)
 	silent := d.r.IntN(2) == 0
-	d.noted("", "turned away for %s, silent=%t: %v", last, silent, m)
-	d.f.turnAway(m, silent)
-	d.trouble(m, time.Now().Add(last))
-	d.after(last, func() {
+	d.logf("", "the store refuses instances for %s, silent=%t: %v", duration, silent, m)
+	d.f.refuse(m, silent)
+	d.markFaulty(m, time.Now().Add(duration))
+	d.after(duration, func() {
 		for _, x := range m {
-			d.f.away[x.ID].set(false)
+			d.f.outages[x.ID].set(false)
 		}
 	})
 }
 
-// cut cuts instances off from all others and the store for a while.
-func (d *day) cut() {
-	m, last := d.some(), d.between(time.Second, 8*time.Second)
-	d.noted("", "cut off for %s: %v", last, m)
-	d.f.turnAway(m, true)
-	d.ways(m, true)
-	d.trouble(m, time.Now().Add(last))
-	d.after(last, func() {
-		d.ways(m, false)
+// cut cuts instances off from all others and from the store for a while.
+func (d *scenario) cut() {
+	m, duration := d.pickInstances(), d.between(time.Second, 8*time.Second)
+	d.logf("", "instances are cut off for %s: %v", duration, m)
+	d.f.refuse(m, true)
+	d.setCut(m, true)
+	d.markFaulty(m, time.Now().Add(duration))
+	d.after(duration, func() {
+		d.setCut(m, false)
 		for _, x := range m {
-			d.f.away[x.ID].set(false)
+			d.f.outages[x.ID].set(false)
 		}
 	})
 }
 
-// ways cuts the ways between the instances and all others, or mends them.
-func (d *day) ways(m []peer.Member, cut bool) {
+// setCut cuts or restores the links between the instances and all others.
+func (d *scenario) setCut(m []peer.Member, cut bool) {
 	d.f.net.mu.Lock()
 	defer d.f.net.mu.Unlock()
 	for _, x := range m {
@@ -256,71 +258,73 @@
 	}
 }
 
-// drop has calls for changes hear nothing for a second; then the history is gone.
-func (d *day) drop() {
-	const last = time.Second
-	d.noted("", "history is dropped in %s", last)
-	d.s.setDeaf(true)
-	d.dropped = time.Now().Add(last)
-	d.after(last, func() {
-		d.s.setDeaf(false)
+// compact has calls for changes miss all changes for a second; then the history is
+// compacted.
+func (d *scenario) compact() {
+	const duration = time.Second
+	d.logf("", "the history is compacted in %s", duration)
+	d.s.setMissesChanges(true)
+	d.historyLostAt = time.Now().Add(duration)
+	d.after(duration, func() {
+		d.s.setMissesChanges(false)
 		d.s.compact()
 	})
 }
 
-// away has the store fail all calls for a while.
-func (d *day) away() {
-	last := d.between(time.Second, 6*time.Second)
-	d.noted("", "the store is away for %s", last)
+// stopStore has the store fail all calls for a while.
+func (d *scenario) stopStore() {
+	duration := d.between(time.Second, 6*time.Second)
+	d.logf("", "the store is down for %s", duration)
 	d.s.setDown(true)
-	if u := time.Now().Add(last); u.After(d.down) {
-		d.down = u
+	if u := time.Now().Add(duration); u.After(d.storeDownUntil) {
+		d.storeDownUntil = u
 	}
-	d.after(last, func() { d.s.setDown(time.Now().Before(d.down)) })
+	d.after(duration, func() { d.s.setDown(time.Now().Before(d.storeDownUntil)) })
 }
 
-// restart ends instances and starts them again.
-func (d *day) restart() {
-	m := d.some()
-	d.noted("", "restarted: %v", m)
-	d.trouble(m, time.Now())
+// restart restarts instances.
+func (d *scenario) restart() {
+	m := d.pickInstances()
+	d.logf("", "instances are restarted: %v", m)
+	d.markFaulty(m, time.Now())
 	d.f.restart(m...)
 }
 
-// lose has datagrams lost for a while.
-func (d *day) lose() {
-	last := d.between(time.Second, 8*time.Second)
-	d.noted("", "datagrams are lost for %s", last)
-	d.lossPart(0.03)
-	d.trouble(d.f.all, time.Now().Add(last))
-	d.after(last, func() { d.lossPart(0) })
+// loseDatagrams has a part of all datagrams lost for a while.
+func (d *scenario) loseDatagrams() {
+	duration := d.between(time.Second, 8*time.Second)
+	d.logf("", "datagrams are lost for %s", duration)
+	d.setLossRate(0.03)
+	d.markFaulty(d.f.all, time.Now().Add(duration))
+	d.after(duration, func() { d.setLossRate(0) })
 }
 
-func (d *day) lossPart(p float64) {
+func (d *scenario) setLossRate(p float64) {
 	d.f.net.mu.Lock()
 	defer d.f.net.mu.Unlock()
-	d.f.net.lossPart = p
+	d.f.net.lossRate = p
 }
 
-// check reports whether an instance in touch is late to know a change.
-func (d *day) check(t *testing.T) bool {
+// check reports whether a change is late at an instance without faults, and fails the test
+// then.
+func (d *scenario) check(t *testing.T) bool {
 	now := time.Now()
-	bound := applied
+	bound := applyBound
 	switch {
-	case now.Sub(d.down) < contact:
+	case now.Sub(d.storeDownUntil) < settleTime:
 		return false
-	case now.Sub(d.dropped) < contact:
-		bound += outer
+	case now.Sub(d.historyLostAt) < settleTime:
+		bound += compactionGrace
 	}
 	late := false
 	for _, a := range d.acked {
 		if now.Sub(a.at) <= bound {
 			break
 		}
-		for id, on := range d.f.on {
-			got, confirmed, _ := on.state()
-			if now.Sub(d.until[id]) >= contact && got < a.revision {
-				t.Errorf("at %s one of %d instances, %s, is at revision %d, confirmed %s ago; %d was acknowledged %s ago\n%s", now.Sub(d.began), len(d.f.all), id, got, now.Sub(confirmed), a.revision, now.Sub(a.at), d.story(id))
+		for id, listener := range d.f.listeners {
+			got, confirmed, _ := listener.state()
+			if now.Sub(d.faultyUntil[id]) >= settleTime && got < a.revision {
+				t.Errorf("at %s one of %d instances, %s, is at revision %d, confirmed %s ago; want at least %d, acknowledged %s ago\n%s", now.Sub(d.began), len(d.f.all), id, got, now.Sub(confirmed), a.revision, now.Sub(a.at), d.history(id))
 				late = true
 			}
 		}
--- a/relay/read.go
+++ b/relay/read.go
@@ -12,94 +12,98 @@
 	"fieldvale/store"
 )
 
-// The store is read whole by few: the watching instances, and others in their turn only
-// where nobody ranked before them knows it or is about to. All others fetch the whole
-// from one that has it, so that what the store gives out does not grow with the fleet.
+// Few instances read a snapshot from the store: the watchers, and others, tier after tier,
+// only where no instance ranked before them has a snapshot or is about to get one. All
+// others fetch it from an instance that has it, so that the load on the store does not
+// grow with the fleet.
 
 const (
 	// pageTimeout bounds the read of one page of the store.
 	pageTimeout = 2 * time.Second
-	// wholeAnswer is how long the answer may take to the question where the whole is to
-	// be fetched; it is given at once.
-	wholeAnswer = 300 * time.Millisecond
-	// mostDetours is how often one instance is asked for another way after the one it
-	// named has failed.
-	mostDetours = 3
-	// askPause is between rounds of questions to all sources.
-	askPause = 100 * time.Millisecond
-	// turnLength is how much longer the instances of each tier wait than those of the
-	// tier before until they read the store themselves.
-	turnLength = 1500 * time.Millisecond
-	// lostTurn is that where those before have said that they can't reach it.
-	lostTurn = 300 * time.Millisecond
-	// aloneAfter is how long an instance that is not listed asks in vain before it takes
-	// it that all that are have ended, and aloneSpread the most that comes on top: the
-	// first one that joins the list then is found by the others.
-	aloneAfter  = 2500 * time.Millisecond
-	aloneSpread = 4 * time.Second
-	// joinCalls times what a call of the store takes, and up to joinSlack on top, is
-	// how long one that has joined waits for others that join in the same moment.
-	joinCalls = 3
-	joinSlack = 50 * time.Millisecond
+	// snapshotQueryTimeout bounds the query for the address of a snapshot, which is
+	// answered without delay.
+	snapshotQueryTimeout = 300 * time.Millisecond
+	// maxRedirects is how often one instance is queried for another address after the
+	// fetch from the address that it named has failed.
+	maxRedirects = 3
+	// roundPause is the mean pause between two rounds of queries to all sources.
+	roundPause = 100 * time.Millisecond
+	// tierDelay is how much longer the instances of a tier wait than those of the tier
+	// before until they read the store themselves.
+	tierDelay = 1500 * time.Millisecond
+	// disconnectedTierDelay replaces tierDelay where the instances of the tiers before
+	// answered that they can't reach the store.
+	disconnectedTierDelay = 300 * time.Millisecond
+	// registerAfter is how long an unregistered instance queries the members without an
+	// answer until it assumes that all of them have ended. Up to registerSpread is added
+	// at random: the others then find the first instance that registers.
+	registerAfter  = 2500 * time.Millisecond
+	registerSpread = 4 * time.Second
+	// registerWaitCalls times the duration of a call of the store, plus up to
+	// registerWaitSpread, is how long an instance that has registered waits for others
+	// that register at the same moment.
+	registerWaitCalls  = 3
+	registerWaitSpread = 50 * time.Millisecond
 )
 
-// nothing is the revision of one that knows nothing yet.
-const nothing = -1
+// noRevision is the revision of an instance that has no state yet.
+const noRevision = -1
 
-// Fetcher fetches what another instance passes on over a connection: the changes after
-// a revision or, where it has forgotten them, the whole; below 0 asks for the whole.
+// Fetcher fetches the state of another instance over a connection: the changes after a
+// revision or, where that instance no longer has them or the revision is below 0, a
+// snapshot.
 type Fetcher interface {
 	Fetch(ctx context.Context, addr string, after int64) ([]byte, error)
 }
 
-// errOlder says that another instance knows no more than this one.
-var errOlder = errors.New("relay: what was fetched is no newer than what is known")
+// errNotNewer is returned if another instance has no newer state than this one.
+var errNotNewer = errors.New("relay: the fetched state is no newer than the state of this instance")
 
-// Read implements store.Feed. The first page has all keys if another instance could
-// tell them.
+// Read implements store.Feed. The first page has all keys if it is a snapshot of another
+// instance.
 func (n *Node) Read(ctx context.Context, prefix, after string) (store.Page, error) {
 	if after != "" {
 		return n.readPage(ctx, prefix, after)
 	}
-	if r, _, knows := n.log.newest(); knows {
+	if r, _, ok := n.changeLog.newest(); ok {
 		return n.readNewer(ctx, prefix, r)
 	}
-	if err := n.findMembers(ctx); err != nil {
+	if err := n.loadMembers(ctx); err != nil {
 		return store.Page{}, err
 	}
 	started := n.clock()
-	alone := aloneAfter + rand.N(aloneSpread)
+	registerWait := registerAfter + rand.N(registerSpread)
 	for {
-		before, rest, tier := n.sources()
+		primary, fallback, tier := n.sources()
 		if tier == 0 {
-			return n.readOrAsk(ctx, prefix, rest, nothing)
+			return n.readOrFetch(ctx, prefix, fallback, noRevision)
 		}
-		p, s := n.fetchWhole(ctx, before, rest)
+		p, s := n.fetchSnapshot(ctx, primary, fallback)
 		waited := n.clock().Sub(started)
 		switch {
-		case s == known:
+		case s == statusOK:
 			return p, nil
 		case ctx.Err() != nil:
 			return store.Page{}, errors.Wrap(ctx.Err(), "relay.Read")
-		case s == starting:
-		case waited > time.Duration(tier)*turnLength, s == lostTouch && waited > time.Duration(tier)*lostTurn:
+		case s == statusStarting:
+		case waited > time.Duration(tier)*tierDelay, s == statusDisconnected && waited > time.Duration(tier)*disconnectedTierDelay:
 			return n.readPage(ctx, prefix, "")
-		case s == unheard && waited > alone:
-			if l := n.findOthers(ctx); len(l) > 0 {
-				if p, s := n.fetchWhole(ctx, l, nil); s == known {
+		case s == statusNoAnswer && waited > registerWait:
+			if l := n.reloadMembers(ctx); len(l) > 0 {
+				if p, s := n.fetchSnapshot(ctx, l, nil); s == statusOK {
 					return p, nil
 				}
-				alone = waited + rand.N(aloneSpread)
+				registerWait = waited + rand.N(registerSpread)
 				break
 			}
-			n.joins()
+			n.registerSelf()
 			return n.readPage(ctx, prefix, "")
 		}
-		sleep(ctx, askPause/2+rand.N(askPause))
+		sleep(ctx, roundPause/2+rand.N(roundPause))
 	}
 }
 
-// readPage reads one page at the store.
+// readPage reads one page from the store.
 func (n *Node) readPage(ctx context.Context, prefix, after string) (store.Page, error) {
 	x, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
@@ -110,152 +114,155 @@
 	return p, err
 }
 
-// findMembers reads the list at the store if nobody is known. An answer that may be
-// seconds old serves, since those it names are asked. Where it names nobody the newest
-// is read, and again after this instance has joined: instances that start at once must
-// not all take themselves for the first.
-func (n *Node) findMembers(ctx context.Context) error {
-	if n.list == nil || n.knowsMembers() {
+// loadMembers reads the members from the store if none are known. A list that is seconds
+// old will do, since its members are queried. If that list is empty, the current one is
+// read, and read again after this instance has registered: instances that start together
+// must not each take themselves for the first.
+func (n *Node) loadMembers(ctx context.Context) error {
+	if n.listMembers == nil || n.hasMembers() {
 		return nil
 	}
-	l, err := n.list(ctx, true)
+	l, err := n.listMembers(ctx, true)
 	if err == nil && len(l) == 0 {
-		asked := n.clock()
-		if l, err = n.list(ctx, false); err == nil && len(l) == 0 {
-			n.joins()
-			sleep(ctx, joinCalls*n.clock().Sub(asked)+rand.N(joinSlack))
-			l, err = n.list(ctx, false)
+		requestedAt := n.clock()
+		if l, err = n.listMembers(ctx, false); err == nil && len(l) == 0 {
+			n.registerSelf()
+			sleep(ctx, registerWaitCalls*n.clock().Sub(requestedAt)+rand.N(registerWaitSpread))
+			l, err = n.listMembers(ctx, false)
 		}
 	}
 	if err != nil {
-		return errors.Wrap(err, "relay.findMembers")
+		return errors.Wrap(err, "relay.loadMembers")
 	}
 	n.SetMembers(l)
 	return nil
 }
 
-// joins has this instance put itself on the list.
-func (n *Node) joins() {
-	if n.join != nil {
-		n.join()
+// registerSelf has this instance register itself as a member.
+func (n *Node) registerSelf() {
+	if n.register != nil {
+		n.register()
 	}
 }
 
-func (n *Node) knowsMembers() bool {
+func (n *Node) hasMembers() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.members) > 0
 }
 
-// findOthers reads the list anew where nobody that it named answers, and returns those
-// that it did not name before.
-func (n *Node) findOthers(ctx context.Context) []peer.Member {
-	if n.list == nil {
+// reloadMembers reads the members again, since none of them answers, and returns those
+// that are new.
+func (n *Node) reloadMembers(ctx context.Context) []peer.Member {
+	if n.listMembers == nil {
 		return nil
 	}
-	l, err := n.list(ctx, false)
+	l, err := n.listMembers(ctx, false)
 	if err != nil {
 		n.event("list_unread", "error", err)
 		return nil
 	}
 	n.mu.Lock()
-	was := n.members
+	previous := n.members
 	n.mu.Unlock()
 	n.SetMembers(l)
-	return slices.DeleteFunc(slices.Clone(l), func(m peer.Member) bool { return n.isSelf(m) || slices.Contains(was, m) })
+	return slices.DeleteFunc(slices.Clone(l), func(m peer.Member) bool { return n.isSelf(m) || slices.Contains(previous, m) })
 }
 
-// fetchWhole fetches the whole from one of the sources. Else it returns starting if one
-// of those before this instance is about to know it, lostTouch if one is out of touch,
-// and unheard. Those that come after a listed instance are not waited for: they wait for
-// it.
-func (n *Node) fetchWhole(ctx context.Context, before, rest []peer.Member) (store.Page, status) {
-	best := unheard
-	waits := n.unlisted()
-	for i, m := range slices.Concat(before, rest) {
+// fetchSnapshot fetches a snapshot from one of the sources. Without one it returns
+// statusStarting if an instance that this one waits for is about to have it,
+// statusDisconnected if a source is disconnected, else statusNoAnswer. A registered member
+// does not wait for the fallback sources, as they may be waiting for it.
+func (n *Node) fetchSnapshot(ctx context.Context, primary, fallback []peer.Member) (store.Page, status) {
+	best := statusNoAnswer
+	mayWait := n.isUnregistered()
+	for i, m := range slices.Concat(primary, fallback) {
 		if ctx.Err() != nil {
 			break
 		}
-		a, s := n.wholeBy(ctx, m, nothing, waits || i < len(before))
-		if s == known {
-			return a.page(), known
+		a, s := n.fetchSnapshotVia(ctx, m, noRevision, mayWait || i < len(primary))
+		if s == statusOK {
+			return a.page(), statusOK
 		}
-		if s == starting || best == unheard {
+		if s == statusStarting || best == statusNoAnswer {
 			best = s
 		}
 	}
 	return store.Page{}, best
 }
 
-// wholeBy asks an instance for a whole newer than the revision after, and fetches it where it
-// says. waits says whether it may be waited for.
-func (n *Node) wholeBy(ctx context.Context, m peer.Member, after int64, waits bool) (answer, status) {
-	lost := ""
-	for range mostDetours {
-		a, ok := n.askWhole(ctx, m, after, lost)
+// fetchSnapshotVia queries an instance for the address of a snapshot newer than the
+// revision after, and fetches the snapshot from there. mayWait is set if this instance may
+// wait until that instance has one.
+func (n *Node) fetchSnapshotVia(ctx context.Context, m peer.Member, after int64, mayWait bool) (answer, status) {
+	failedAddr := ""
+	for range maxRedirects {
+		a, ok := n.askSnapshotAddr(ctx, m, after, failedAddr)
 		if !ok {
-			n.passSilent(m)
-			return a, unheard
+			n.avoidSilent(m)
+			return a, statusNoAnswer
 		}
-		n.heard(m)
-		if a.Status == lostTouch || a.Status == starting && !waits {
-			n.pass(m, askAgain)
-			return a, lostTouch
+		n.markResponsive(m)
+		if a.Status == statusDisconnected || a.Status == statusStarting && !mayWait {
+			n.avoidSource(m, shortAvoid)
+			return a, statusDisconnected
 		}
 		from := m.Addr
-		if a.Instead != "" {
-			from = a.Instead
+		if a.FetchFrom != "" {
+			from = a.FetchFrom
 		}
-		w, err := n.fetch(ctx, from, nothing)
+		w, err := n.fetch(ctx, from, noRevision)
 		if err == nil {
 			n.event("whole_fetched", "source", m.ID, "addr", from, "after", after, "revision", w.Revision, "items", len(w.Items), "age", w.age())
-			return w, known
+			return w, statusOK
 		}
 		n.event("whole_unfetched", "source", m.ID, "addr", from, "error", err)
 		if from == m.Addr {
 			return a, a.Status
 		}
-		lost = from
+		failedAddr = from
 	}
-	return answer{}, starting
+	return answer{}, statusStarting
 }
 
-// askWhole asks one instance from whom the whole is to be fetched.
-func (n *Node) askWhole(ctx context.Context, m peer.Member, after int64, lost string) (answer, bool) {
-	return n.waiting.Ask(ctx, wholeAnswer, func(id uint64) error {
-		q := question{ID: id, After: after, Whole: true, Lost: lost, Unlisted: n.unlisted()}
-		return n.send(m.Addr, id, message{Question: &q}, nil)
+// askSnapshotAddr queries an instance for the address from which to fetch a snapshot;
+// failedAddr, if not empty, is the address from which that failed before.
+func (n *Node) askSnapshotAddr(ctx context.Context, m peer.Member, after int64, failedAddr string) (answer, bool) {
+	return n.pending.Ask(ctx, snapshotQueryTimeout, func(id uint64) error {
+		q := query{ID: id, After: after, Snapshot: true, FailedAddr: failedAddr, Unregistered: n.isUnregistered()}
+		return n.send(m.Addr, id, message{Query: &q}, nil)
 	})
 }
 
-// answerWhole says from whom the whole is to be fetched.
-func (n *Node) answerWhole(to string, q question) {
-	a := answer{ID: q.ID, Status: n.wholeStatus(q.After)}
-	if q.After == nothing && a.Status != lostTouch {
-		a.Instead = n.tree.parent(to, q.Lost, n.clock())
+// answerSnapshotQuery sends the address from which to fetch a snapshot.
+func (n *Node) answerSnapshotQuery(to string, q query) {
+	a := answer{ID: q.ID, Status: n.snapshotStatus(q.After)}
+	if q.After == noRevision && a.Status != statusDisconnected {
+		a.FetchFrom = n.tree.parent(to, q.FailedAddr, n.clock())
 	}
 	if err := n.send(to, q.ID, message{Answer: &a}, nil); err != nil {
 		n.event("answer_unsent", "to", to, "error", err)
 	}
 }
 
-// wholeStatus says whether there is a whole newer than the revision after to pass on.
-func (n *Node) wholeStatus(after int64) status {
-	r, _, knows := n.log.newest()
+// snapshotStatus returns whether this instance has a snapshot newer than the revision
+// after, or is about to have one.
+func (n *Node) snapshotStatus(after int64) status {
+	r, _, ok := n.changeLog.newest()
 	switch {
-	case knows && r > after, after == nothing && n.packs.hasWhole():
-		return forgotten
-	case after != nothing, n.log.isLost():
-		return lostTouch
+	case ok && r > after, after == noRevision && n.cache.hasSnapshot():
+		return statusFetchSnapshot
+	case after != noRevision, n.changeLog.isDisconnected():
+		return statusDisconnected
 	}
-	return starting
+	return statusStarting
 }
 
-// fetch fetches what another instance passes on after a revision. What it knows must
-// not be older than what is known here.
+// fetch fetches the state of the instance at addr after a revision. It fails if that
+// state is older than the state of this instance.
 func (n *Node) fetch(ctx context.Context, addr string, after int64) (answer, error) {
-	asked := n.clock()
-	b, err := n.transfer.Fetch(ctx, addr, after)
+	requestedAt := n.clock()
+	b, err := n.fetcher.Fetch(ctx, addr, after)
 	if err != nil {
 		return answer{}, errors.Wrapf(err, "relay.fetch from %s", addr)
 	}
@@ -263,15 +270,15 @@
 	if err != nil {
 		return answer{}, errors.Wrapf(err, "relay.fetch from %s", addr)
 	}
-	if m.Answer == nil || m.Answer.Status != known {
-		return answer{}, errors.Newf("relay.fetch from %s: no state", addr)
+	if m.Answer == nil || m.Answer.Status != statusOK {
+		return answer{}, errors.Newf("relay.fetch from %s: the answer holds no state", addr)
 	}
-	if r, _, ok := n.log.newest(); ok && (m.Answer.Revision < r || after == nothing && m.Answer.Revision == r) {
-		return answer{}, errOlder
+	if r, _, ok := n.changeLog.newest(); ok && (m.Answer.Revision < r || after == noRevision && m.Answer.Revision == r) {
+		return answer{}, errNotNewer
 	}
-	if m.Answer.All {
-		w := n.packs.keep(*m.Answer, b, asked, n.clock())
-		n.log.fetch(w.items, w.revision)
+	if m.Answer.Snapshot {
+		w := n.cache.addFetched(*m.Answer, b, requestedAt, n.clock())
+		n.changeLog.setFetched(w.items, w.revision)
 	}
 	return *m.Answer, nil
 }
--- a/relay/reread.go
+++ b/relay/reread.go
@@ -12,39 +12,40 @@
 	"fieldvale/store"
 )
 
-// readNewer reads all keys where the store does not tell any more what has changed after
-// the revision known here. Only something newer helps, of another instance or the store: with
-// what it knows already the instance would be sent back to where it is. Others are asked for
-// lostTurn for each tier before this instance's own; the store has just answered.
+// readNewer reads all keys after the store has compacted the changes after the revision of
+// this instance. Only state newer than that revision helps, of another instance or the
+// store: from the same revision the instance would have to read all keys again. Other
+// instances are queried for disconnectedTierDelay times the tier of this instance; then
+// the store is read, which has just answered.
 func (n *Node) readNewer(ctx context.Context, prefix string, after int64) (store.Page, error) {
-	before, rest, tier := n.sources()
-	turn := n.clock().Add(time.Duration(tier) * lostTurn)
-	for n.clock().Before(turn) {
-		for _, m := range slices.Concat(before, rest) {
-			if !n.clock().Before(turn) || ctx.Err() != nil {
+	primary, fallback, tier := n.sources()
+	deadline := n.clock().Add(time.Duration(tier) * disconnectedTierDelay)
+	for n.clock().Before(deadline) {
+		for _, m := range slices.Concat(primary, fallback) {
+			if !n.clock().Before(deadline) || ctx.Err() != nil {
 				break
 			}
-			if a, s := n.wholeBy(ctx, m, after, false); s == known {
+			if a, s := n.fetchSnapshotVia(ctx, m, after, false); s == statusOK {
 				return a.page(), nil
 			}
 		}
-		if !sleep(ctx, askPause/2+rand.N(askPause)) {
+		if !sleep(ctx, roundPause/2+rand.N(roundPause)) {
 			return store.Page{}, errors.Wrap(ctx.Err(), "relay.readNewer")
 		}
-		before, rest, _ = n.sources()
+		primary, fallback, _ = n.sources()
 	}
-	return n.readOrAsk(ctx, prefix, rest, after)
+	return n.readOrFetch(ctx, prefix, fallback, after)
 }
 
-// readOrAsk reads the first page at the store. Where the store turns this instance away, others
-// may have a whole newer than the revision after.
-func (n *Node) readOrAsk(ctx context.Context, prefix string, others []peer.Member, after int64) (store.Page, error) {
+// readOrFetch reads the first page from the store. If that fails, it fetches a snapshot
+// newer than the revision after from another instance.
+func (n *Node) readOrFetch(ctx context.Context, prefix string, fallback []peer.Member, after int64) (store.Page, error) {
 	p, err := n.readPage(ctx, prefix, "")
 	if err == nil {
 		return p, nil
 	}
-	for _, m := range others {
-		if a, s := n.wholeBy(ctx, m, after, false); s == known {
+	for _, m := range fallback {
+		if a, s := n.fetchSnapshotVia(ctx, m, after, false); s == statusOK {
 			return a.page(), nil
 		}
 	}
--- a/relay/serve.go
+++ b/relay/serve.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// transfersAtOnce is how many instances fetch at a time: one after another has the
-	// first ones pass it on sooner.
-	transfersAtOnce = 2
-	// holdFetch is how long one that fetches is held where the whole is not known yet,
-	// holdChanges where the changes are not: who is to pass them on fetches them in the
-	// same moment, and the one who told of them has them.
-	holdFetch   = 2 * time.Second
-	holdChanges = 300 * time.Millisecond
+	// maxTransfers is how many instances are served at a time: served one after another,
+	// the first ones can pass the state on sooner.
+	maxTransfers = 2
+	// holdSnapshot and holdChanges are how long a fetch is held while this instance does
+	// not have the snapshot or the changes yet. It may be fetching them at the same moment
+	// from the instance that named it as the address to fetch from.
+	holdSnapshot = 2 * time.Second
+	holdChanges  = 300 * time.Millisecond
 )
 
-// ErrNoState says that this instance knows nothing to pass on, and is not about to.
+// ErrNoState is returned if this instance has no state to pass on and is not about to.
 var ErrNoState = errors.New("relay: no state to pass on")
 
-// Serve has write send what an instance gets that fetches the changes after a revision:
-// these, or the whole.
+// Serve calls write with the message for an instance that fetches the changes after a
+// revision: these changes, or a snapshot.
 func (n *Node) Serve(ctx context.Context, after int64, write func([]byte) error) error {
 	if err := n.awaitNewer(ctx, after); err != nil {
 		return err
@@ -33,33 +33,33 @@
 	case <-ctx.Done():
 		return errors.Wrap(ctx.Err(), "relay.Serve")
 	}
-	b, err := n.passedOn(after)
+	b, err := n.encodeState(after)
 	if err != nil {
 		return err
 	}
 	return write(b)
 }
 
-// awaitNewer waits until there is something newer than the revision to pass on.
+// awaitNewer waits until this instance has state newer than the revision.
 func (n *Node) awaitNewer(ctx context.Context, after int64) error {
 	hold := holdChanges
-	var fetched <-chan struct{}
+	var snapshotReady <-chan struct{}
 	if after < 0 {
-		hold, fetched = holdFetch, n.packs.kept
+		hold, snapshotReady = holdSnapshot, n.cache.ready
 	}
 	t := time.NewTimer(hold)
 	defer t.Stop()
 	for {
-		changed := n.log.next()
-		if r, _, ok := n.log.newest(); ok && r > after || after < 0 && n.packs.hasWhole() {
+		changed := n.changeLog.changeSignal()
+		if r, _, ok := n.changeLog.newest(); ok && r > after || after < 0 && n.cache.hasSnapshot() {
 			return nil
 		}
-		if n.log.isLost() {
+		if n.changeLog.isDisconnected() {
 			return ErrNoState
 		}
 		select {
 		case <-changed:
-		case <-fetched:
+		case <-snapshotReady:
 		case <-t.C:
 			return ErrNoState
 		case <-ctx.Done():
@@ -68,18 +68,18 @@
 	}
 }
 
-// passedOn returns the changes after the revision, or the whole where these are
-// forgotten.
-func (n *Node) passedOn(after int64) ([]byte, error) {
+// encodeState returns a message with the changes after the revision, or with a snapshot
+// where the changes are no longer kept.
+func (n *Node) encodeState(after int64) ([]byte, error) {
 	now := n.clock()
-	if c, _, s := n.log.since(after, unknownHops, now); after >= 0 && s == known {
-		items, err := n.packs.of(after, c)
+	if c, _, s := n.changeLog.since(after, unknownHops, now); after >= 0 && s == statusOK {
+		items, err := n.cache.packedChanges(after, c)
 		if err != nil {
 			return nil, err
 		}
-		a := newAnswer(0, c, known)
-		a.Hops = n.log.Hops()
+		a := newAnswer(0, c, statusOK)
+		a.Hops = n.changeLog.Hops()
 		return encode(message{Answer: &a}, items)
 	}
-	return n.packs.all(n.log, now)
+	return n.cache.snapshotMessage(n.changeLog, now)
 }
--- a/relay/snapshot.go
+++ b/relay/snapshot.go
@@ -7,43 +7,44 @@
 	"fieldvale/store"
 )
 
-// content is all that the store holds: the items of a whole read, and what has changed
-// since. The former are kept packed, a tenth of their size: there are thousands of them,
-// and only those that ask for the whole are told of them again.
-type content struct {
+// snapshot is the contents of the store: the items of a full read in packed form, and the
+// changes since. Packing saves nine tenths of the memory of thousands of items, and only
+// instances that ask for a snapshot need the items again.
+type snapshot struct {
 	packed []byte
-	// size is how many items are packed.
-	size int
-	// changed are the newest items of the keys that changed, those deleted included.
+	// packedItems is the number of packed items.
+	packedItems int
+	// changed has the newest item of each key that changed, deleted ones included.
 	changed map[string]store.Item
 }
 
-// newContent returns what a whole read has shown.
-func newContent(items []store.Item) (content, error) {
+// newSnapshot returns a snapshot of the items of a full read.
+func newSnapshot(items []store.Item) (snapshot, error) {
 	b, err := pack(items)
-	return packedContent(b, len(items)), err
+	return snapshotFromPacked(b, len(items)), err
 }
 
-// packedContent returns that of a whole that came packed.
-func packedContent(b []byte, size int) content {
-	return content{packed: b, size: size, changed: map[string]store.Item{}}
+// snapshotFromPacked returns a snapshot of items that are already packed.
+func snapshotFromPacked(b []byte, packedItems int) snapshot {
+	return snapshot{packed: b, packedItems: packedItems, changed: map[string]store.Item{}}
 }
 
+// byKey orders items by key.
 func byKey(a, b store.Item) int { return cmp.Compare(a.Key, b.Key) }
 
-// put takes changes in.
-func (c *content) put(items []store.Item) error {
+// put applies changes. It packs all items again once half of them have changed.
+func (c *snapshot) put(items []store.Item) error {
 	for _, i := range items {
 		c.changed[i.Key] = i
 	}
-	if len(c.changed) <= c.size/2+minChanged {
+	if len(c.changed) <= c.packedItems/2+minRepackChanges {
 		return nil
 	}
 	l, err := c.items()
 	if err != nil {
 		return err
 	}
-	n, err := newContent(l)
+	n, err := newSnapshot(l)
 	if err != nil {
 		return err
 	}
@@ -51,19 +52,19 @@
 	return nil
 }
 
-// minChanged is how many items may have changed before those of a small whole read
-// are put together anew.
-const minChanged = 64
+// minRepackChanges is how many items at least may change before a small snapshot is packed
+// again.
+const minRepackChanges = 64
 
-// items returns the items that are there, by their keys.
-func (c content) items() ([]store.Item, error) {
+// items returns the existing items in the order of their keys.
+func (c snapshot) items() ([]store.Item, error) {
 	base, err := unpack(c.packed)
 	if err != nil {
 		return nil, err
 	}
 	l := make([]store.Item, 0, len(base)+len(c.changed))
 	for _, i := range base {
-		if _, newer := c.changed[i.Key]; !newer {
+		if _, isChanged := c.changed[i.Key]; !isChanged {
 			l = append(l, i)
 		}
 	}
@@ -76,8 +77,8 @@
 	return l, nil
 }
 
-// pack returns the items that are there, packed.
-func (c content) pack() ([]byte, error) {
+// pack returns the existing items in packed form.
+func (c snapshot) pack() ([]byte, error) {
 	if len(c.changed) == 0 {
 		return c.packed, nil
 	}
@@ -88,18 +89,18 @@
 	return pack(l)
 }
 
-// len returns at least how many items there are.
-func (c content) len() int { return c.size }
+// len returns the number of packed items, which leaves out keys that were added since.
+func (c snapshot) len() int { return c.packedItems }
 
-// missing returns the keys of the items that are not among the others.
-func missing(items, others []store.Item) []string {
-	there := make(map[string]bool, len(others))
+// missingKeys returns the keys of items that others does not have.
+func missingKeys(items, others []store.Item) []string {
+	exists := make(map[string]bool, len(others))
 	for _, i := range others {
-		there[i.Key] = true
+		exists[i.Key] = true
 	}
 	var l []string
 	for _, i := range items {
-		if !there[i.Key] {
+		if !exists[i.Key] {
 			l = append(l, i.Key)
 		}
 	}
--- a/relay/sources.go
+++ b/relay/sources.go
@@ -9,83 +9,85 @@
 )
 
 const (
-	// followersEach is how many followers a watching instance has in a large
-	// fleet, and minWatchers how many watch in any.
-	followersEach = 40
-	minWatchers   = 2
-	// otherSources is how many instances that do not watch by their rank are
-	// asked when those that do can't tell: one of them may have had to.
-	otherSources = 4
-	// tiers are the watchers and those that stand in for them.
-	tiers = 2
-	// watchersKey ranks the instances that watch.
-	watchersKey = "watch"
+	// followersPerWatcher is how many followers a watcher has in a large fleet, and
+	// minWatchers the minimum number of watchers in any fleet.
+	followersPerWatcher = 40
+	minWatchers         = 2
+	// maxFallbackSources is how many other instances are queried when those of the first
+	// tiers have no current state: one of them may have started to watch the store.
+	maxFallbackSources = 4
+	// sourceTiers is the number of tiers that later tiers query: the watchers and their
+	// stand-ins.
+	sourceTiers = 2
+	// watchRankKey is the key of the ranking of watchers.
+	watchRankKey = "watch"
 )
 
-// Watchers returns the instances that watch the store, of the given fleet:
-// the same ones at each instance.
+// Watchers returns the members that watch the store. All instances with the same list of
+// members compute the same result.
 func Watchers(m []peer.Member) []peer.Member {
-	r := ranked(m)
-	return r[:min(watchers(len(m)), len(r))]
+	r := watchRanking(m)
+	return r[:min(watcherCount(len(m)), len(r))]
 }
 
-// ranked orders the instances by their duty to watch: those with the widest links
-// first, since they read the store whole and pass it on.
-func ranked(m []peer.Member) []peer.Member {
-	r := peer.Rank(watchersKey, m)
+// watchRanking orders the members by their duty to watch: those with the widest links are
+// first, since they read a snapshot from the store and pass it on.
+func watchRanking(m []peer.Member) []peer.Member {
+	r := peer.Rank(watchRankKey, m)
 	slices.SortStableFunc(r, func(a, b peer.Member) int { return cmp.Compare(b.LinkMbps, a.LinkMbps) })
 	return r
 }
 
-// watchers is how many of so many instances watch.
-func watchers(members int) int {
-	return max(minWatchers, (members+followersEach-1)/followersEach)
+// watcherCount returns the number of watchers for a number of members.
+func watcherCount(members int) int {
+	return max(minWatchers, (members+followersPerWatcher-1)/followersPerWatcher)
 }
 
-// sources returns the instances that are asked before the store, those that
-// are asked if the store can't be, and this instance's own tier: how often the
-// number of watchers stands before it.
-func (n *Node) sources() (before, rest []peer.Member, tier int) {
+// sources returns the instances that are queried before the store, those that are queried
+// if the store can't be reached, and this instance's tier, which is its rank divided by
+// the number of watchers.
+func (n *Node) sources() (primary, fallback []peer.Member, tier int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r := ranked(n.members)
-	k := watchers(len(r))
+	r := watchRanking(n.members)
+	k := watcherCount(len(r))
 	rank := slices.IndexFunc(r, n.isSelf)
-	// With an empty list there is nobody to follow: the store is watched until
-	// it names somebody.
+	// Without members there is no instance to follow: this instance watches the store
+	// until a member is registered.
 	if rank < 0 && len(r) > 0 {
-		before, rest = n.unlistedSources(r)
+		primary, fallback = n.unregisteredSources(r)
 		tier = len(r)/k + 1
 	} else {
 		tier = max(0, rank) / k
-		for t := range min(tier, tiers) {
-			before = append(before, n.usable(peer.Rank(n.self.ID, r[t*k:(t+1)*k]))...)
+		for t := range min(tier, sourceTiers) {
+			primary = append(primary, n.usable(peer.Rank(n.self.ID, r[t*k:(t+1)*k]))...)
 		}
-		rest = n.usable(r[min(tier, tiers)*k:])
+		fallback = n.usable(r[min(tier, sourceTiers)*k:])
 	}
-	if len(before)+len(rest) == 0 {
-		rest = n.silentOnes(r)
+	if len(primary)+len(fallback) == 0 {
+		fallback = n.silentSources(r)
 	}
-	return before, rest[:min(len(rest), otherSources)], tier
+	return primary, fallback[:min(len(fallback), maxFallbackSources)], tier
 }
 
-// silentOnes returns those that gave no answer the last time. Where there is nobody else to ask,
-// this instance may have been the one that was cut off.
-func (n *Node) silentOnes(m []peer.Member) []peer.Member {
+// silentSources returns the members that did not answer the last query. They are queried
+// where no other member is left: this instance may have been the one that was cut off.
+func (n *Node) silentSources(m []peer.Member) []peer.Member {
 	l := slices.DeleteFunc(slices.Clone(m), func(x peer.Member) bool { return n.isSelf(x) || !n.silent[x.ID] })
 	return peer.Rank(n.self.ID, l)
 }
 
 func (n *Node) isSelf(m peer.Member) bool { return m.ID == n.self.ID }
 
-// usable leaves out this instance and those passed over. Those that gave no answer the
-// last time come last: one that has ended must not be asked before one that answers.
+// usable returns the members without this instance and those to avoid. Members that did
+// not answer the last query are last: one that has ended must not be queried before one
+// that answers.
 func (n *Node) usable(m []peer.Member) []peer.Member {
 	now := n.clock()
 	var l, silent []peer.Member
 	for _, x := range m {
 		switch {
-		case x.ID == n.self.ID || now.Before(n.avoid[x.ID]):
+		case x.ID == n.self.ID || now.Before(n.avoidUntil[x.ID]):
 		case n.silent[x.ID]:
 			silent = append(silent, x)
 		default:
@@ -95,31 +97,31 @@
 	return append(l, silent...)
 }
 
-// passSilent leaves an instance out that gave no answer: for long only if it
-// gave none the time before either, as one datagram may be lost.
-func (n *Node) passSilent(m peer.Member) {
+// avoidSilent avoids an instance that did not answer: for longAvoid only if it did not
+// answer the query before either, as one datagram may be lost.
+func (n *Node) avoidSilent(m peer.Member) {
 	n.mu.Lock()
-	again := n.silent[m.ID]
+	isRepeated := n.silent[m.ID]
 	n.silent[m.ID] = true
 	n.mu.Unlock()
-	if !again {
-		n.pass(m, askAgain)
+	if !isRepeated {
+		n.avoidSource(m, shortAvoid)
 		return
 	}
-	n.event("source_silent", "source", m.ID, "addr", m.Addr, "avoided", avoidFor)
-	n.pass(m, avoidFor)
+	n.event("source_silent", "source", m.ID, "addr", m.Addr, "avoided", longAvoid)
+	n.avoidSource(m, longAvoid)
 }
 
-// heard notes an answer.
-func (n *Node) heard(m peer.Member) {
+// markResponsive records that an instance answered.
+func (n *Node) markResponsive(m peer.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.silent, m.ID)
 }
 
-// pass leaves an instance out for some time.
-func (n *Node) pass(m peer.Member, d time.Duration) {
+// avoidSource excludes an instance from the sources for d.
+func (n *Node) avoidSource(m peer.Member, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.avoid[m.ID] = n.clock().Add(d)
+	n.avoidUntil[m.ID] = n.clock().Add(d)
 }
--- a/relay/storeoutage_test.go
+++ b/relay/storeoutage_test.go
@@ -5,78 +5,77 @@
 	"time"
 )
 
-// The instances that watch are turned away by the store, each on its own way,
-// and others are not: all know of a change within its bound.
-func TestChangesReachAllWhenWatchersAreTurnedAway(t *testing.T) {
+// Watchers that the store refuses, while it serves other instances, must not delay changes:
+// all instances have each change within its bound.
+func TestChangesReachAllWhenStoreRefusesWatchers(t *testing.T) {
 	withFleet(t, 7, func(t *testing.T, f *fleet, s *fakeStore) {
 		for _, w := range Watchers(f.members()) {
-			f.away[w.ID].set(true)
+			f.outages[w.ID].set(true)
 		}
 		for i := range 12 {
 			time.Sleep(time.Duration(150+70*i) * time.Millisecond)
 			r := s.put("a", "2")
 			time.Sleep(2 * time.Second)
-			for id, on := range f.on {
-				if got, _, _ := on.state(); got < r {
-					t.Errorf("%s is at revision %d 2 s after revision %d", id, got, r)
+			for id, listener := range f.listeners {
+				if got, _, _ := listener.state(); got < r {
+					t.Errorf("%s is at revision %d 2 s after revision %d was made, want that or a newer one", id, got, r)
 				}
 			}
 		}
 	})
 }
 
-// The store fell silent for a third of 82 instances, both that watch among them, and
-// keys were revoked then: 18 to 34 requests were let through by those that did not know
-// of it three seconds later. One of the second tier had asked the store 1.3 s after the
-// change. All others asked it then, at once: 47 answers of 6 kB, most of which its link
-// lost. They waited 0.6 s in vain, asked again together, and lost them again. What each
-// asked of whom, and what came, showed it: ok=false of the one that knew, twice, by
-// 30 instances in the same 50 ms.
-func TestOneThatKnowsTellsAllOverASlowLink(t *testing.T) {
+// A store that answers neither the watchers nor a third of 82 instances leaves one instance
+// of the second tier with a change 1.3 s after it was made. If all others then query that
+// instance at once, 47 answers of 6 kB overflow its link and most are lost; the instances
+// wait 0.6 s without an answer, query it together again and lose the answers again. Revoked
+// keys were still honoured three seconds later at the instances without the change, by 18
+// to 34 requests.
+func TestOneCurrentInstanceServesAllOverASlowLink(t *testing.T) {
 	withFleet(t, 82, func(t *testing.T, f *fleet, s *fakeStore) {
 		f.net.mu.Lock()
 		f.net.rate = 10e6 / 8
 		f.net.mu.Unlock()
-		r := ranked(f.members())
+		r := watchRanking(f.members())
 		for i, m := range r {
-			f.away[m.ID].silent = true
-			f.away[m.ID].set(i < 3 || i%3 == 0)
+			f.outages[m.ID].silent = true
+			f.outages[m.ID].set(i < 3 || i%3 == 0)
 		}
 		rev := s.put("a", random(9_000))
 		time.Sleep(2 * time.Second)
-		for id, on := range f.on {
-			if got, _, _ := on.state(); got < rev {
-				t.Errorf("%s is at revision %d 2 s after revision %d", id, got, rev)
+		for id, listener := range f.listeners {
+			if got, _, _ := listener.state(); got < rev {
+				t.Errorf("%s is at revision %d 2 s after revision %d was made, want that or a newer one", id, got, rev)
 			}
 		}
 	})
 }
 
-// While the store is away few instances go on asking it, and all are back
-// soon after it.
-func TestStoreThatIsAwayIsLeftAlone(t *testing.T) {
+// While the store is down few instances may go on calling it, and all must have its newest
+// state soon after it is back.
+func TestFewCallsWhileStoreIsDown(t *testing.T) {
 	withFleet(t, 30, func(t *testing.T, f *fleet, s *fakeStore) {
 		calls := s.setDown(true)
 		time.Sleep(10 * time.Second)
-		// Two ask each half second or so, the others the less the further
-		// behind they are ranked.
+		// Two instances call the store about every half second, the others the less often
+		// the lower they are ranked.
 		if n := s.calls - calls; n > 150 {
-			t.Errorf("%d calls in 10 s of a store that is away, want at most 150", n)
+			t.Errorf("%d calls in 10 s of a store that is down, want at most 150", n)
 		}
 		s.setDown(false)
 		r := s.put("a", "2")
 		time.Sleep(2 * time.Second)
-		for id, on := range f.on {
-			if got, _, lost := on.state(); got != r || lost {
-				t.Errorf("%s is at revision %d of %d, lost %t, 2 s after the store's return", id, got, r, lost)
+		for id, listener := range f.listeners {
+			if got, _, disconnected := listener.state(); got != r || disconnected {
+				t.Errorf("%s is at revision %d, want %d, disconnected %t, want false, 2 s after the store is back", id, got, r, disconnected)
 			}
 		}
 	})
 }
 
-// The watching instances end while the store is away: all others know what is
-// newest three seconds after its return.
-func TestStoreReturnsWithoutItsWatchers(t *testing.T) {
+// The watchers end while the store is down: all other instances must have its newest state
+// three seconds after it is back, without waiting for the watchers.
+func TestStoreRecoversWithoutWatchers(t *testing.T) {
 	withFleet(t, 30, func(t *testing.T, f *fleet, s *fakeStore) {
 		s.setDown(true)
 		time.Sleep(5 * time.Second)
@@ -85,29 +84,29 @@
 		s.setDown(false)
 		r := s.put("a", "2")
 		time.Sleep(3 * time.Second)
-		for id, on := range f.on {
-			if got, _, lost := on.state(); !ended[id] && (got != r || lost) {
-				t.Errorf("%s is at revision %d of %d, lost %t, 3 s after the store's return", id, got, r, lost)
+		for id, listener := range f.listeners {
+			if got, _, disconnected := listener.state(); !ended[id] && (got != r || disconnected) {
+				t.Errorf("%s is at revision %d, want %d, disconnected %t, want false, 3 s after the store is back", id, got, r, disconnected)
 			}
 		}
 	})
 }
 
-// A store that forgets its history is read whole by those that watch it; the
-// others are told what is new and what is gone.
-func TestForgottenHistoryIsReadByFew(t *testing.T) {
+// After the store has compacted its history only the watchers may read a snapshot. The
+// others receive from them what was added and what was deleted.
+func TestCompactedHistoryCausesFewReads(t *testing.T) {
 	withFleet(t, 30, func(t *testing.T, f *fleet, s *fakeStore) {
 		reads := s.reads
 		s.compact()
 		r := s.put("a", "2")
 		time.Sleep(1500 * time.Millisecond)
-		for id, on := range f.on {
-			if got, _, _ := on.state(); got != r {
-				t.Errorf("%s is at revision %d 1.5 s after revision %d", id, got, r)
+		for id, listener := range f.listeners {
+			if got, _, _ := listener.state(); got != r {
+				t.Errorf("%s is at revision %d 1.5 s after the change, want %d", id, got, r)
 			}
 		}
 		if n := s.reads - reads; n > 2 {
-			t.Errorf("the store was read whole %d times, want 2 at most", n)
+			t.Errorf("%d snapshots were read from the store, want at most 2", n)
 		}
 	})
 }
--- a/relay/tee.go
+++ b/relay/tee.go
@@ -6,25 +6,26 @@
 	"fieldvale/mirror"
 )
 
-// Tee hands what a mirror learns to a listener and keeps it in a log for
-// followers.
+// Tee passes the updates of a mirror to a listener and adds them to the change log, from
+// which followers are served.
 type Tee struct {
 	ChangeLog *ChangeLog
 	Listener  mirror.Listener
-	// Event logs what went wrong.
+	// Event logs errors.
 	Event func(event string, fields ...any)
 }
 
 var _ mirror.Listener = Tee{}
 
-// Changed implements mirror.Listener. The log, which takes its time to pack a whole, is first: between
-// a configuration and its confirmation no key is honoured by it.
+// Changed implements mirror.Listener. The change log is updated first: packing a snapshot
+// takes time, and from the moment the listener puts a configuration in force until it is
+// confirmed, no keys are honoured.
 func (t Tee) Changed(u mirror.Update) {
-	keep := t.ChangeLog.Add
+	update := t.ChangeLog.Add
 	if u.Snapshot {
-		keep = t.ChangeLog.Reset
+		update = t.ChangeLog.Reset
 	}
-	if err := keep(u.Items, u.Revision); err != nil {
+	if err := update(u.Items, u.Revision); err != nil {
 		t.Event("changes_unkept", "revision", u.Revision, "items", len(u.Items), "error", err)
 	}
 	t.Listener.Changed(u)
@@ -38,12 +39,12 @@
 
 // Disconnected implements mirror.Listener.
 func (t Tee) Disconnected(err error) {
-	t.ChangeLog.SetLost(true)
+	t.ChangeLog.SetDisconnected(true)
 	t.Listener.Disconnected(err)
 }
 
 // Reconnected implements mirror.Listener.
 func (t Tee) Reconnected() {
-	t.ChangeLog.SetLost(false)
+	t.ChangeLog.SetDisconnected(false)
 	t.Listener.Reconnected()
 }
--- a/relay/tee_test.go
+++ b/relay/tee_test.go
@@ -8,24 +8,25 @@
 	"fieldvale/store"
 )
 
-// orderly is a listener that looks what the log has when it is told of a change.
-type orderly struct {
+// logObserver is a listener that records the revision of the change log at each update.
+type logObserver struct {
 	log  *ChangeLog
 	seen int64
 }
 
-func (o *orderly) Changed(mirror.Update) { o.seen, _, _ = o.log.newest() }
-func (o *orderly) Confirmed(time.Time)   {}
-func (o *orderly) Disconnected(error)    {}
-func (o *orderly) Reconnected()          {}
+func (o *logObserver) Changed(mirror.Update) { o.seen, _, _ = o.log.newest() }
+func (o *logObserver) Confirmed(time.Time)   {}
+func (o *logObserver) Disconnected(error)    {}
+func (o *logObserver) Reconnected()          {}
 
-// Packing stands between no configuration and its confirmation: keys were refused meanwhile.
-func TestWholeIsPackedBeforeItsConfigurationIsInForce(t *testing.T) {
+// If the snapshot is packed after its configuration is put in force, its confirmation is
+// late by the time that packing takes, and keys are refused meanwhile.
+func TestSnapshotIsPackedBeforeItIsInForce(t *testing.T) {
 	l := NewChangeLog()
-	o := &orderly{log: l}
+	o := &logObserver{log: l}
 	k := Tee{ChangeLog: l, Listener: o, Event: func(string, ...any) {}}
 	k.Changed(mirror.Update{Items: []store.Item{{Key: "a", Revision: 7}}, Snapshot: true, Revision: 7})
 	if o.seen != 7 {
-		t.Errorf("the log is at %d as the change is in force, want 7", o.seen)
+		t.Errorf("the log is at revision %d when the listener is called, want 7", o.seen)
 	}
 }
--- a/relay/timing.go
+++ b/relay/timing.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Timing are how fresh knowledge has to be.
+// Timing has the waits of calls, and how recent state of another instance must be.
 type Timing struct {
-	// StoreWait is how long one call of the store waits for a change, Follow how
-	// long a question to another instance does.
+	// StoreWait is how long one call of the store waits for a change, PeerWait how long a
+	// query to another instance does.
 	StoreWait time.Duration
-	Follow    time.Duration
-	// MaxAge is the oldest knowledge that is taken from another instance. One
-	// that watches a sound store has none much older than Watch and Gather, and
-	// one that follows it none that is older by more than Follow.
+	PeerWait  time.Duration
+	// MaxAge is the greatest age of state that is accepted from another instance without
+	// changes. The state of a watcher of a working store is not much older than StoreWait
+	// plus BatchDelay, and that of its follower at most PeerWait older.
 	MaxAge time.Duration
-	// Gather is how long changes are gathered after one that came from the
-	// store: each call has a price, and changes come in bursts.
-	Gather time.Duration
+	// BatchDelay is the pause between two calls of the store after one that returned
+	// changes: each call has a cost, and changes come in bursts.
+	BatchDelay time.Duration
 }
 
-// TimingFor returns the times with which a change is in force within the bound
-// also at an instance whose source loses the store without notice: it asks
-// the store itself once MaxAge and one question are over.
+// TimingFor returns the timing with which a change is in force within the bound, also at
+// an instance whose source loses the store without noticing: it asks the store itself
+// after MaxAge and one query.
 func TimingFor(within time.Duration) Timing {
-	return Timing{StoreWait: within * 3 / 10, Follow: within * 15 / 100, MaxAge: within * 65 / 100, Gather: within / 10}
+	return Timing{StoreWait: within * 3 / 10, PeerWait: within * 15 / 100, MaxAge: within * 65 / 100, BatchDelay: within / 10}
 }
--- a/relay/unregistered.go
+++ b/relay/unregistered.go
@@ -6,77 +6,76 @@
 	"fieldvale/peer"
 )
 
-// In a large fleet few instances are listed, and the others follow those.
+// In a large fleet few instances are registered as members. The others follow members.
 
 const (
-	// sourcesEach is how many listed instances an unlisted one has to ask
-	// before the store, askedAtOnce how many of them in one go. Each has its
-	// own ones, so that all listed instances share them. With a third of the
-	// listed ones cut off one in a hundred is left without a source and asks the
-	// store; one that is cut off from all does so after two silent ones.
-	sourcesEach = 4
-	askedAtOnce = 2
+	// sourcesPerInstance is how many members an unregistered instance has as sources, and
+	// primarySources how many of them it queries before the store. Each instance has its
+	// own sources, so that all members share the followers. With a third of the members cut
+	// off, one instance in a hundred is left without a source and asks the store; an
+	// instance that is cut off from all members does so after two queries without an
+	// answer.
+	sourcesPerInstance = 4
+	primarySources     = 2
 )
 
-// What is known may come through so many instances to one that asks. Listed
-// instances ask each other: if one took what another has from a third, all might
-// follow each other in a circle. Nobody asks an unlisted one, so that it may be
-// told by those that were told themselves.
+// These constants bound through how many instances state may have passed when an instance
+// receives it. Members query each other: if one accepted state that another one has from a
+// third, members might follow each other in a circle. An unregistered instance is queried
+// by none, so it may receive state that passed through one instance. unknownHops exceeds
+// both bounds.
 const (
-	hopsToListed   = 0
-	hopsToUnlisted = 1
-	unknownHops    = hopsToUnlisted + 1
+	maxHopsRegistered   = 0
+	maxHopsUnregistered = 1
+	unknownHops         = maxHopsUnregistered + 1
 )
 
-// unlisted reports whether the list, as far as this instance knows it, does not
-// name it.
-func (n *Node) unlisted() bool {
+// isUnregistered reports whether this instance is not among the members that it knows of.
+func (n *Node) isUnregistered() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !slices.ContainsFunc(n.members, n.isSelf)
 }
 
-// unlistedSources returns those of the listed instances that an unlisted one
-// asks before the store, and those that it asks if the store can't be.
-func (n *Node) unlistedSources(listed []peer.Member) (before, rest []peer.Member) {
-	l := peer.Rank(n.self.ID, listed)
-	own := min(sourcesEach, len(l))
-	before = n.usable(l[:own])
-	rest = n.usable(l[own:])
-	return before[:min(askedAtOnce, len(before))], rest
+// unregisteredSources returns the members that an unregistered instance queries before the
+// store, and those that it queries if the store can't be reached.
+func (n *Node) unregisteredSources(members []peer.Member) (primary, fallback []peer.Member) {
+	l := peer.Rank(n.self.ID, members)
+	own := min(sourcesPerInstance, len(l))
+	primary = n.usable(l[:own])
+	fallback = n.usable(l[own:])
+	return primary[:min(primarySources, len(primary))], fallback
 }
 
-// leaveStore has the store left alone for the longest pause there is before it
-// is asked for the first time: listed instances that answer, and are out of touch
-// themselves, ask it by their ranks.
-func (n *Node) leaveStore() {
-	if n.leftStore || n.backoff.waits(n.clock()) {
+// deferStore starts the longest backoff before the first call of the store: members that
+// answer, and are disconnected themselves, ask the store in the order of their ranks.
+func (n *Node) deferStore() {
+	if n.storeDeferred || n.backoff.isActive(n.clock()) {
 		return
 	}
-	n.leftStore = true
-	n.backoff = leftToOthers(n.clock())
+	n.storeDeferred = true
+	n.backoff = deferredBackoff(n.clock())
 }
 
-// setSourceFollowers keeps how many followers the one followed has.
+// setSourceFollowers records how many followers the source reported.
 func (n *Node) setSourceFollowers(followers int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sourceFollowers = followers
 }
 
-// FleetSize returns how many instances there are: the listed ones times those
-// that each has with its followers, by what this instance, or the one it
-// follows, sees. Where all instances take their shares of a sum by it, the
-// shares add up to one, however unevenly followers are spread. It is 0 as long
-// as the list is not known.
+// FleetSize returns an estimate of the number of instances: the members, times one plus
+// the followers of this instance, or of its source. If every instance takes its share of a
+// total by this estimate, the shares add up to one, however unevenly the followers are
+// spread. It returns 0 as long as there are no members.
 func (n *Node) FleetSize() int {
 	n.mu.Lock()
-	listed := len(n.members)
-	isListed := slices.ContainsFunc(n.members, n.isSelf)
+	members := len(n.members)
+	isMember := slices.ContainsFunc(n.members, n.isSelf)
 	f := n.sourceFollowers
 	n.mu.Unlock()
-	if isListed {
+	if isMember {
 		f = n.followers.count(n.clock())
 	}
-	return listed * (1 + f)
+	return members * (1 + f)
 }
--- a/relay/unregistered_test.go
+++ b/relay/unregistered_test.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Of 150 instances 48 are listed: two watch the store for all of them, changes
-// reach all at once, and nobody's knowledge is older than is taken from others.
-func TestUnlistedInstancesFollowListedOnes(t *testing.T) {
-	withListed(t, 150, 48, func(t *testing.T, f *fleet, s *fakeStore) {
+// Of 150 instances 48 are registered: two watch the store for all of them, changes must
+// reach all at once, and the state of no instance may be older than is accepted from others.
+func TestUnregisteredInstancesFollowMembers(t *testing.T) {
+	withRegistered(t, 150, 48, func(t *testing.T, f *fleet, s *fakeStore) {
 		calls := s.calls
 		r := s.put("a", "2")
 		time.Sleep(100 * time.Millisecond)
 		f.wantRevision(t, r, 0)
 		for range 30 {
 			time.Sleep(500 * time.Millisecond)
-			for id, on := range f.on {
-				if _, c, _ := on.state(); time.Since(c) > times.MaxAge+times.Follow {
-					t.Errorf("%s was confirmed %s ago", id, time.Since(c))
+			for id, listener := range f.listeners {
+				if _, c, _ := listener.state(); time.Since(c) > testTiming.MaxAge+testTiming.PeerWait {
+					t.Errorf("%s was confirmed %s ago, want at most MaxAge plus PeerWait", id, time.Since(c))
 				}
 			}
 		}
-		// Two watch, 25 calls each in 15 s, and one more after the change.
+		// Two watchers make 25 calls each in 15 s, and one more each after the change.
 		if n := s.calls - calls; n > 60 {
-			t.Errorf("%d calls of the store in 15 s, want about 52", n)
+			t.Errorf("%d calls of the store in 15 s, want at most 60", n)
 		}
 	})
 }
 
-// The shares that instances take of what is for the whole fleet add up to one.
-func TestSharesOfTheFleetAddUp(t *testing.T) {
-	for _, listed := range []int{1, 7, 48, 150} {
-		withListed(t, 150, listed, func(t *testing.T, f *fleet, _ *fakeStore) {
+// Instances that divide a total by FleetSize must take shares that add up to one.
+func TestFleetSizeSharesAddUp(t *testing.T) {
+	for _, registered := range []int{1, 7, 48, 150} {
+		withRegistered(t, 150, registered, func(t *testing.T, f *fleet, _ *fakeStore) {
 			sum := 0.0
 			f.net.mu.Lock()
 			defer f.net.mu.Unlock()
@@ -39,16 +39,16 @@
 				sum += 1 / float64(n.FleetSize())
 			}
 			if sum < 0.95 || sum > 1.05 {
-				t.Errorf("the shares of 150 instances, %d of them listed, add up to %.2f", listed, sum)
+				t.Errorf("the shares of 150 instances, %d of them registered, add up to %.2f, want 0.95 to 1.05", registered, sum)
 			}
 		})
 	}
 }
 
-// Changes reach the unlisted instances within the bound when those that watch
-// the store end, and few ask the store then.
-func TestUnlistedInstancesHearWhenWatchersEnd(t *testing.T) {
-	withListed(t, 150, 48, func(t *testing.T, f *fleet, s *fakeStore) {
+// Changes must reach the unregistered instances within the bound after the watchers end,
+// and few instances may call the store then.
+func TestChangesReachUnregisteredInstancesWhenWatchersEnd(t *testing.T) {
+	withRegistered(t, 150, 48, func(t *testing.T, f *fleet, s *fakeStore) {
 		ended := f.endWatchers()
 		calls := s.calls
 		r := s.put("a", "2")
@@ -60,10 +60,10 @@
 	})
 }
 
-// An unlisted instance whose own sources are all cut off is told by others or by
-// the store.
-func TestUnlistedInstanceWithoutSources(t *testing.T) {
-	withListed(t, 150, 48, func(t *testing.T, f *fleet, s *fakeStore) {
+// An unregistered instance whose own sources are all cut off must receive changes from
+// other members or from the store.
+func TestUnregisteredInstanceWithoutSources(t *testing.T) {
+	withRegistered(t, 150, 48, func(t *testing.T, f *fleet, s *fakeStore) {
 		id := "n100"
 		f.net.mu.Lock()
 		n := f.net.nodes[id]
@@ -76,25 +76,25 @@
 		f.net.mu.Unlock()
 		r := s.put("a", "2")
 		time.Sleep(2 * time.Second)
-		if got, _, _ := f.on[id].state(); got != r {
-			t.Errorf("it is at revision %d 2 s after revision %d", got, r)
+		if got, _, _ := f.listeners[id].state(); got != r {
+			t.Errorf("the instance is at revision %d 2 s after the change, want %d", got, r)
 		}
 	})
 }
 
-// Three of the four instances that may watch have lost their way to the store,
-// and the answer of the fourth with a change is lost on the way to each instance:
-// all ask it again, and know the change within its bound.
-func TestALostAnswerIsAskedForAgain(t *testing.T) {
-	withListed(t, 60, 48, func(t *testing.T, f *fleet, s *fakeStore) {
-		l := ranked(f.members())
+// Three of the four first ranked members are refused by the store, and the answer of the
+// fourth one with a change is lost on the path to each instance: all must query it again,
+// and have the change within its bound without calling the store.
+func TestLostAnswerIsRequestedAgain(t *testing.T) {
+	withRegistered(t, 60, 48, func(t *testing.T, f *fleet, s *fakeStore) {
+		l := watchRanking(f.members())
 		for _, m := range l[1:4] {
-			f.away[m.ID].set(true)
+			f.outages[m.ID].set(true)
 		}
 		time.Sleep(4 * time.Second)
 		f.net.mu.Lock()
-		for id := range f.on {
-			f.net.lose[l[0].ID+">"+id] = 1
+		for id := range f.listeners {
+			f.net.dropNext[l[0].ID+">"+id] = 1
 		}
 		f.net.mu.Unlock()
 		calls := s.calls
@@ -107,12 +107,12 @@
 	})
 }
 
-// wantRevision fails if more than so many instances are not at the revision.
+// wantRevision fails if more than except instances are not at the revision.
 func (f *fleet) wantRevision(t *testing.T, revision int64, except int) {
 	t.Helper()
 	behind := 0
-	for _, on := range f.on {
-		if got, _, _ := on.state(); got != revision {
+	for _, listener := range f.listeners {
+		if got, _, _ := listener.state(); got != revision {
 			behind++
 		}
 	}
@@ -121,15 +121,16 @@
 	}
 }
 
-// While the store is away, unlisted instances leave it to the listed ones that
-// they follow, which are out of touch themselves; all are back soon after it.
-func TestUnlistedInstancesLeaveTheStoreAlone(t *testing.T) {
-	withListed(t, 150, 48, func(t *testing.T, f *fleet, s *fakeStore) {
+// While the store is down, unregistered instances must leave it to the members that they
+// follow, which are disconnected themselves; all must have its newest state soon after it
+// is back.
+func TestUnregisteredInstancesMakeFewStoreCalls(t *testing.T) {
+	withRegistered(t, 150, 48, func(t *testing.T, f *fleet, s *fakeStore) {
 		calls := s.setDown(true)
 		time.Sleep(8 * time.Second)
-		// The 48 listed ones alone make some 145.
+		// The 48 members alone make some 145 calls.
 		if n := s.calls - calls; n > 180 {
-			t.Errorf("%d calls in 8 s of a store that is away, want at most 180", n)
+			t.Errorf("%d calls in 8 s of a store that is down, want at most 180", n)
 		}
 		s.setDown(false)
 		r := s.put("a", "2")
--- a/state/firstconfig.go
+++ b/state/firstconfig.go
@@ -33,12 +33,12 @@
 // can afford.
 func (s *State) AwaitFirstConfig(ctx context.Context, deadline time.Time) bool {
 	s.mu.Lock()
-	confirmed, lost := s.firstConfig.confirmed, s.firstConfig.disconnected
+	confirmed, disconnected := s.firstConfig.confirmed, s.firstConfig.disconnected
 	s.mu.Unlock()
 	select {
 	case <-confirmed:
 		return true
-	case <-lost:
+	case <-disconnected:
 		return false
 	default:
 	}
@@ -48,7 +48,7 @@
 	select {
 	case <-confirmed:
 		return true
-	case <-lost:
+	case <-disconnected:
 	case <-t.C:
 	case <-ctx.Done():
 	}
--- a/state/replicas.go
+++ b/state/replicas.go
@@ -75,8 +75,8 @@
 }
 
 // logReplica logs how a replica's entry changed.
-func (s *State) logReplica(r, previous pool.Replica, known bool, now time.Time) {
-	if known && previous.ID != r.ID {
+func (s *State) logReplica(r, previous pool.Replica, exists bool, now time.Time) {
+	if exists && previous.ID != r.ID {
 		s.log("replica_restarted", "replica", r.ID, "before", previous.ID, "service", r.Service)
 	}
 	if r.Draining && !previous.Draining {
@@ -85,7 +85,7 @@
 	if r.IsCold(now) && !previous.IsCold(now) {
 		s.log("replica_cold", "replica", r.ID, "service", r.Service, "left", r.ColdUntil.Sub(now), "source", "entry")
 	}
-	if known && previous.ID == r.ID && previous.IsCold(now) && !r.IsCold(now) {
+	if exists && previous.ID == r.ID && previous.IsCold(now) && !r.IsCold(now) {
 		s.log("replica_warm", "replica", r.ID, "service", r.Service, "source", "entry")
 	}
 }
--- a/state/state.go
+++ b/state/state.go
@@ -74,8 +74,8 @@
 // applyReplicas applies the changes of replicas.
 func (s *State) applyReplicas(c Change, now time.Time) {
 	for _, r := range c.Replicas {
-		previous, known := s.replicas.Put(r)
-		s.logReplica(r, previous, known, now)
+		previous, exists := s.replicas.Put(r)
+		s.logReplica(r, previous, exists, now)
 	}
 	for _, name := range c.UnusableReplicas {
 		s.replicas.Drop(name)
@@ -119,9 +119,9 @@
 
 // expireMember marks a member as expired.
 func (s *State) expireMember(id string, now time.Time) {
-	_, known := s.members[id]
+	_, exists := s.members[id]
 	_, already := s.expired[id]
-	if known && !already {
+	if exists && !already {
 		s.expired[id] = now.Add(expiredGrace)
 	}
 }
@@ -159,11 +159,11 @@
 // dropMissing drops the replicas whose entries were not restored after the store was back,
 // and reports whether there were any.
 func (s *State) dropMissing(now time.Time) bool {
-	gone := s.replicas.Settle(now)
-	for _, id := range gone {
+	missing := s.replicas.Settle(now)
+	for _, id := range missing {
 		s.log("replica_gone", "replica", id, "reason", "its entry did not return with the store")
 	}
-	return len(gone) > 0
+	return len(missing) > 0
 }
 
 // publish puts the current state in force at the router.
