--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -61,8 +61,8 @@
 
 // New returns a mirror of the keys below prefix. wait is how long one call waits for a
 // change, and so the interval of confirmations without changes.
-func New(f store.Feed, prefix string, wait time.Duration, clock func() time.Time, on Listener) *Mirror {
-	return &Mirror{feed: f, prefix: prefix, wait: wait, clock: clock, listener: on, revision: -1}
+func New(f store.Feed, prefix string, wait time.Duration, clock func() time.Time, listener Listener) *Mirror {
+	return &Mirror{feed: f, prefix: prefix, wait: wait, clock: clock, listener: listener, revision: -1}
 }
 
 // Run follows the store until ctx ends. It returns nil.
@@ -105,7 +105,8 @@
 	return m.follow(ctx)
 }
 
-// backOff waits before the next call.
+// backOff reports the disconnection after the first failed call, and waits before the next
+// call.
 func (m *Mirror) backOff(ctx context.Context, err error) {
 	m.failures++
 	if m.failures == 1 {
--- a/relay/compaction_test.go
+++ b/relay/compaction_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// wantState fails unless all instances but those in away have the revision, confirmed
+// wantState fails unless all instances but the refused ones have the revision, confirmed
 // recently.
 func (f *fleet) wantState(t *testing.T, revision int64, refused []peer.Member) {
 	t.Helper()
--- a/relay/propagation_test.go
+++ b/relay/propagation_test.go
@@ -37,7 +37,7 @@
 }
 
 // An instance must never count its state as confirmed for a moment at which the store
-// already had a newer change, whatever links are cut or the store is down meanwhile.
+// already had a newer change, whatever links are cut and whether or not the store is down.
 func TestConfirmationsAreTrue(t *testing.T) { checkConfirmations(t, 5) }
 
 // An instance that starts while others are cut off and the store fails fetches a snapshot
@@ -47,13 +47,13 @@
 // has such a case.
 func TestConfirmationsAreTrueDuringRestarts(t *testing.T) { checkConfirmations(t, 8) }
 
-// checkConfirmations runs random steps from 0 to most and checks each confirmation.
+// checkConfirmations runs random steps from 0 to maxStep and checks each confirmation.
 func checkConfirmations(t *testing.T, maxStep int) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, maxStep), 5, 25).Draw(rt, "steps")
 		waits := rapid.SliceOfN(rapid.IntRange(1, 3000), 25, 25).Draw(rt, "waits")
 		instances := rapid.SliceOfN(rapid.IntRange(0, 4), 50, 50).Draw(rt, "instances")
-		registered := rapid.IntRange(1, 5).Draw(rt, "listed")
+		registered := rapid.IntRange(1, 5).Draw(rt, "registered")
 		synctest.Test(t, func(t *testing.T) { runSteps(t, rt, registered, steps, waits, instances) })
 	})
 }
--- a/relay/sources.go
+++ b/relay/sources.go
@@ -44,8 +44,8 @@
 }
 
 // sources returns the instances that are queried before the store, those that are queried
-// if the store can't be reached, and this instance's tier, which is its rank divided by
-// the number of watchers.
+// if the store can't be reached, and this instance's tier. The tier of a member is its rank
+// divided by the number of watchers; that of an unregistered instance is after all others.
 func (n *Node) sources() (primary, fallback []peer.Member, tier int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/relay/timing.go
+++ b/relay/timing.go
@@ -8,9 +8,9 @@
 	// query to another instance does.
 	StoreWait time.Duration
 	PeerWait  time.Duration
-	// MaxAge is the greatest age of state that is accepted from another instance without
-	// changes. The state of a watcher of a working store is not much older than StoreWait
-	// plus BatchDelay, and that of its follower at most PeerWait older.
+	// MaxAge is the greatest age at which an answer without changes, or fetched state, is
+	// accepted from another instance. The state of a watcher of a working store is not much
+	// older than StoreWait plus BatchDelay, and that of its follower at most PeerWait older.
 	MaxAge time.Duration
 	// BatchDelay is the pause between two calls of the store after one that returned
 	// changes: each call has a cost, and changes come in bursts.
--- a/state/state.go
+++ b/state/state.go
@@ -35,8 +35,9 @@
 	members   map[string]peer.Member
 	// expired are the members whose registration was deleted or has expired, and until when
 	// they are kept nevertheless.
-	expired      map[string]time.Time
-	firstConfig  *firstConfig
+	expired     map[string]time.Time
+	firstConfig *firstConfig
+	// disconnected is set while the store can't be reached.
 	disconnected bool
 	// isUnconfirmed is set while the configuration's lease has expired.
 	isUnconfirmed bool
