--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -14,8 +14,8 @@
 
 var noon = time.Date(2026, 1, 16, 12, 0, 0, 0, time.UTC)
 
-// script calls f for each line of the file with what stands before and after its arrow.
-func script(t *testing.T, path string, f func(given, want string)) {
+// forEachCase calls f for each line of the file with the text before and after its arrow.
+func forEachCase(t *testing.T, path string, f func(given, want string)) {
 	t.Helper()
 	o, err := os.Open(path)
 	if err != nil {
@@ -31,31 +31,31 @@
 		}
 	}
 	if n == 0 {
-		t.Fatalf("%s has no lines", path)
+		t.Fatalf("%s has no cases", path)
 	}
 }
 
-// TestValues plays testdata/values.txt.
-func TestValues(t *testing.T) {
-	script(t, "testdata/values.txt", func(given, want string) {
+// TestHeaderParsing runs the cases of testdata/headers.txt.
+func TestHeaderParsing(t *testing.T) {
+	forEachCase(t, "testdata/headers.txt", func(given, want string) {
 		header, text, _ := strings.Cut(given, " ")
 		var values []string
 		if text != "nothing" {
 			values = strings.Split(strings.Trim(text, `"`), `" "`)
 		}
-		if got := reading(header, values); got != want {
-			t.Errorf("%s: %s, want %s", given, got, want)
+		if got := parseHeader(header, values); got != want {
+			t.Errorf("%s: got %s, want %s", given, got, want)
 		}
 	})
 }
 
-func reading(header string, values []string) string {
+func parseHeader(header string, values []string) string {
 	if header == "leaving" {
-		l, err := notice.ParseDraining(values)
+		draining, err := notice.ParseDraining(values)
 		if err != nil {
 			return "unreadable"
 		}
-		return map[bool]string{true: "yes", false: "no"}[l]
+		return map[bool]string{true: "yes", false: "no"}[draining]
 	}
 	u, err := notice.ParseRetryAfter(values, noon)
 	switch {
@@ -67,44 +67,44 @@
 	return u.Sub(noon).String()
 }
 
-// TestBeliefs plays testdata/beliefs.txt.
-func TestBeliefs(t *testing.T) {
+// TestReplicaStates runs the cases of testdata/replica_states.txt.
+func TestReplicaStates(t *testing.T) {
 	at := func(ms int) time.Time { return noon.Add(time.Duration(ms) * time.Millisecond) }
-	script(t, "testdata/beliefs.txt", func(given, want string) {
-		var b notice.Belief
-		heard := 0
+	forEachCase(t, "testdata/replica_states.txt", func(given, want string) {
+		var s notice.ReplicaState
+		received := 0
 		for _, a := range strings.Split(given, ", ") {
-			var sent, rest int
+			var sent, backoff int
 			n := notice.Notice{Refused: strings.Contains(a, "refused"), Draining: strings.Contains(a, "leaves")}
-			if _, err := fmt.Sscan(a, &sent, &heard); err != nil {
+			if _, err := fmt.Sscan(a, &sent, &received); err != nil {
 				t.Fatal(err)
 			}
 			if _, r, ok := strings.Cut(a, "rest "); ok {
-				if _, err := fmt.Sscan(r, &rest); err != nil {
+				if _, err := fmt.Sscan(r, &backoff); err != nil {
 					t.Fatal(err)
 				}
-				n.BackoffUntil = at(heard + rest)
+				n.BackoffUntil = at(received + backoff)
 			}
-			n.SentAt, n.ReceivedAt = at(sent), at(heard)
-			b = b.With(n)
+			n.SentAt, n.ReceivedAt = at(sent), at(received)
+			s = s.WithNotice(n)
 		}
 		var l []string
-		if b.IsDraining() {
-			l = append(l, fmt.Sprint("leaves since ", b.DrainingSince.Sub(noon).Milliseconds()))
+		if s.IsDraining() {
+			l = append(l, fmt.Sprint("leaves since ", s.DrainingSince.Sub(noon).Milliseconds()))
 		}
 		switch {
-		case b.IsResting(at(heard)):
-			l = append(l, fmt.Sprint("rests until ", b.RestUntil.Sub(noon).Milliseconds()))
-		case !b.RestUntil.IsZero():
+		case s.IsBackingOff(at(received)):
+			l = append(l, fmt.Sprint("rests until ", s.BackoffUntil.Sub(noon).Milliseconds()))
+		case !s.BackoffUntil.IsZero():
 			l = append(l, "unproven")
 		}
 		if got := strings.Join(l, ", "); got != want && !(got == "" && want == "nothing") {
-			t.Errorf("%s: %q, want %q", given, got, want)
+			t.Errorf("%s: got %q, want %q", given, got, want)
 		}
 	})
 }
 
-// No text crashes the reading, and no rest is without end.
+// No header value makes the parser panic, and no requested backoff exceeds ten minutes.
 func FuzzRest(f *testing.F) {
 	for _, s := range []string{"", "3", "0.5", "-1", "NaN", "1e999", "Fri, 16 Jan 2026 12:00:05 GMT"} {
 		f.Add(s, "2")
@@ -112,26 +112,28 @@
 	f.Fuzz(func(t *testing.T, a, b string) {
 		u, err := notice.ParseRetryAfter([]string{a, b}, noon)
 		if !u.IsZero() && (err != nil || !u.After(noon) || u.Sub(noon) > 10*time.Minute) {
-			t.Errorf("%q %q: %s, %v", a, b, u, err)
+			t.Errorf("%q %q: got %s, %v; want zero, or a time at most 10 minutes ahead without an error", a, b, u, err)
 		}
 	})
 }
 
-// A leaving replica is remembered for as long as it is listed, and for some time after.
-func TestLeavingReplicaIsForgottenOnlyOnceItIsGone(t *testing.T) {
+// Guards against forgetting that a replica is draining while it is still listed: its state must
+// survive sweeps for as long as it is listed, and must be deleted some time after it is unlisted,
+// so that states don't accumulate.
+func TestDrainingReplicaIsKeptWhileListed(t *testing.T) {
 	now := noon
-	b := notice.NewTracker(func() time.Time { return now }, 2*time.Second, func(string, ...any) {})
-	b.Observe(notice.Notice{Replica: "r", Draining: true, ReceivedAt: now})
+	tr := notice.NewTracker(func() time.Time { return now }, 2*time.Second, func(string, ...any) {})
+	tr.Observe(notice.Notice{Replica: "r", Draining: true, ReceivedAt: now})
 	for range 100 {
 		now = now.Add(time.Hour)
-		b.Sweep(slices.Values([]string{"q", "r"}))
+		tr.Sweep(slices.Values([]string{"q", "r"}))
 	}
-	if !b.States()["r"].IsDraining() {
-		t.Error("forgotten while it is listed")
+	if !tr.States()["r"].IsDraining() {
+		t.Error("the state of a listed replica was deleted: got not draining, want draining")
 	}
 	now = now.Add(time.Hour)
-	b.Sweep(slices.Values([]string{"q"}))
-	if b.States()["r"].IsDraining() {
-		t.Error("kept though it is gone for long")
+	tr.Sweep(slices.Values([]string{"q"}))
+	if tr.States()["r"].IsDraining() {
+		t.Error("the state of a replica that is long unlisted was kept: got draining, want not draining")
 	}
 }
