--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -9,30 +9,30 @@
 	"github.com/cockroachdb/errors"
 )
 
-// fingerprintBytes is long enough that nobody finds two contents with one fingerprint:
-// that would have another caller's request refused.
+// fingerprintBytes is long enough that nobody can construct two contents with the same fingerprint,
+// which would get another caller's requests refused.
 const fingerprintBytes = 16
 
-// Fingerprint names what is asked, whatever the attempt's id: a request that is sent
-// again by its client, to any instance, has the same one.
+// Fingerprint is the hash of a request's content, without the id of the attempt. A retry by the
+// client has the same fingerprint at every instance.
 type Fingerprint [fingerprintBytes]byte
 
-// RequestContent is what makes two requests the same one.
+// RequestContent is the part of a request that decides whether two requests are the same.
 type RequestContent struct {
-	// Caller is the customer, empty where requests need no key.
+	// Caller is the customer; empty where requests need no API key.
 	Caller string
-	// Method and Target are the request line's; Target is the path with its query.
+	// Method and Target are those of the request line; Target is the path with the query.
 	Method string
 	Host   string
 	Target string
 	Body   []byte
 }
 
-// Fingerprint returns the content's fingerprint.
+// Fingerprint returns the hash of the content.
 func (c RequestContent) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, t := range []string{c.Caller, c.Method, c.Host, c.Target} {
-		// The length goes first, so that no two lists of texts read the same.
+		// The length prefix keeps different lists of strings from hashing the same bytes.
 		h.Write(binary.AppendUvarint(nil, uint64(len(t))))
 		h.Write([]byte(t))
 	}
@@ -42,16 +42,16 @@
 	return f
 }
 
-// String returns the fingerprint in hex, as it stands in logs and in the store.
+// String returns the fingerprint in hexadecimal, as logs and the store have it.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// compare orders fingerprints, so that what is told of many has the same order each time.
+// compare orders fingerprints, so that messages and lists with several of them have a stable order.
 func (f Fingerprint) compare(o Fingerprint) int { return bytes.Compare(f[:], o[:]) }
 
-// ErrFingerprint says that a text is no fingerprint.
-var ErrFingerprint = errors.Newf("a fingerprint is %d hexadecimal digits", 2*fingerprintBytes)
+// ErrFingerprint reports a string that is not a fingerprint.
+var ErrFingerprint = errors.Newf("not a fingerprint: want %d hexadecimal digits", 2*fingerprintBytes)
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the output of String.
 func ParseFingerprint(t string) (Fingerprint, error) {
 	var f Fingerprint
 	b, err := hex.DecodeString(t)
--- a/quarantine/fuzz_test.go
+++ b/quarantine/fuzz_test.go
@@ -8,7 +8,7 @@
 	"fieldvale/quarantine"
 )
 
-// Whatever comes as a datagram, an instance goes on deciding.
+// Guards against datagrams that panic the node or leave it unable to decide.
 func FuzzReceive(f *testing.F) {
 	content := quarantine.RequestContent{Target: "/x"}.Fingerprint()
 	for _, s := range []string{
@@ -22,17 +22,17 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		now := time.Unix(1_700_000_000, 0)
-		n := quarantine.NewNode(1, quarantine.Config{Self: "n1", Net: nowhere{}, Clock: func() time.Time { return now }, Log: func(string, ...any) {}, AnswerWithin: time.Nanosecond})
+		n := quarantine.NewNode(1, quarantine.Config{Self: "n1", Net: discardTransport{}, Clock: func() time.Time { return now }, Log: func(string, ...any) {}, AnswerTimeout: time.Nanosecond})
 		n.SetMembers([]peer.Member{{ID: "n1"}, {ID: "n2"}, {ID: "n3"}})
 		n.Receive("n2", b)
 		n.Tick()
 		v := n.Ask(t.Context(), content)
 		if v.Decision.String() == "" || v.IsAllowed() && !v.RetryAt.IsZero() {
-			t.Errorf("%+v", v)
+			t.Errorf("got verdict %+v, want a named decision, and a zero RetryAt if the request is allowed", v)
 		}
 	})
 }
 
-type nowhere struct{}
+type discardTransport struct{}
 
-func (nowhere) Send(string, []byte) error { return nil }
+func (discardTransport) Send(string, []byte) error { return nil }
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -14,75 +14,76 @@
 )
 
 const (
-	// keepers is how many instances hold a content's record: one may be killed, cut off
-	// or frozen.
-	keepers = 2
-	// usualAnswer bounds the wait for a keeper's answer: the round trip between data
-	// centres of a region and its work, several times over. Only contents that were at a
-	// replica as it ended wait for it.
-	usualAnswer = 25 * time.Millisecond
-	// askTries is how often a keeper is asked: with three datagrams in ten lost, half of
-	// all questions have no answer.
-	askTries = 2
-	// avoidFor is how long a keeper that gave no answer is passed over.
+	// ownerCount is how many instances keep the record of a content. With two, one may be killed,
+	// partitioned or frozen.
+	ownerCount = 2
+	// defaultAnswerTimeout bounds the wait for an owner's answer: several times the round trip
+	// between data centres of a region and the owner's work. Only requests whose content was at a
+	// replica when it crashed wait for it.
+	defaultAnswerTimeout = 25 * time.Millisecond
+	// askAttempts is how often an owner is asked: with three datagrams in ten lost, half of all
+	// questions get no answer.
+	askAttempts = 2
+	// avoidFor is how long an owner that sent no answer is skipped.
 	avoidFor = time.Second
-	// perMessage bounds the records of one datagram: some 200 bytes each.
-	perMessage = 32
+	// maxRecordsPerMessage bounds the records in one datagram, at some 200 bytes each.
+	maxRecordsPerMessage = 32
 )
 
-// Transport sends datagrams to other instances. One may be lost.
+// Transport sends datagrams to other instances. Datagrams may be lost.
 type Transport interface {
 	Send(addr string, b []byte) error
 }
 
-// Config are what a node works through.
+// Config holds a node's identity, dependencies and settings.
 type Config struct {
-	// Self is this instance's id.
+	// Self is the id of this instance.
 	Self  string
 	Net   Transport
 	Clock func() time.Time
-	// Followers returns the addresses of the instances on no list that this one tells
-	// what it hears. It may be nil.
+	// Followers returns the addresses of the unregistered instances to which this instance relays
+	// the records that it receives. It may be nil.
 	Followers func() []string
-	// OnHeld is told of contents that this instance begins to hold, to be kept in the
+	// OnHeld is called for each content that this instance holds and that is to be written to the
 	// store. It must not block, and may be nil.
 	OnHeld func(Entry)
-	// OnReleased is told of contents that the store still holds and that are held no more. It
-	// must not block, and may be nil.
+	// OnReleased is called for each content that is in the store but no longer held. It must not
+	// block, and may be nil.
 	OnReleased func(Fingerprint)
 	Log        func(event string, fields ...any)
-	// AnswerWithin bounds the wait for a keeper's answer; 0 takes the usual one.
-	AnswerWithin time.Duration
+	// AnswerTimeout bounds the wait for an owner's answer; 0 selects defaultAnswerTimeout.
+	AnswerTimeout time.Duration
 }
 
-// Node asks keepers and is one.
+// Node is one instance's part of the quarantine. It asks the owners of records, and owns records
+// itself.
 type Node struct {
 	Config
-	book    *Book
-	waiting *reply.Waiters[wireAnswer]
+	records *RecordTable
+	pending *reply.Waiters[wireAnswer]
 
-	mu      sync.Mutex
-	members []peer.Member
-	avoid   map[string]time.Time
-	repeats repeats
-	// kept are the contents that the store holds.
-	kept map[Fingerprint]bool
-	// struck are contents that were taken from it, and when.
-	struck map[Fingerprint]time.Time
-	// storeAt is when it is compared with what is known; it belongs to Tick.
-	storeAt time.Time
+	mu         sync.Mutex
+	members    []peer.Member
+	avoid      map[string]time.Time
+	broadcasts broadcasts
+	// stored are the contents that are in the store.
+	stored map[Fingerprint]bool
+	// removed maps contents that were removed from the store to the time of the removal.
+	removed map[Fingerprint]time.Time
+	// nextStoreSync is the time of the next comparison with the store. Only Tick uses it.
+	nextStoreSync time.Time
 }
 
-// NewNode returns an instance that knows no other one yet. start makes its questions
-// differ from those of an earlier run.
-func NewNode(start uint64, p Config) *Node {
-	if p.AnswerWithin == 0 {
-		p.AnswerWithin = usualAnswer
+// NewNode returns a node without records or members. start is the first question id; it must differ
+// from run to run, so that late answers to an earlier run match no question.
+func NewNode(start uint64, cfg Config) *Node {
+	if cfg.AnswerTimeout == 0 {
+		cfg.AnswerTimeout = defaultAnswerTimeout
 	}
-	return &Node{Config: p, book: NewBook(), waiting: reply.New[wireAnswer](start), avoid: map[string]time.Time{}, repeats: repeats{}, kept: map[Fingerprint]bool{}, struck: map[Fingerprint]time.Time{}}
+	return &Node{Config: cfg, records: NewRecordTable(), pending: reply.New[wireAnswer](start), avoid: map[string]time.Time{}, broadcasts: broadcasts{}, stored: map[Fingerprint]bool{}, removed: map[Fingerprint]time.Time{}}
 }
 
-// SetMembers replaces the list of the fleet's instances.
+// SetMembers replaces the list of registered members.
 func (n *Node) SetMembers(m []peer.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -93,42 +94,43 @@
 type Verdict struct {
 	Decision Decision
 	Record   Record
-	// RetryAt is when to ask again; zero if it may be sent.
+	// RetryAt is when to ask again; zero if the request may be sent.
 	RetryAt time.Time
-	// Owner is who decided.
+	// Owner is the instance that decided.
 	Owner string
 }
 
 // IsAllowed reports whether the request may be sent.
 func (v Verdict) IsAllowed() bool { return v.Decision == Allow || v.Decision == AllowTrial }
 
-// IsQuiet reports whether nothing is known of any content, so that all may be sent.
-func (n *Node) IsQuiet() bool { return n.book.Len() == 0 }
+// IsQuiet reports whether there are no records, so that all requests may be sent.
+func (n *Node) IsQuiet() bool { return n.records.Len() == 0 }
 
-// Ask decides whether the request may be sent now. A content that nothing is known of
-// may; for others a keeper is asked. Where none answers, this instance decides alone.
+// Ask decides whether a request with the content may be sent now. A content without a record may be
+// sent; for others an owner is asked. If no owner answers, this instance decides by its own record.
 func (n *Node) Ask(ctx context.Context, f Fingerprint) Verdict {
-	if n.book.Get(f).Score == 0 {
+	if n.records.Get(f).Score == 0 {
 		return Verdict{Decision: Allow}
 	}
-	for _, k := range n.keepers(f) {
-		if k.ID == n.Self {
+	for _, o := range n.owners(f) {
+		if o.ID == n.Self {
 			break
 		}
-		if n.isAvoided(k.ID) {
+		if n.isAvoided(o.ID) {
 			continue
 		}
-		if a, ok := n.askKeeper(ctx, k, f); ok {
-			return n.verdict(a.Decision, a.Record.record(n.Clock()), k.ID)
+		if a, ok := n.askOwner(ctx, o, f); ok {
+			return n.verdict(a.Decision, a.Record.record(n.Clock()), o.ID)
 		}
-		n.pass(k)
+		n.markSilent(o)
 	}
-	r, d := n.book.Ask(f, n.Clock())
+	r, d := n.records.Check(f, n.Clock())
 	return n.verdict(d, r, n.Self)
 }
 
-func (n *Node) verdict(d Decision, r Record, by string) Verdict {
-	v := Verdict{Decision: d, Record: r, Owner: by}
+// verdict returns the verdict for a decision of the owner.
+func (n *Node) verdict(d Decision, r Record, owner string) Verdict {
+	v := Verdict{Decision: d, Record: r, Owner: owner}
 	switch d {
 	case Held:
 		v.RetryAt = r.HeldUntil()
@@ -138,10 +140,11 @@
 	return v
 }
 
-func (n *Node) askKeeper(ctx context.Context, k peer.Member, f Fingerprint) (wireAnswer, bool) {
-	for range askTries {
-		a, ok := n.waiting.Ask(ctx, n.AnswerWithin, func(id uint64) error {
-			return n.Net.Send(k.Addr, encode(message{Question: id, Ask: f.String()}))
+// askOwner asks an owner whether a request may be sent; false if it sends no answer.
+func (n *Node) askOwner(ctx context.Context, o peer.Member, f Fingerprint) (wireAnswer, bool) {
+	for range askAttempts {
+		a, ok := n.pending.Ask(ctx, n.AnswerTimeout, func(id uint64) error {
+			return n.Net.Send(o.Addr, encode(message{QuestionID: id, Query: f.String()}))
 		})
 		if ok {
 			return a, true
@@ -150,49 +153,51 @@
 	return wireAnswer{}, false
 }
 
-// Tell counts what came of an attempt, here and at the content's keepers.
+// Tell records the result of an attempt, here and at the owners of the content.
 func (n *Node) Tell(f Fingerprint, e AttemptResult) {
-	e.By = n.Self
-	n.count(f, e)
-	m := encode(message{Event: &wireEvent{Content: f.String(), What: e.Outcome, Replica: e.Replica, OnTrial: e.OnTrial}, From: n.Self})
-	for _, k := range n.keepers(f) {
-		if k.ID != n.Self {
-			// One that is lost is lost at one of two keepers.
-			_ = n.Net.Send(k.Addr, m)
+	e.ReportedBy = n.Self
+	n.addResult(f, e)
+	m := encode(message{Attempt: &wireAttempt{Fingerprint: f.String(), Outcome: e.Outcome, Replica: e.Replica, OnTrial: e.OnTrial}, From: n.Self})
+	for _, o := range n.owners(f) {
+		if o.ID != n.Self {
+			// If this datagram is lost, the other owner still has the result.
+			_ = n.Net.Send(o.Addr, m)
 		}
 	}
 }
 
-// count takes an event in, and tells others if this instance keeps the content.
-func (n *Node) count(f Fingerprint, e AttemptResult) {
+// addResult records the result of an attempt, and schedules a broadcast of the record if this
+// instance owns it and the content is or was suspect.
+func (n *Node) addResult(f Fingerprint, e AttemptResult) {
 	now := n.Clock()
-	c := n.book.Tell(f, e, now)
-	if !n.keeps(f) || c.Before == Allow && c.Now == Allow {
+	c := n.records.AddResult(f, e, now)
+	if !n.isOwner(f) || c.Before == Allow && c.After == Allow {
 		return
 	}
 	n.mu.Lock()
-	n.repeats[f] = repeat{at: now}
+	n.broadcasts[f] = broadcast{nextAt: now}
 	n.mu.Unlock()
 	n.logChange(c)
 }
 
+// logChange logs that a content became suspect or held, or ceased to be suspect.
 func (n *Node) logChange(c Change) {
 	event := ""
 	switch {
-	case c.Now == Held && c.Before != Held:
+	case c.After == Held && c.Before != Held:
 		event = "request_held"
-	case c.Now != Allow && c.Before == Allow:
+	case c.After != Allow && c.Before == Allow:
 		event = "request_suspected"
-	case c.Now == Allow && c.Before != Allow:
+	case c.After == Allow && c.Before != Allow:
 		event = "request_cleared"
 	default:
 		return
 	}
 	r := c.Record
-	n.Log(event, "content", c.Content, "score", r.Score, "replicas", r.Replicas, "trials_ended", r.TrialCrashes, "trials_open", r.TrialsWithoutResult, "told_by", r.ReportedBy)
+	n.Log(event, "content", c.Fingerprint, "score", r.Score, "replicas", r.Replicas, "trials_ended", r.TrialCrashes, "trials_open", r.TrialsWithoutResult, "told_by", r.ReportedBy)
 }
 
-// Receive takes a datagram in; from is where an answer goes.
+// Receive handles a datagram; from is the address for the answer.
 func (n *Node) Receive(from string, b []byte) {
 	m, err := decode(b)
 	if err == nil {
@@ -203,75 +208,78 @@
 	}
 }
 
+// receive handles a decoded datagram; an error means that it contains an invalid fingerprint.
 func (n *Node) receive(from string, m message) error {
 	switch {
-	case m.Event != nil:
-		f, err := ParseFingerprint(m.Event.Content)
+	case m.Attempt != nil:
+		f, err := ParseFingerprint(m.Attempt.Fingerprint)
 		if err != nil {
 			return err
 		}
-		n.count(f, AttemptResult{Outcome: m.Event.What, Replica: m.Event.Replica, OnTrial: m.Event.OnTrial, By: m.From})
-	case m.Ask != "":
-		f, err := ParseFingerprint(m.Ask)
+		n.addResult(f, AttemptResult{Outcome: m.Attempt.Outcome, Replica: m.Attempt.Replica, OnTrial: m.Attempt.OnTrial, ReportedBy: m.From})
+	case m.Query != "":
+		f, err := ParseFingerprint(m.Query)
 		if err != nil {
 			return err
 		}
 		now := n.Clock()
-		r, d := n.book.Ask(f, now)
-		_ = n.Net.Send(from, encode(message{Question: m.Question, Answer: &wireAnswer{Decision: d, Record: newWireRecord(r, now)}}))
+		r, d := n.records.Check(f, now)
+		_ = n.Net.Send(from, encode(message{QuestionID: m.QuestionID, Answer: &wireAnswer{Decision: d, Record: newWireRecord(r, now)}}))
 	case m.Answer != nil:
-		n.waiting.Deliver(m.Question, *m.Answer)
+		n.pending.Deliver(m.QuestionID, *m.Answer)
 	default:
-		return n.hear(m)
+		return n.receiveRecords(m)
 	}
 	return nil
 }
 
-// hear takes records in, and passes them on to those that are on no list.
-func (n *Node) hear(m message) error {
+// receiveRecords merges records that another instance sent, and relays them to followers.
+func (n *Node) receiveRecords(m message) error {
 	now := n.Clock()
 	for _, e := range m.Records {
-		f, err := ParseFingerprint(e.Content)
+		f, err := ParseFingerprint(e.Fingerprint)
 		if err != nil {
 			return err
 		}
-		n.hearOf(f, e.Record.record(now), m.From, now)
+		n.mergeRecord(f, e.Record.record(now), m.From, now)
 	}
-	if !m.Passed {
-		n.passOn(m)
+	if !m.Relayed {
+		n.relayToFollowers(m)
 	}
 	return nil
 }
 
-// hearOf takes a record in that another instance told. The content's first keeper is
-// believed; of others only the ends count that are not known here.
-func (n *Node) hearOf(f Fingerprint, r Record, from string, now time.Time) {
-	if n.isStruck(f, r) {
+// mergeRecord merges a record that another instance sent. A record from the content's first owner
+// replaces the local one. From other senders only crashes that are missing in the local record are
+// added.
+func (n *Node) mergeRecord(f Fingerprint, r Record, from string, now time.Time) {
+	if n.isRemoved(f, r) {
 		return
 	}
-	k := n.keepers(f)
-	mine := n.book.Get(f)
-	if mine.Score == 0 || len(k) > 0 && k[0].ID == from {
-		n.logChange(n.book.Put(f, r, now))
+	o := n.owners(f)
+	local := n.records.Get(f)
+	if local.Score == 0 || len(o) > 0 && o[0].ID == from {
+		n.logChange(n.records.Put(f, r, now))
 		return
 	}
-	if len(mine.Replicas) >= int(mostCounted) {
-		// More ends change nothing, and those told may be older than the ones known.
+	if len(local.Replicas) >= int(maxScore) {
+		// More crashes don't raise the score, and the received ones may be older than those in the
+		// record.
 		return
 	}
 	for _, x := range r.Replicas {
-		if !slices.Contains(mine.Replicas, x) {
-			n.count(f, AttemptResult{Outcome: ReplicaCrashed, Replica: x, By: r.ReportedBy})
+		if !slices.Contains(local.Replicas, x) {
+			n.addResult(f, AttemptResult{Outcome: ReplicaCrashed, Replica: x, ReportedBy: r.ReportedBy})
 		}
 	}
 }
 
-// rank orders a content's keepers, the highest first.
+// rank returns the rank of a member for a content; the highest ranks are the owners.
 func rank(f Fingerprint, m peer.Member) uint64 {
 	return mix(binary.LittleEndian.Uint64(f[:]) ^ xxhash.Sum64String(m.ID))
 }
 
-// mix spreads the bits of x, as the last step of a hash does.
+// mix spreads the bits of x, like the final step of a hash.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -279,42 +287,43 @@
 	return x
 }
 
-// keepers returns the instances that keep the content's record, the first one first.
-func (n *Node) keepers(f Fingerprint) []peer.Member {
+// owners returns the members that own the content's record, the first owner first.
+func (n *Node) owners(f Fingerprint) []peer.Member {
 	n.mu.Lock()
 	m := n.members
 	n.mu.Unlock()
-	l := make([]peer.Member, 0, keepers+1)
+	l := make([]peer.Member, 0, ownerCount+1)
 	for _, x := range m {
 		i := 0
 		for i < len(l) && rank(f, l[i]) > rank(f, x) {
 			i++
 		}
-		if i < keepers {
+		if i < ownerCount {
 			l = slices.Insert(l, i, x)
-			l = l[:min(len(l), keepers)]
+			l = l[:min(len(l), ownerCount)]
 		}
 	}
 	return l
 }
 
-// keeps reports whether this instance keeps the content's record, as one that knows no
-// other does.
-func (n *Node) keeps(f Fingerprint) bool {
-	l := n.keepers(f)
+// isOwner reports whether this instance owns the content's record. Without members, every instance
+// does.
+func (n *Node) isOwner(f Fingerprint) bool {
+	l := n.owners(f)
 	return len(l) == 0 || slices.ContainsFunc(l, func(m peer.Member) bool { return m.ID == n.Self })
 }
 
+// isAvoided reports whether the instance sent no answer recently and is not asked.
 func (n *Node) isAvoided(id string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.Clock().Before(n.avoid[id])
 }
 
-// pass leaves a silent keeper out for some time.
-func (n *Node) pass(k peer.Member) {
+// markSilent skips an owner that sent no answer for avoidFor.
+func (n *Node) markSilent(o peer.Member) {
 	n.mu.Lock()
-	n.avoid[k.ID] = n.Clock().Add(avoidFor)
+	n.avoid[o.ID] = n.Clock().Add(avoidFor)
 	n.mu.Unlock()
-	n.Log("keeper_silent", "keeper", k.ID, "addr", k.Addr, "avoided", avoidFor, "asked", "quarantine")
+	n.Log("keeper_silent", "keeper", o.ID, "addr", o.Addr, "avoided", avoidFor, "asked", "quarantine")
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,49 +1,52 @@
-// Package quarantine holds what is believed of requests across attempts and instances:
-// which contents bring down the replicas that run them, and whether one may be sent
-// again.
+// Package quarantine tracks which request contents crash the replicas that run them, across
+// attempts and instances, and decides whether a request with a given content may be sent again. The
+// content of a request is what its client asks for, without the ids of the request and its attempts.
 //
-// A replica that ends takes with it all that was there, up to its slots and its queue, so
-// that nearly all of what ends with one is innocent. Three things tell the one that did it:
-// it is there at one end after another; it is never served; and ends that a request in
-// quarantine was part of are not counted against others. A content that was there at two
-// ends is sent on trial only, one at a time in the whole fleet. A whole answer takes half
-// of an end off; one that ends a replica on trial is held as soon as five ends and trials
-// without a result are counted: it gets no replica for a time.
+// A replica that crashes takes down all requests that it runs or queues, so nearly all requests
+// that are present at a crash are innocent. Three properties identify the culprit: it is present at
+// one crash after another; it is never served; and crashes that are attributed to a quarantined
+// content don't count against other contents. A content that was present at two crashes is sent
+// only on trial, one trial at a time in the whole fleet. A complete response takes half a crash off
+// its score. A content that crashes a replica on trial is held, that is, gets no replica for some
+// time, as soon as its crashes and trials without a result add up to five.
 //
-// Records are kept by the two instances of the list that rank highest for a content. They
-// are told of each end, are asked before each further try, and tell all others of what is
-// suspect; what is held is in the store as well, so that it outlasts all instances.
+// The records of a content are kept by its owners, the two registered members that rank highest for
+// its fingerprint. Every instance reports crashes to the owners and asks them before each further
+// attempt; the owners broadcast the records of suspect contents to all instances. Held contents are
+// also written to the store, so that they survive the loss of all instances.
 package quarantine
 
 import "time"
 
 const (
-	// suspectFrom is from how many ends a content is sent on trial only. With one, all
-	// that was at a replica as it ended would be: a question to a keeper each, of some
-	// 60 requests an end.
-	suspectFrom = 2.0
-	// heldFrom is from how many ends and trials without a result a content is held; an
-	// operator's bound is three arrivals after the third end, two of which may be trials.
-	heldFrom = 5.0
-	// someTrials is how much must have come of trials before a content is held: one that
-	// ended a replica, or two without a result. Many that ask the same are at many
-	// replicas at once, and an outage of half of those is no proof.
-	someTrials = 2
-	// servedTakes is what a whole answer takes off the ends that are counted. With half of
-	// the ends in its place, a request that ends one run in two cost 22 replicas in 20 s
-	// (TestWhoIsHeld).
-	servedTakes = 0.5
-	// clearBelow is from where a record says nothing any more.
-	clearBelow = 1.0
-	// mostCounted bounds the ends that count, so that few answers clear one that many
-	// ask.
-	mostCounted = 6.0
+	// suspectScore is the score from which a content is sent only on trial. With a score of 1,
+	// every request that was at a replica when it crashed would be suspect: some 60 requests a
+	// crash, each of which has to ask an owner.
+	suspectScore = 2.0
+	// heldScore is the sum of score and trials without a result from which a content is held.
+	// Operators require that at most three requests with the content arrive after its third crash;
+	// two of these may be trials.
+	heldScore = 5.0
+	// minTrialEvidence is the evidence from trials that is required before a content is held: a
+	// trial that crashed its replica counts 2, one without a result 1. Requests with the same
+	// content may be at many replicas at once, so an outage of half of the replicas is no proof.
+	minTrialEvidence = 2
+	// servedCredit is what a complete response takes off the score. If it took off half of the
+	// score instead, a content that crashes the replica in one run out of two would crash 22
+	// replicas in 20 s (TestQuarantineErrorRates).
+	servedCredit = 0.5
+	// clearScore is the score below which a record is deleted.
+	clearScore = 1.0
+	// maxScore bounds the score, so that a few complete responses clear a content that many clients
+	// send.
+	maxScore = 6.0
 
-	// suspectFor is how long after its last end a content is suspect, heldFor how long
-	// after it one is held. Then it gets one trial, and is forgotten after the same time.
+	// suspectFor is how long after its last crash a content stays suspect, heldFor how long after
+	// it a content is held. After heldFor a held content gets one trial, and after the same time
+	// again its record expires.
 	suspectFor = time.Minute
 	heldFor    = 10 * time.Minute
-	// trialFor bounds how long a trial keeps others waiting of which nobody tells the
-	// end; few requests run longer.
-	trialFor = 10 * time.Second
+	// trialTimeout bounds how long a trial blocks other requests with its content if its result is
+	// never reported. Few requests run longer.
+	trialTimeout = 10 * time.Second
 )
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// Record is what is believed of one content. It is immutable; its zero value says nothing.
+// Record is the evidence against one content. It is immutable; the zero value is the record of a
+// content without crashes.
 type Record struct {
-	// Score counts the replicas that ended while the request was there, less what
-	// answers took off.
+	// Score counts the replicas that crashed while they had a request with the content, less the
+	// credit for complete responses.
 	Score float64
-	// Replicas are the lives of replicas that are counted, TrialReplicas those that ended
-	// under a trial.
+	// Replicas are the incarnations of replicas whose crash counts, TrialReplicas those that
+	// crashed during a trial.
 	Replicas, TrialReplicas []string
-	// TrialCrashes is how many trials ended their replica, TrialsWithoutResult how many have no
+	// TrialCrashes is how many trials crashed their replica, TrialsWithoutResult how many have no
 	// result.
 	TrialCrashes, TrialsWithoutResult int
-	// TrialUntil is until when a trial is under way.
+	// TrialUntil is when the trial that is under way times out.
 	TrialUntil time.Time
-	// LastCrashAt is when the last end was heard of.
+	// LastCrashAt is when the last crash was reported.
 	LastCrashAt time.Time
-	// ReportedBy is the instance that told of the last end.
+	// ReportedBy is the instance that reported the last crash.
 	ReportedBy string
 }
 
-// Decision is what a content may do.
+// Decision is whether a request with a content may be sent.
 type Decision int
 
 // The decisions.
 const (
-	// Allow contents are sent without asking.
+	// Allow: the request may be sent without restriction.
 	Allow Decision = iota
-	// AllowTrial: it may be sent once, on trial.
+	// AllowTrial: one request may be sent, on trial.
 	AllowTrial
-	// Wait: a trial is under way.
+	// Wait: the request has to wait for a trial that is under way.
 	Wait
-	// Held contents get no replica.
+	// Held: the request gets no replica.
 	Held
 )
 
-// String returns the decision's name in the log.
+// String returns the name of the decision for logs.
 func (d Decision) String() string {
 	return [...]string{"free", "try", "a trial is under way", "held"}[d]
 }
 
-// Decide returns what the content may do now.
+// Decide returns whether a request with the content may be sent now.
 func (r Record) Decide(now time.Time) Decision {
 	switch {
-	case r.Score < suspectFrom:
+	case r.Score < suspectScore:
 		return Allow
 	case now.Before(r.TrialUntil):
 		return Wait
@@ -57,85 +58,85 @@
 	return AllowTrial
 }
 
-// isHeld reports whether the content gets no replica until HeldUntil.
+// isHeld reports whether the content gets no replica now.
 func (r Record) isHeld(now time.Time) bool {
-	return r.isProved() && now.Before(r.HeldUntil())
+	return r.isConfirmed() && now.Before(r.HeldUntil())
 }
 
-// isProved reports whether ends and trials suffice to hold the content.
-func (r Record) isProved() bool {
-	return r.Score+float64(r.TrialsWithoutResult) >= heldFrom && 2*r.TrialCrashes+r.TrialsWithoutResult >= someTrials
+// isConfirmed reports whether there is enough evidence from crashes and trials to hold the content.
+func (r Record) isConfirmed() bool {
+	return r.Score+float64(r.TrialsWithoutResult) >= heldScore && 2*r.TrialCrashes+r.TrialsWithoutResult >= minTrialEvidence
 }
 
-// HeldUntil is until when the content would be held if nothing more is heard of it.
+// HeldUntil returns when a confirmed content stops being held if there are no further crashes.
 func (r Record) HeldUntil() time.Time { return r.LastCrashAt.Add(heldFor) }
 
-// IsOver reports whether the record says nothing any more.
-func (r Record) IsOver(now time.Time) bool {
+// IsExpired reports whether the record may be deleted.
+func (r Record) IsExpired(now time.Time) bool {
 	after := suspectFor
-	if r.isProved() {
+	if r.isConfirmed() {
 		after = 2 * heldFor
 	}
-	return r.Score < clearBelow || !now.Before(r.LastCrashAt.Add(after))
+	return r.Score < clearScore || !now.Before(r.LastCrashAt.Add(after))
 }
 
-// WithEnd counts a life of a replica that ended while the request was there. onTrial says
-// that the request was there on trial. A life counts once.
-func (r Record) WithEnd(replica, by string, onTrial bool, now time.Time) Record {
+// WithCrash adds the crash of a replica incarnation that had a request with the content. onTrial is
+// true if the request was there on trial. Each incarnation counts once.
+func (r Record) WithCrash(replica, by string, onTrial bool, now time.Time) Record {
 	if onTrial {
 		r.TrialUntil = time.Time{}
 		r.TrialsWithoutResult = max(0, r.TrialsWithoutResult-1)
 		r.TrialCrashes++
-		r.TrialReplicas = withLast(r.TrialReplicas, replica)
+		r.TrialReplicas = appendBounded(r.TrialReplicas, replica)
 	}
 	if slices.Contains(r.Replicas, replica) {
 		return r
 	}
-	r.Replicas = withLast(r.Replicas, replica)
-	r.Score = min(mostCounted, r.Score+1)
+	r.Replicas = appendBounded(r.Replicas, replica)
+	r.Score = min(maxScore, r.Score+1)
 	r.LastCrashAt, r.ReportedBy = now, by
 	return r
 }
 
-// withLast adds a life to the list, and drops the oldest of too many.
-func withLast(l []string, life string) []string {
-	return last(append(slices.Clip(l), life))
+// appendBounded appends an incarnation to the list, and drops the oldest ones above maxScore.
+func appendBounded(l []string, incarnation string) []string {
+	return newest(append(slices.Clip(l), incarnation))
 }
 
-// last returns the lives at the end of the list, as many as count.
-func last(l []string) []string { return l[max(0, len(l)-int(mostCounted)):] }
+// newest returns the last incarnations of the list, at most maxScore.
+func newest(l []string) []string { return l[max(0, len(l)-int(maxScore)):] }
 
-// WithTrial counts a trial that begins.
+// WithTrial adds a trial that starts now.
 func (r Record) WithTrial(now time.Time) Record {
 	r.TrialsWithoutResult++
-	r.TrialUntil = now.Add(trialFor)
+	r.TrialUntil = now.Add(trialTimeout)
 	return r
 }
 
-// WithServed counts a whole answer.
+// WithServed subtracts the credit for a complete response and resets the trials.
 func (r Record) WithServed() Record {
-	r.Score = max(0, r.Score-servedTakes)
+	r.Score = max(0, r.Score-servedCredit)
 	r.TrialCrashes, r.TrialsWithoutResult, r.TrialUntil = 0, 0, time.Time{}
 	return r
 }
 
-// WithUnsent takes a trial back that no replica ran.
-func (r Record) WithUnsent() Record {
+// WithNotRun removes a trial that no replica ran.
+func (r Record) WithNotRun() Record {
 	r.TrialsWithoutResult, r.TrialUntil = max(0, r.TrialsWithoutResult-1), time.Time{}
 	return r
 }
 
-// WithUnclear ends a trial of which nothing can be told, as when the client left; it
-// counts on as one without a result.
-func (r Record) WithUnclear() Record {
+// WithInconclusive ends a trial that shows nothing, for example because the client disconnected. It
+// still counts as a trial without a result.
+func (r Record) WithInconclusive() Record {
 	r.TrialUntil = time.Time{}
 	return r
 }
 
-// WithExplained takes off the ends that another content is held for, but for those under
-// a trial of this one, and none where its last trials ended replicas: several at once may
-// bring replicas down.
-func (r Record) WithExplained(replicas []string) Record {
+// WithoutAttributed removes crashes that are attributed to another content. Crashes during a trial
+// of this content stay, and so do all crashes if its latest trials crashed replicas, since several
+// contents may crash replicas at the same time.
+func (r Record) WithoutAttributed(replicas []string) Record {
 	if r.TrialCrashes > 0 {
 		return r
 	}
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -12,47 +12,48 @@
 	"fieldvale/quarantine"
 )
 
-// One content is there as three replicas end, and is held after two trials.
+// A content is present when three replicas crash, and is held after two trials that crash their
+// replica.
 func ExampleRecord() {
 	now := time.Unix(0, 0)
 	var r quarantine.Record
-	for _, life := range []string{"r1", "r2", "r3"} {
-		r = r.WithEnd(life, "n1", false, now)
+	for _, replica := range []string{"r1", "r2", "r3"} {
+		r = r.WithCrash(replica, "n1", false, now)
 	}
 	fmt.Println(r.Decide(now))
-	r = r.WithTrial(now).WithEnd("r4", "n2", true, now)
-	r = r.WithTrial(now).WithEnd("r5", "n3", true, now)
+	r = r.WithTrial(now).WithCrash("r4", "n2", true, now)
+	r = r.WithTrial(now).WithCrash("r5", "n3", true, now)
 	fmt.Println(r.Decide(now))
 	// Output:
 	// try
 	// held
 }
 
-// TestRecordScripts plays testdata/*.txt, one content each:
+// TestRecordScripts runs testdata/*.txt, each the history of one content:
 //
-//	end LIFE         a replica ended with it there
-//	trial-end LIFE   the same, on trial
+//	end REPLICA         a replica crashed while it had a request with the content
+//	trial-end REPLICA   the same, with the request there on trial
 //	served|unclear|unsent
-//	at SPAN          the time since the start
-//	ask DECISION     what it may do then; a trial is counted
+//	at DURATION         sets the time since the start
+//	ask DECISION        checks the decision; a trial that is allowed is counted
 func TestRecordScripts(t *testing.T) {
 	l, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(l) == 0 {
-		t.Fatalf("no scripts: %v", err)
+		t.Fatalf("no scripts in testdata: %v", err)
 	}
 	for _, p := range l {
-		t.Run(strings.TrimSuffix(filepath.Base(p), ".txt"), func(t *testing.T) { playRecord(t, p) })
+		t.Run(strings.TrimSuffix(filepath.Base(p), ".txt"), func(t *testing.T) { runScript(t, p) })
 	}
 }
 
-var whats = map[string]quarantine.Outcome{
+var outcomes = map[string]quarantine.Outcome{
 	"end": quarantine.ReplicaCrashed, "trial-end": quarantine.ReplicaCrashed, "served": quarantine.Served,
 	"unclear": quarantine.Inconclusive, "unsent": quarantine.NotRun,
 }
 
 var decisions = map[string]quarantine.Decision{"free": quarantine.Allow, "try": quarantine.AllowTrial, "wait": quarantine.Wait, "held": quarantine.Held}
 
-func playRecord(t *testing.T, path string) {
+func runScript(t *testing.T, path string) {
 	f, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
@@ -60,70 +61,72 @@
 	defer f.Close()
 	start := time.Unix(1_700_000_000, 0)
 	now := start
-	b := quarantine.NewBook()
+	b := quarantine.NewRecordTable()
 	content := quarantine.RequestContent{Target: "/x"}.Fingerprint()
 	n := 0
 	for s := bufio.NewScanner(f); s.Scan(); {
 		n++
-		w := strings.Fields(s.Text())
-		if len(w) == 0 || w[0] == "#" {
+		words := strings.Fields(s.Text())
+		if len(words) == 0 || words[0] == "#" {
 			continue
 		}
-		switch w[0] {
+		switch words[0] {
 		case "at":
-			d, err := time.ParseDuration(w[1])
+			d, err := time.ParseDuration(words[1])
 			if err != nil {
 				t.Fatalf("line %d: %v", n, err)
 			}
 			now = start.Add(d)
 			b.Sweep(now)
 		case "ask":
-			if _, d := b.Ask(content, now); d != decisions[w[1]] {
-				t.Errorf("line %d: %s, want %s", n, d, w[1])
+			if _, d := b.Check(content, now); d != decisions[words[1]] {
+				t.Errorf("line %d: got decision %s, want %s", n, d, words[1])
 			}
 		default:
-			what, ok := whats[w[0]]
+			outcome, ok := outcomes[words[0]]
 			if !ok {
-				t.Fatalf("line %d: %q is not known", n, w[0])
+				t.Fatalf("line %d: unknown step %q", n, words[0])
 			}
-			e := quarantine.AttemptResult{Outcome: what, OnTrial: w[0] != "end"}
-			if len(w) > 1 {
-				e.Replica = w[1]
+			e := quarantine.AttemptResult{Outcome: outcome, OnTrial: words[0] != "end"}
+			if len(words) > 1 {
+				e.Replica = words[1]
 			}
-			b.Tell(content, e, now)
+			b.AddResult(content, e, now)
 		}
 	}
 }
 
-// Somebody sends contents without end, and each replica that ends takes some of them with
-// it: what is held stays known, and the memory has a bound.
-func TestManyContentsPushNothingOut(t *testing.T) {
+// Guards against evicting a held record: a client sends ever new contents, and each replica that
+// crashes creates records for some of them. The held content must stay held, and the number of
+// records bounded.
+func TestHeldRecordSurvivesManyFingerprints(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	b := quarantine.NewBook()
-	of := func(i int) quarantine.Fingerprint {
+	b := quarantine.NewRecordTable()
+	fingerprint := func(i int) quarantine.Fingerprint {
 		return quarantine.RequestContent{Target: fmt.Sprint(i)}.Fingerprint()
 	}
 	for i := range 3 {
-		b.Tell(of(-1), quarantine.AttemptResult{Replica: fmt.Sprint("r", i)}, now)
+		b.AddResult(fingerprint(-1), quarantine.AttemptResult{Replica: fmt.Sprint("r", i)}, now)
 	}
 	for i := range 2 {
-		b.Ask(of(-1), now)
-		b.Tell(of(-1), quarantine.AttemptResult{Replica: fmt.Sprint("t", i), OnTrial: true}, now)
+		b.Check(fingerprint(-1), now)
+		b.AddResult(fingerprint(-1), quarantine.AttemptResult{Replica: fmt.Sprint("t", i), OnTrial: true}, now)
 	}
 	for i := range 20_000 {
-		b.Tell(of(i), quarantine.AttemptResult{Replica: fmt.Sprint("s", i/50)}, now.Add(time.Second))
+		b.AddResult(fingerprint(i), quarantine.AttemptResult{Replica: fmt.Sprint("s", i/50)}, now.Add(time.Second))
 	}
-	if _, d := b.Ask(of(-1), now); d != quarantine.Held {
-		t.Errorf("the content that was held is %s now", d)
+	if _, d := b.Check(fingerprint(-1), now); d != quarantine.Held {
+		t.Errorf("the held content: got decision %s, want held", d)
 	}
 	if n := b.Len(); n > 4096 {
-		t.Errorf("%d records, want a bound of 4096", n)
+		t.Errorf("got %d records, want at most 4096", n)
 	}
 }
 
-// The operator strikes a content; an instance that has not heard of it yet tells its record
-// once more. It was held again, and written to the store anew.
-func TestStruckContentsStayStruck(t *testing.T) {
+// Guards against holding a removed content again: after the operator removes it, an instance that
+// has not seen the removal yet broadcasts its record once more, and the others would hold the
+// content and write it to the store again.
+func TestRemovedContentStaysRemoved(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	f := newFleet(1, 3, 3)
 	f.now = now
@@ -144,7 +147,7 @@
 	for i, n := range f.nodes {
 		n.Tick()
 		if v := n.Ask(t.Context(), c); v.Decision != quarantine.Allow {
-			t.Errorf("n%d: %s", i, v.Decision)
+			t.Errorf("n%d: got decision %s for the removed content, want free", i, v.Decision)
 		}
 	}
 }
