--- a/quota/bound.go
+++ b/quota/bound.go
@@ -6,128 +6,128 @@
 )
 
 const (
-	// countedOver is the time in which a replica's own figure is counted: it may get some
-	// more at once after a pause, but no more in all.
-	countedOver = 4 * time.Second
-	// onTheWay is how much later than another a request may arrive that was allowed before
-	// it; with it what arrives in countedOver stays within the figure.
-	onTheWay = 100 * time.Millisecond
-	// trialEvery is how often a replica gets one request at least whatever figure it names:
-	// of one that gets none nobody would hear that its limit is over. It is the only
-	// case in which a replica gets more than it asks for: one that names less than one in
-	// five seconds.
-	trialEvery = 5 * time.Second
-	// coldOver is the time in which requests at a cold replica are counted.
-	coldOver = time.Second
+	// limitWindow is the time span over which an advertised limit is enforced. After a pause a
+	// replica may get a burst, but no more in all than the limit allows in the span.
+	limitWindow = 4 * time.Second
+	// transitMargin is by how much two requests may change their order between being permitted and
+	// arriving. The window is longer by this margin, so that also the arrivals within limitWindow
+	// stay below the limit.
+	transitMargin = 100 * time.Millisecond
+	// probeInterval is the longest time between two requests to a limited replica, whatever limit
+	// it advertises: a replica that gets no request could not report the end of its limit. A
+	// replica gets more than it advertises only if that is less than one request in this interval.
+	probeInterval = 5 * time.Second
+	// coldWindow is the time span over which requests to a cold replica are counted.
+	coldWindow = time.Second
 )
 
-// Bound is what one replica may get from all instances together. The zero value bounds
-// nothing.
+// Bound is what one replica may get from all instances together. The zero value is no bound.
 type Bound struct {
-	// IsLimited says that it names a limit, of PerSecond requests.
+	// IsLimited is true if the replica advertises a limit, which is PerSecond requests a second.
 	IsLimited bool
 	PerSecond float64
-	// ColdPerSecond is how many requests it may get in any second while it is cold, or may
-	// be; 0 for one that is warm.
+	// ColdPerSecond is how many requests the replica may get in any second while it is or may be
+	// cold; 0 for a warm replica.
 	ColdPerSecond float64
 }
 
-// IsBounded reports whether it may not get any number of requests.
+// IsBounded reports whether there is any bound.
 func (b Bound) IsBounded() bool { return b.IsLimited || b.ColdPerSecond > 0 }
 
-// window is how many requests a replica may get in any span.
+// window allows a replica at most limit requests in any time span of the length span.
 type window struct {
-	span time.Duration
-	most int
-	why  Reason
+	span   time.Duration
+	limit  int
+	reason Reason
 }
 
-// Reason says which bound keeps a request from a replica.
+// Reason is why a request may not be sent to a replica.
 type Reason string
 
 // The reasons.
 const (
-	Fits       Reason = ""
-	Limited    Reason = "limited"
-	ReasonCold Reason = "cold"
-	Undecided  Reason = "nobody who counts can be reached"
-	Wanted     Reason = "wanted for more urgent requests"
+	ReasonNone           Reason = ""
+	ReasonLimited        Reason = "limited"
+	ReasonCold           Reason = "cold"
+	ReasonNoOwner        Reason = "nobody who counts can be reached"
+	ReasonHigherPriority Reason = "wanted for more urgent requests"
 )
 
-// windows returns what the bound comes to. All of them hold.
+// windows returns the windows that enforce the bound. A request must fit all of them.
 func (b Bound) windows() []window {
 	var l []window
 	if b.IsLimited {
 		l = limitWindows(b.PerSecond)
 	}
 	if b.ColdPerSecond > 0 {
-		l = append(l, window{coldOver, int(b.ColdPerSecond), ReasonCold})
+		l = append(l, window{coldWindow, int(b.ColdPerSecond), ReasonCold})
 	}
 	return l
 }
 
-// limitWindows returns the windows of a replica's own figure: what it takes in countedOver,
-// as whole requests, and not all of that at once.
+// limitWindows returns the windows that enforce an advertised limit: one for limitWindow, in whole
+// requests, and one that spreads these over the seconds. A limit below one request per limitWindow
+// has a single window, with one request.
 func limitWindows(perSecond float64) []window {
 	const rounding = 1e-9
-	n := math.Floor(perSecond*countedOver.Seconds() + rounding)
+	n := math.Floor(perSecond*limitWindow.Seconds() + rounding)
 	if n >= 1 {
 		return []window{
-			{time.Second, int(math.Ceil(perSecond - rounding)), Limited},
-			{countedOver + onTheWay, int(n), Limited},
+			{time.Second, int(math.Ceil(perSecond - rounding)), ReasonLimited},
+			{limitWindow + transitMargin, int(n), ReasonLimited},
 		}
 	}
-	every := trialEvery
-	if x := 1 / perSecond; x < trialEvery.Seconds() {
+	every := probeInterval
+	if x := 1 / perSecond; x < probeInterval.Seconds() {
 		every = time.Duration(x * float64(time.Second))
 	}
-	return []window{{every + onTheWay, 1, Limited}}
+	return []window{{every + transitMargin, 1, ReasonLimited}}
 }
 
 // Decision is whether a replica may get one more request now.
 type Decision struct {
-	May bool
-	// NotBefore is when it may at the earliest if it may not now, and Why what keeps the
-	// request from it.
+	Allowed bool
+	// NotBefore is the earliest time at which the request may be sent, and Reason what prevents it,
+	// if it is not allowed now.
 	NotBefore time.Time
-	Why       Reason
+	Reason    Reason
 }
 
-// Decide decides whether a replica with the bound may get one more request. got are the
-// moments at which it was allowed one, the oldest first, by who counts since that moment:
-// before it the replica is taken to have got evenly what it may, as somebody else may have
-// counted, or nobody.
-func Decide(b Bound, got []time.Time, since, now time.Time) Decision {
-	d := Decision{May: true}
+// Decide decides whether a replica with the bound may get one more request. granted are the times
+// of the requests that the owner permitted since ownedSince, the oldest first. Before ownedSince
+// another owner may have permitted requests, or instances sent them without one, so the replica is
+// assumed to have got its full limit, evenly spread.
+func Decide(b Bound, granted []time.Time, ownedSince, now time.Time) Decision {
+	d := Decision{Allowed: true}
 	for _, w := range b.windows() {
-		if t := w.free(got, since, now); t.After(now) && t.After(d.NotBefore) {
-			d = Decision{NotBefore: t, Why: w.why}
+		if t := w.nextFree(granted, ownedSince, now); t.After(now) && t.After(d.NotBefore) {
+			d = Decision{NotBefore: t, Reason: w.reason}
 		}
 	}
 	return d
 }
 
-// free returns when the window has room for one more.
-func (w window) free(got []time.Time, since, now time.Time) time.Time {
-	if w.most < 1 {
+// nextFree returns the earliest time at which the window has room for one more request.
+func (w window) nextFree(granted []time.Time, ownedSince, now time.Time) time.Time {
+	if w.limit < 1 {
 		return now.Add(w.span)
 	}
 	begin := now.Add(-w.span)
-	for len(got) > 0 && !got[0].After(begin) {
-		got = got[1:]
+	for len(granted) > 0 && !granted[0].After(begin) {
+		granted = granted[1:]
 	}
-	step := w.span / time.Duration(w.most)
+	step := w.span / time.Duration(w.limit)
 	before := 0
-	if d := since.Sub(begin); d > 0 {
-		before = min(w.most, int((d+step-1)/step))
+	if d := ownedSince.Sub(begin); d > 0 {
+		before = min(w.limit, int((d+step-1)/step))
 	}
-	over := before + len(got) - w.most
+	over := before + len(granted) - w.limit
 	if over < 0 {
 		return now
 	}
 	if over < before {
-		// Those before are a step apart, the last one at since.
-		return since.Add(-time.Duration(before-1-over) * step).Add(w.span)
+		// The requests assumed before ownedSince are one step apart, the last one at ownedSince.
+		return ownedSince.Add(-time.Duration(before-1-over) * step).Add(w.span)
 	}
-	return got[over-before].Add(w.span)
+	return granted[over-before].Add(w.span)
 }
--- a/quota/bound_test.go
+++ b/quota/bound_test.go
@@ -12,16 +12,16 @@
 	"fieldvale/standin/arrivals"
 )
 
-// A replica that takes 1.5 requests a second gets six in any four.
+// A replica with a limit of 1.5 requests a second gets six in any four seconds.
 func ExampleDecide() {
 	b := quota.Bound{IsLimited: true, PerSecond: 1.5}
-	since := noon.Add(-time.Minute)
-	var got []time.Time
+	ownedSince := noon.Add(-time.Minute)
+	var granted []time.Time
 	for now := noon; now.Before(noon.Add(5 * time.Second)); now = now.Add(500 * time.Millisecond) {
-		d := quota.Decide(b, got, since, now)
-		fmt.Println(now.Sub(noon), d.May, d.Why, max(0, d.NotBefore.Sub(now)))
-		if d.May {
-			got = append(got, now)
+		d := quota.Decide(b, granted, ownedSince, now)
+		fmt.Println(now.Sub(noon), d.Allowed, d.Reason, max(0, d.NotBefore.Sub(now)))
+		if d.Allowed {
+			granted = append(granted, now)
 		}
 	}
 	// Output:
@@ -37,79 +37,80 @@
 	// 4.5s true  0s
 }
 
-// A cold replica that names a limit as well gets what the smaller of both allows.
+// A cold replica that also advertises a limit gets what the smaller of the two allows.
 func ExampleBound() {
 	both := quota.Bound{IsLimited: true, PerSecond: 8, ColdPerSecond: 2}
-	got := []time.Time{noon, noon}
-	fmt.Println(quota.Decide(both, got, noon.Add(-time.Minute), noon))
+	granted := []time.Time{noon, noon}
+	fmt.Println(quota.Decide(both, granted, noon.Add(-time.Minute), noon))
 	both.ColdPerSecond = 50
-	fmt.Println(quota.Decide(both, got, noon.Add(-time.Minute), noon).May)
+	fmt.Println(quota.Decide(both, granted, noon.Add(-time.Minute), noon).Allowed)
 	// Output:
 	// {false 2026-01-16 12:00:01 +0000 UTC cold}
 	// true
 }
 
-// Whatever is asked for and whenever, no four seconds hold more than the figure, but for the
-// one request by which the end of a very small one shows; and while there is demand it is used
-// as far as whole requests go.
-func TestDecideKeepsTheFigureAndUsesIt(t *testing.T) {
+// Guards against more requests in four seconds than the limit allows, except for the probe that
+// detects the end of a very small limit, at random limits and request times; and against a limit
+// that is not used, as far as whole requests allow, while there is continuous demand.
+func TestDecideEnforcesAndUsesLimit(t *testing.T) {
 	rapid.Check(t, func(x *rapid.T) {
-		figure := rapid.Float64Range(0, 40).Draw(x, "figure")
+		limit := rapid.Float64Range(0, 40).Draw(x, "figure")
 		gaps := rapid.SliceOfN(rapid.IntRange(1, 400), 50, 400).Draw(x, "gaps")
-		b := quota.Bound{IsLimited: true, PerSecond: figure}
-		now, since := noon, noon
-		var got []time.Time
+		b := quota.Bound{IsLimited: true, PerSecond: limit}
+		now, ownedSince := noon, noon
+		var granted []time.Time
 		for _, g := range gaps {
 			now = now.Add(time.Duration(g) * time.Millisecond)
-			d := quota.Decide(b, got, since, now)
-			if !d.May && !d.NotBefore.After(now) {
-				x.Fatalf("it may not now, but not later than now: %+v", d)
+			d := quota.Decide(b, granted, ownedSince, now)
+			if !d.Allowed && !d.NotBefore.After(now) {
+				x.Fatalf("got decision %+v, want NotBefore after now if the request is not allowed", d)
 			}
-			if d.May {
-				got = append(got, now)
-			} else if e := quota.Decide(b, got, since, d.NotBefore); !e.May && e.NotBefore.Sub(d.NotBefore) > 4*time.Second {
-				x.Fatalf("told to come in %s, and then in %s", d.NotBefore.Sub(now), e.NotBefore.Sub(d.NotBefore))
+			if d.Allowed {
+				granted = append(granted, now)
+			} else if e := quota.Decide(b, granted, ownedSince, d.NotBefore); !e.Allowed && e.NotBefore.Sub(d.NotBefore) > 4*time.Second {
+				x.Fatalf("got NotBefore in %s, and %s later another one, want at most 4s between the two", d.NotBefore.Sub(now), e.NotBefore.Sub(d.NotBefore))
 			}
 		}
-		if n := arrivals.Most(got, 4*time.Second); float64(n) > max(1, 4*figure+1e-6) {
-			x.Fatalf("%d in four seconds, it takes %g", n, 4*figure)
+		if n := arrivals.Most(granted, 4*time.Second); float64(n) > max(1, 4*limit+1e-6) {
+			x.Fatalf("got %d requests in four seconds, want at most %g", n, 4*limit)
 		}
 	})
-	for _, figure := range []float64{0.25, 0.5, 1, 1.5, 2.1, 8, 40} {
-		b := quota.Bound{IsLimited: true, PerSecond: figure}
+	for _, limit := range []float64{0.25, 0.5, 1, 1.5, 2.1, 8, 40} {
+		b := quota.Bound{IsLimited: true, PerSecond: limit}
 		n := 0
-		var got []time.Time
+		var granted []time.Time
 		for now := noon; now.Before(noon.Add(40 * time.Second)); now = now.Add(5 * time.Millisecond) {
-			if quota.Decide(b, got, noon.Add(-time.Minute), now).May {
-				got = append(got, now)
+			if quota.Decide(b, granted, noon.Add(-time.Minute), now).Allowed {
+				granted = append(granted, now)
 				n++
 			}
 		}
-		if used := float64(n) / (40 * figure); used < 0.9 || used > 1.1 {
-			t.Errorf("%g a second: %.2f of it used while there is demand", figure, used)
+		if used := float64(n) / (40 * limit); used < 0.9 || used > 1.1 {
+			t.Errorf("limit %g: got %.2f of it used with continuous demand, want 0.9 to 1.1", limit, used)
 		}
 	}
 }
 
-// Who begins to count takes it that the replica has got what it may until then.
-func TestDecideCountsWhatWasBefore(t *testing.T) {
-	for _, figure := range []float64{0, 0.1, 0.25, 1.5, 2.1, 8} {
-		b := quota.Bound{IsLimited: true, PerSecond: figure}
-		most := int(max(1, 4*figure))
-		// Another one counted until noon, and let them go evenly.
+// Guards against exceeding the limit when the owner changes: the new owner has to assume that the
+// previous one granted the full limit.
+func TestDecideAssumesPreviousOwnerUsedLimit(t *testing.T) {
+	for _, limit := range []float64{0, 0.1, 0.25, 1.5, 2.1, 8} {
+		b := quota.Bound{IsLimited: true, PerSecond: limit}
+		most := int(max(1, 4*limit))
+		// The previous owner granted permits, evenly spread, until noon.
 		var before []time.Time
 		for i := range most {
 			before = append(before, noon.Add(-time.Duration(i)*4*time.Second/time.Duration(most)))
 		}
 		slices.Reverse(before)
-		var got []time.Time
+		var granted []time.Time
 		for now := noon; now.Before(noon.Add(8 * time.Second)); now = now.Add(5 * time.Millisecond) {
-			if quota.Decide(b, got, noon, now).May {
-				got = append(got, now)
+			if quota.Decide(b, granted, noon, now).Allowed {
+				granted = append(granted, now)
 			}
 		}
-		if n := arrivals.Most(append(before, got...), 4*time.Second); n > most {
-			t.Errorf("%g a second: %d in four seconds over the change of who counts, want %d", figure, n, most)
+		if n := arrivals.Most(append(before, granted...), 4*time.Second); n > most {
+			t.Errorf("limit %g: got %d requests in four seconds while the owner changed, want at most %d", limit, n, most)
 		}
 	}
 }
--- a/quota/cold.go
+++ b/quota/cold.go
@@ -1,19 +1,19 @@
 package quota
 
-// ColdBound is how many requests a second a cold replica may get from the whole fleet, by
-// what it says that it bears.
+// ColdBound bounds the requests a second that a cold replica may get from the whole fleet, relative
+// to the rate that a cold replica of the service can take.
 type ColdBound struct {
-	// Overage times what it bears a second, and Slack on top.
+	// The bound is Overage times that rate, plus Slack.
 	Overage, Slack float64
 }
 
-// countersAtOnce is how many instances may count for one cold replica at a time without the
-// fleet's bound being broken: the first of an old and of a new list of instances. It also
-// covers requests of two seconds that arrive within one.
-const countersAtOnce = 2
+// maxOwners is how many owners of a service may exist at a time without breaking the bound of the
+// fleet: the first of an old and the first of a new list of members. It also covers requests
+// permitted over two seconds that arrive within one.
+const maxOwners = 2
 
-// PerOwner is how many requests who counts may let go in any second to a cold replica that
-// bears perSecond: no more than that, as it falls over above it.
+// PerOwner returns how many requests an owner may permit in any second for a cold replica that can
+// take perSecond. It is never more than perSecond, above which the replica crashes.
 func (b ColdBound) PerOwner(perSecond float64) float64 {
-	return min(perSecond, (b.Overage*perSecond+b.Slack)/countersAtOnce)
+	return min(perSecond, (b.Overage*perSecond+b.Slack)/maxOwners)
 }
--- a/quota/decide.go
+++ b/quota/decide.go
@@ -5,91 +5,93 @@
 	"time"
 )
 
-// decide decides as the one who counts, by what the asker believes as well; false if this
-// instance does not count.
-func (n *Node) decide(a PermitRequest, told map[string]Belief) (wireAnswer, bool) {
+// decide decides on the permit as the owner, after merging the limit records of the requesting
+// instance. It returns false if this instance is not the owner.
+func (n *Node) decide(req PermitRequest, records map[string]LimitRecord) (wireAnswer, bool) {
 	now := n.Clock()
-	for r, b := range told {
-		n.learnOf(r, b.withService(a.Service))
+	for r, b := range records {
+		n.mergeRecord(r, b.withService(req.Service))
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c := n.charge(a.Service, now)
-	counts, strictly := n.counts(a.Service, c, now)
-	if !counts {
+	s := n.service(req.Service, now)
+	owns, exclusive := n.isOwner(req.Service, s, now)
+	if !owns {
 		return wireAnswer{}, false
 	}
-	return c.decide(a, n.boundsOf(a, strictly), now), true
+	return s.decide(req, n.boundsOf(req, exclusive), now), true
 }
 
-// boundsOf returns the bounds of the candidates, as this instance believes. One that says that
-// it is cold gets nothing from an instance that may not be the only one who counts: above what it
-// bears it falls over.
-func (n *Node) boundsOf(a PermitRequest, strictly bool) []Bound {
+// boundsOf returns the bounds of the candidates by this instance's records. Above what it can take,
+// a cold replica crashes, so a replica that reports being cold gets nothing from an owner that may
+// not be the only one.
+func (n *Node) boundsOf(req PermitRequest, exclusive bool) []Bound {
 	var l []Bound
-	for _, x := range a.Candidates {
-		b := n.beliefs.of(x.Replica)
+	for _, x := range req.Candidates {
+		b := n.records.get(x.Replica)
 		y := Bound{IsLimited: b.IsLimited(), PerSecond: b.PerSecond, ColdPerSecond: x.Bound.ColdPerSecond}
-		if x.ReportsCold && !strictly {
-			y.ColdPerSecond = nothingCold
+		if x.ReportsCold && !exclusive {
+			y.ColdPerSecond = noColdRequests
 		}
 		l = append(l, y)
 	}
 	return l
 }
 
-// nothingCold bounds a cold replica to nothing: less than one request in any second.
-const nothingCold = 1e-9
+// noColdRequests is a bound of less than one request in any second, so that a cold replica gets
+// none.
+const noColdRequests = 1e-9
 
-// decide decides as the one who counts.
-func (c *charge) decide(a PermitRequest, bounds []Bound, now time.Time) wireAnswer {
-	w := wireAnswer{Counts: true, Index: -1}
+// decide grants a permit for the first candidate that has one, unless the free permits are reserved
+// for requests of a higher priority.
+func (s *serviceState) decide(req PermitRequest, bounds []Bound, now time.Time) wireAnswer {
+	w := wireAnswer{IsOwner: true, Index: -1}
 	rate := 0.0
 	for _, b := range bounds {
 		rate += b.rate()
 	}
-	rate = max(rate, c.rate)
-	if a.OnlyBounded {
-		c.queue.asked[clampRank(a.Priority)].add(now)
-		if c.queue.isKept(a.Priority, rate, now) {
-			w.Why, w.Come = Wanted, c.queue.come(now.Add(bucket), rate).Sub(now).Milliseconds()
+	rate = max(rate, s.permitRate)
+	if req.OnlyBounded {
+		s.demand.requested[clampPriority(req.Priority)].add(now)
+		if s.demand.isReserved(req.Priority, rate, now) {
+			w.Reason, w.RetryMillis = ReasonHigherPriority, s.demand.nextRetry(now.Add(bucketSpan), rate).Sub(now).Milliseconds()
 			return w
 		}
 	}
-	var first time.Time
-	for i, x := range a.Candidates {
-		d := c.book.decide(x.Replica, bounds[i], now)
-		if d.May {
-			c.grant(a, x.Replica, now)
-			return wireAnswer{Counts: true, Index: i, Waits: w.Waits, Taken: &wireBack{a.Service, x.Replica}}
+	var earliest time.Time
+	for i, x := range req.Candidates {
+		d := s.grants.decide(x.Replica, bounds[i], now)
+		if d.Allowed {
+			s.grant(req, x.Replica, now)
+			return wireAnswer{IsOwner: true, Index: i, WaitMillis: w.WaitMillis, Granted: &wirePermit{req.Service, x.Replica}}
 		}
 		if i == 0 {
-			w.Why = d.Why
+			w.Reason = d.Reason
 		}
-		if first.IsZero() || d.NotBefore.Before(first) {
-			first = d.NotBefore
+		if earliest.IsZero() || d.NotBefore.Before(earliest) {
+			earliest = d.NotBefore
 		}
-		w.Waits = append(w.Waits, d.NotBefore.Sub(now).Milliseconds())
+		w.WaitMillis = append(w.WaitMillis, d.NotBefore.Sub(now).Milliseconds())
 	}
-	if a.OnlyBounded && !first.IsZero() {
-		w.Come = c.queue.come(first, rate).Sub(now).Milliseconds()
+	if req.OnlyBounded && !earliest.IsZero() {
+		w.RetryMillis = s.demand.nextRetry(earliest, rate).Sub(now).Milliseconds()
 	}
 	return w
 }
 
-// grant counts a request that may go to the replica.
-func (c *charge) grant(a PermitRequest, replica string, now time.Time) {
-	c.book.grant(replica, now)
-	if a.OnlyBounded {
-		c.queue.granted[clampRank(a.Priority)].add(now)
+// grant records a permit for the replica.
+func (s *serviceState) grant(req PermitRequest, replica string, now time.Time) {
+	s.grants.add(replica, now)
+	if req.OnlyBounded {
+		s.demand.granted[clampPriority(req.Priority)].add(now)
 	}
 }
 
-// rate is about how many requests a second the bound allows; 0 for any number.
+// rate returns approximately how many requests a second the bound allows; 0 if it is no bound.
 func (b Bound) rate() float64 {
 	r := math.Inf(1)
 	if b.IsLimited {
-		r = max(b.PerSecond, 1/trialEvery.Seconds())
+		r = max(b.PerSecond, 1/probeInterval.Seconds())
 	}
 	if b.ColdPerSecond > 0 {
 		r = min(r, b.ColdPerSecond)
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -17,37 +17,37 @@
 	"fieldvale/standin/arrivals"
 )
 
-// fleet is nodes over a transport that takes a moment and may lose datagrams.
+// fleet is a set of nodes with a transport that has a delay and may lose datagrams.
 type fleet struct {
 	mu    sync.Mutex
 	nodes map[string]*quota.Node
-	// frozen nodes take nothing in until they wake; dead ones never do.
+	// Datagrams to frozen nodes are queued until these resume; those to dead nodes are dropped.
 	frozen, dead map[string]bool
-	waits        map[string][]func()
-	// deaf is whether nobody hears anybody.
-	deaf bool
-	loss float64
-	rand *rand.Rand
-	logs []string
+	queued       map[string][]func()
+	// partitioned is true if no datagram is delivered.
+	partitioned bool
+	loss        float64
+	rand        *rand.Rand
+	logs        []string
 }
 
-type wire struct {
+type delayedTransport struct {
 	fleet *fleet
 	self  string
 }
 
-// wayTakes is how long a datagram takes.
-const wayTakes = 2 * time.Millisecond
+// transitTime is the delay of a datagram.
+const transitTime = 2 * time.Millisecond
 
-func (w wire) Send(addr string, b []byte) error {
+func (w delayedTransport) Send(addr string, b []byte) error {
 	f := w.fleet
 	f.mu.Lock()
-	lost := f.deaf || f.rand.Float64() < f.loss || f.dead[w.self]
+	lost := f.partitioned || f.rand.Float64() < f.loss || f.dead[w.self]
 	f.mu.Unlock()
 	if lost {
 		return nil
 	}
-	time.AfterFunc(wayTakes, func() { f.deliver(addr, w.self, b) })
+	time.AfterFunc(transitTime, func() { f.deliver(addr, w.self, b) })
 	return nil
 }
 
@@ -55,7 +55,7 @@
 	f.mu.Lock()
 	n := f.nodes[addr]
 	if f.frozen[addr] {
-		f.waits[addr] = append(f.waits[addr], func() { f.deliver(addr, from, b) })
+		f.queued[addr] = append(f.queued[addr], func() { f.deliver(addr, from, b) })
 		n = nil
 	}
 	if f.dead[addr] {
@@ -67,11 +67,11 @@
 	}
 }
 
-func (f *fleet) wake(id string) {
+func (f *fleet) resume(id string) {
 	f.mu.Lock()
 	f.frozen[id] = false
-	l := f.waits[id]
-	f.waits[id] = nil
+	l := f.queued[id]
+	f.queued[id] = nil
 	f.mu.Unlock()
 	for _, x := range l {
 		x()
@@ -84,93 +84,95 @@
 	return !f.frozen[id] && !f.dead[id]
 }
 
-// day is what befalls a fleet while a replica names a limit.
-type day struct {
+// scenario describes a fleet and its faults while a replica advertises a limit.
+type scenario struct {
 	name string
-	// size is how many instances there are.
+	// size is the number of instances.
 	size int
-	// listed of them are on the list; the others follow those.
+	// listed is how many of them are registered members; the others follow these.
 	listed int
-	// perSecond requests a second would go to the replica.
+	// perSecond is the rate of the requests that prefer the replica.
 	perSecond float64
-	figure    float64
+	limit     float64
 	loss      float64
-	// at happens some seconds after the limit was named.
-	at []event
-	// oldLists of the nodes know a list without the last fifth of it.
-	oldLists float64
-	// unsettled nodes have just started as the limit is named.
-	unsettled bool
-	// stale is whether nobody's list is confirmed.
-	stale bool
-	// ends is when the replica's limit is over, 0 for never, and changes its other figures.
-	ends    time.Duration
-	changes []float64
-	seed    uint64
+	// events happen some time after the limit is first advertised.
+	events []event
+	// staleListPart of the nodes have a list without its last fifth.
+	staleListPart float64
+	// justStarted is true if the nodes start when the limit is first advertised.
+	justStarted bool
+	// unconfirmed is true if no node's list is confirmed.
+	unconfirmed bool
+	// limitEndsAt is when the replica stops advertising a limit; 0 for never. nextLimits are
+	// further limits, advertised at intervals of six seconds.
+	limitEndsAt time.Duration
+	nextLimits  []float64
+	seed        uint64
 }
 
 type event struct {
 	after time.Duration
-	do    func(d *playing)
+	run   func(d *simulation)
 }
 
-// playing is a day under way.
-type playing struct {
-	day
+// simulation is the run of a scenario.
+type simulation struct {
+	scenario
 	*fleet
-	rand  *rand.Rand
-	ids   []string
-	list  []peer.Member
-	old   []peer.Member
-	start uint64
+	rand        *rand.Rand
+	ids         []string
+	members     []peer.Member
+	oldMembers  []peer.Member
+	nextStartID uint64
 
 	mu       sync.Mutex
 	arrivals []time.Time
-	// limit is what the replica names, below 0 nothing.
-	limit   float64
-	named   time.Time
-	service string
+	// advertised is the limit that the replica advertises; none if negative.
+	advertised  float64
+	firstSeenAt time.Time
+	service     string
 }
 
-// first returns the id of the one that counts.
-func (p *playing) first() string { return peer.Rank("quota/"+p.service, p.list)[0].ID }
+// owner returns the id of the first-ranked instance.
+func (p *simulation) owner() string { return peer.Rank("quota/"+p.service, p.members)[0].ID }
 
-func (p *playing) startNode(id string) {
-	p.start += 1 << 20
+func (p *simulation) startNode(id string) {
+	p.nextStartID += 1 << 20
 	f := p.fleet
-	n := quota.NewNode(p.start, quota.Config{
-		Self: id, Net: wire{f, id}, Clock: time.Now, MaxPropagationDelay: 3 * time.Second, Rand: p.random,
+	n := quota.NewNode(p.nextStartID, quota.Config{
+		Self: id, Net: delayedTransport{f, id}, Clock: time.Now, MaxPropagationDelay: 3 * time.Second, Rand: p.random,
 		FleetSize: func() int { return p.size }, Followers: func() []string { return p.followers(id) },
-		IsMembershipCurrent: func() bool { return !p.stale }, Log: func(e string, l ...any) { p.log(id, e, l) },
+		IsMembershipCurrent: func() bool { return !p.unconfirmed }, Log: func(e string, l ...any) { p.log(id, e, l) },
 	})
 	f.mu.Lock()
 	f.nodes[id] = n
 	f.dead[id] = false
 	f.mu.Unlock()
-	n.SetMembers(p.listOf(id))
+	n.SetMembers(p.membersOf(id))
 }
 
-func (p *playing) log(id, e string, l []any) {
+func (p *simulation) log(id, e string, l []any) {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	p.logs = append(p.logs, fmt.Sprint(time.Now().Format("05.000"), " ", id, " ", e, " ", l))
 }
 
-func (p *playing) random() float64 {
+func (p *simulation) random() float64 {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	return p.rand.Float64()
 }
 
-func (p *playing) listOf(id string) []peer.Member {
-	if slices.Index(p.ids, id) < int(p.oldLists*float64(p.size)) {
-		return p.old
+func (p *simulation) membersOf(id string) []peer.Member {
+	if slices.Index(p.ids, id) < int(p.staleListPart*float64(p.size)) {
+		return p.oldMembers
 	}
-	return p.list
+	return p.members
 }
 
-// followers are the unlisted ones that ask this one: two listed ones each.
-func (p *playing) followers(id string) []string {
+// followers returns the unregistered instances that follow this one; each follows two registered
+// ones.
+func (p *simulation) followers(id string) []string {
 	i := slices.Index(p.ids, id)
 	if i >= p.listed {
 		return nil
@@ -184,38 +186,38 @@
 	return l
 }
 
-// serve has a request reach the replica and its answer come back.
-func (p *playing) serve(n *quota.Node, id string) {
+// serve has a request reach the replica, and its response the node.
+func (p *simulation) serve(n *quota.Node, id string) {
 	sent := time.Now()
-	time.Sleep(wayTakes)
+	time.Sleep(transitTime)
 	p.mu.Lock()
 	p.arrivals = append(p.arrivals, time.Now())
 	p.mu.Unlock()
 	time.Sleep(5 * time.Millisecond)
 	p.mu.Lock()
-	var figures []string
-	if p.limit >= 0 {
-		figures = []string{fmt.Sprint(p.limit)}
+	var values []string
+	if p.advertised >= 0 {
+		values = []string{fmt.Sprint(p.advertised)}
 	}
 	p.mu.Unlock()
-	time.Sleep(wayTakes)
+	time.Sleep(transitTime)
 	if !p.isUp(id) {
 		return
 	}
-	w, err := quota.ParseLimitReport(figures, sent, time.Now())
+	w, err := quota.ParseLimitReport(values, sent, time.Now())
 	if err != nil {
 		panic(err)
 	}
 	p.mu.Lock()
-	if w.HasLimit && p.named.IsZero() {
-		p.named = time.Now()
+	if w.HasLimit && p.firstSeenAt.IsZero() {
+		p.firstSeenAt = time.Now()
 	}
 	p.mu.Unlock()
 	n.Observe("s", "r0", w)
 }
 
-// request is one that would go to the replica, at any node.
-func (p *playing) request() {
+// request generates a request at a random node, which sends it if it needs no permit or gets one.
+func (p *simulation) request() {
 	p.fleet.mu.Lock()
 	id := p.ids[p.rand.IntN(p.size)]
 	n := p.fleet.nodes[id]
@@ -225,8 +227,8 @@
 		return
 	}
 	if b := n.Bound("r0", 0, false); b.IsBounded() {
-		a := quota.PermitRequest{Service: "s", Candidates: []quota.Candidate{{Replica: "r0", Bound: b}}}
-		v := n.Take(context.Background(), a)
+		req := quota.PermitRequest{Service: "s", Candidates: []quota.Candidate{{Replica: "r0", Bound: b}}}
+		v := n.Take(context.Background(), req)
 		if v.Index < 0 {
 			return
 		}
@@ -237,8 +239,8 @@
 	p.serve(n, id)
 }
 
-// runs for that long with all its nodes ticking.
-func (p *playing) run(d time.Duration) {
+// advance generates requests and ticks all nodes for the duration d.
+func (p *simulation) advance(d time.Duration) {
 	end := time.Now().Add(d)
 	for i := 0; time.Now().Before(end); i++ {
 		for range p.arrivalsDue(10 * time.Millisecond) {
@@ -255,8 +257,8 @@
 	}
 }
 
-// arrivalsDue is how many requests come in a span, by chance.
-func (p *playing) arrivalsDue(d time.Duration) int {
+// arrivalsDue returns the number of requests in a span of time, rounded at random.
+func (p *simulation) arrivalsDue(d time.Duration) int {
 	x := p.perSecond * d.Seconds()
 	n := int(x)
 	if p.random() < x-float64(n) {
@@ -267,25 +269,26 @@
 
 // result is what the replica got.
 type result struct {
-	// most is the most in four seconds from one second after the first answer, as a part of the
-	// figure, used what it got in all.
-	most, used float64
-	n          int
-	// back is how soon after its end the replica gets its usual share.
-	back time.Duration
-	logs []string
-	// at is when requests came, counted from the moment at which the limit was named.
-	at []time.Duration
-}
-
-// lasts is how long a day is watched after the limit was named.
-const lasts = 24 * time.Second
-
-// play plays the day.
-func (d day) play() result {
+	// maxPart is the largest number of requests in four seconds, and usedPart the number of all
+	// requests, each as a fraction of the limit, from one second after the first response that
+	// advertises it. maxCount is that largest number.
+	maxPart, usedPart float64
+	maxCount          int
+	// recovery is how soon after the end of its limit the replica gets its usual rate.
+	recovery time.Duration
+	logs     []string
+	// arrivals are the times of the requests since the limit was first advertised.
+	arrivals []time.Duration
+}
+
+// simulatedFor is how long a scenario runs after the limit is first advertised.
+const simulatedFor = 24 * time.Second
+
+// run runs the scenario.
+func (d scenario) run() result {
 	r := rand.New(rand.NewPCG(d.seed, 9))
-	f := &fleet{nodes: map[string]*quota.Node{}, frozen: map[string]bool{}, dead: map[string]bool{}, waits: map[string][]func(){}, loss: d.loss, rand: rand.New(rand.NewPCG(d.seed, 8))}
-	p := &playing{day: d, fleet: f, rand: r, limit: -1, service: "s", start: d.seed}
+	f := &fleet{nodes: map[string]*quota.Node{}, frozen: map[string]bool{}, dead: map[string]bool{}, queued: map[string][]func(){}, loss: d.loss, rand: rand.New(rand.NewPCG(d.seed, 8))}
+	p := &simulation{scenario: d, fleet: f, rand: r, advertised: -1, service: "s", nextStartID: d.seed}
 	if p.listed == 0 {
 		p.listed = min(p.size, 48)
 	}
@@ -293,48 +296,48 @@
 		p.ids = append(p.ids, fmt.Sprint("n", i))
 	}
 	for _, id := range p.ids[:p.listed] {
-		p.list = append(p.list, peer.Member{ID: id, Addr: id})
+		p.members = append(p.members, peer.Member{ID: id, Addr: id})
 	}
-	p.old = p.list[:max(1, p.listed*4/5)]
+	p.oldMembers = p.members[:max(1, p.listed*4/5)]
 	for _, id := range p.ids {
 		p.startNode(id)
 	}
-	if !d.unsettled {
-		p.run(6 * time.Second)
+	if !d.justStarted {
+		p.advance(6 * time.Second)
 	}
 	p.mu.Lock()
-	p.limit = d.figure
+	p.advertised = d.limit
 	p.mu.Unlock()
 	began := time.Now()
-	events := slices.Clone(d.at)
-	if d.ends > 0 {
-		events = append(events, event{d.ends, func(p *playing) { p.name(-1) }})
+	events := slices.Clone(d.events)
+	if d.limitEndsAt > 0 {
+		events = append(events, event{d.limitEndsAt, func(p *simulation) { p.advertise(-1) }})
 	}
-	for i, x := range d.changes {
-		events = append(events, event{time.Duration(i+1) * 6 * time.Second, func(p *playing) { p.name(x) }})
+	for i, x := range d.nextLimits {
+		events = append(events, event{time.Duration(i+1) * 6 * time.Second, func(p *simulation) { p.advertise(x) }})
 	}
 	slices.SortStableFunc(events, func(a, b event) int { return int(a.after - b.after) })
 	for _, e := range events {
-		p.run(time.Until(began.Add(e.after)))
-		e.do(p)
+		p.advance(time.Until(began.Add(e.after)))
+		e.run(p)
 	}
-	p.run(time.Until(began.Add(lasts)))
+	p.advance(time.Until(began.Add(simulatedFor)))
 	time.Sleep(time.Second)
 	return p.result(began)
 }
 
-func (p *playing) name(figure float64) {
+func (p *simulation) advertise(limit float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limit = figure
+	p.advertised = limit
 }
 
-func (p *playing) result(began time.Time) result {
+func (p *simulation) result(began time.Time) result {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	from, to := p.named.Add(time.Second), began.Add(lasts)
-	if p.ends > 0 {
-		to = began.Add(p.ends)
+	from, to := p.firstSeenAt.Add(time.Second), began.Add(simulatedFor)
+	if p.limitEndsAt > 0 {
+		to = began.Add(p.limitEndsAt)
 	}
 	var l []time.Time
 	for _, t := range p.arrivals {
@@ -342,20 +345,20 @@
 			l = append(l, t)
 		}
 	}
-	figure := max(p.figure, 0.01)
-	x := result{n: arrivals.Most(l, 4*time.Second), used: float64(len(l)) / (figure * to.Sub(from).Seconds()), logs: p.logs}
-	x.most = float64(x.n) / (4 * figure)
+	limit := max(p.limit, 0.01)
+	x := result{maxCount: arrivals.Most(l, 4*time.Second), usedPart: float64(len(l)) / (limit * to.Sub(from).Seconds()), logs: p.logs}
+	x.maxPart = float64(x.maxCount) / (4 * limit)
 	for _, t := range p.arrivals {
-		x.at = append(x.at, t.Sub(began))
+		x.arrivals = append(x.arrivals, t.Sub(began))
 	}
-	if p.ends > 0 {
-		x.back = time.Hour
+	if p.limitEndsAt > 0 {
+		x.recovery = time.Hour
 		for i, t := range p.arrivals {
 			if t.Before(to) {
 				continue
 			}
 			if j := i + int(p.perSecond/2); j < len(p.arrivals) && p.arrivals[j].Sub(t) < 750*time.Millisecond {
-				x.back = t.Sub(to)
+				x.recovery = t.Sub(to)
 				break
 			}
 		}
@@ -363,161 +366,165 @@
 	return x
 }
 
-// Events of days.
-func killFirst(after, backAfter time.Duration) []event {
-	l := []event{{after, func(p *playing) { p.kill(p.first()) }}}
+// killOwner returns events that kill the owner and, if backAfter is positive, restart it.
+func killOwner(after, backAfter time.Duration) []event {
+	l := []event{{after, func(p *simulation) { p.kill(p.owner()) }}}
 	if backAfter > 0 {
-		l = append(l, event{after + backAfter, func(p *playing) { p.startNode(p.first()) }})
+		l = append(l, event{after + backAfter, func(p *simulation) { p.startNode(p.owner()) }})
 	}
 	return l
 }
 
-func (p *playing) kill(id string) {
+func (p *simulation) kill(id string) {
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	p.dead[id] = true
 }
 
-func freezeFirst(after, lasts time.Duration) []event {
+// freezeOwner returns events that freeze the owner and let it resume after lasts.
+func freezeOwner(after, lasts time.Duration) []event {
 	var id string
 	return []event{
-		{after, func(p *playing) {
-			id = p.first()
+		{after, func(p *simulation) {
+			id = p.owner()
 			p.fleet.mu.Lock()
 			defer p.fleet.mu.Unlock()
 			p.frozen[id] = true
 		}},
-		{after + lasts, func(p *playing) { p.wake(id) }},
+		{after + lasts, func(p *simulation) { p.resume(id) }},
 	}
 }
 
-func killAll(after time.Duration) []event {
-	return []event{{after, func(p *playing) {
+// restartAll returns an event that restarts all nodes at once.
+func restartAll(after time.Duration) []event {
+	return []event{{after, func(p *simulation) {
 		for _, id := range p.ids {
 			p.startNode(id)
 		}
 	}}}
 }
 
-func deafen(after time.Duration) []event {
-	return []event{{after, func(p *playing) {
+// partitionAll returns an event after which no datagram is delivered.
+func partitionAll(after time.Duration) []event {
+	return []event{{after, func(p *simulation) {
 		p.fleet.mu.Lock()
 		defer p.fleet.mu.Unlock()
-		p.deaf = true
+		p.partitioned = true
 	}}}
 }
 
-// dayCount is how many days of each kind are played; more by hand. With one, larger
-// fleets play some kinds only.
+// runsPerScenario is 1 by default; then the larger fleets run only some of the scenarios.
 var (
-	dayCount = flag.Int("days", 1, "days of each kind that TestFleetKeepsTheFigure plays")
-	dayKind  = flag.String("kind", "", "plays only kinds with this in their names")
-	daySize  = flag.Int("size", 0, "plays only fleets of so many instances")
+	runsPerScenario = flag.Int("days", 1, "number of runs of each scenario of TestFleetEnforcesLimit")
+	scenarioFilter  = flag.String("kind", "", "run only scenarios with this text in their names")
+	sizeFilter      = flag.Int("size", 0, "run only fleets of this many instances")
 )
 
-// kind is a kind of day, with how much of its figure the replica may get in four seconds and
-// gets at least in all.
-type kind struct {
-	day
-	most, least float64
-	// always says that larger fleets play it with few days too.
+// scenarioCase is a scenario with the largest fraction of its limit that the replica may get in
+// four seconds, and the smallest that it must get in all.
+type scenarioCase struct {
+	scenario
+	maxAllowed, minUsed float64
+	// always is true if larger fleets run the scenario also with one run per scenario.
 	always bool
 }
 
-// days are the kinds, for a fleet of that size.
-func days(nodes int) []kind {
+// scenarios returns the scenarios for a fleet of the given size.
+func scenarios(nodes int) []scenarioCase {
 	s := float64(nodes)
-	usual := day{size: nodes, figure: 1.5, perSecond: 12 + s/10}
-	with := func(name string, change func(d *day)) day {
+	usual := scenario{size: nodes, limit: 1.5, perSecond: 12 + s/10}
+	with := func(name string, change func(d *scenario)) scenario {
 		d := usual
 		d.name = name
 		change(&d)
 		return d
 	}
-	// rule is what the users' bound comes to: half as much again and five requests. It is asked for
-	// where who counts changes, and the figure itself where nobody does.
-	rule := 1.5 + 5/(4*usual.figure)
-	return []kind{
-		{with("nothing else", func(*day) {}), 1, 0.8, true},
-		{with("2.1 a second", func(d *day) { d.figure = 2.1 }), 1, 0.8, false},
-		{with("8 a second", func(d *day) { d.figure, d.perSecond = 8, 40+s/5 }), 1, 0.8, false},
-		{with("0.25 a second", func(d *day) { d.figure = 0.25 }), 1, 0.7, false},
-		{with("40 a second", func(d *day) { d.figure, d.perSecond = 40, 200 }), 1, 0.8, false},
-		{with("three datagrams in ten lost", func(d *day) { d.loss = 0.3 }), 1, 0.5, false},
-		{with("who counts is killed", func(d *day) { d.at = killFirst(8*time.Second, 0) }), rule, 0.6, true},
-		{with("who counts is killed and starts again", func(d *day) { d.at = killFirst(8*time.Second, time.Second) }), rule, 0.6, false},
-		{with("who counts is killed as the limit is named", func(d *day) { d.at = killFirst(100*time.Millisecond, 2*time.Second) }), rule, 0.6, false},
-		{with("who counts is frozen", func(d *day) { d.at = freezeFirst(8*time.Second, 5*time.Second) }), rule, 0.5, false},
-		{with("who counts is frozen for a moment", func(d *day) { d.at = freezeFirst(8*time.Second, 1500*time.Millisecond) }), rule, 0.6, false},
-		{with("half know an old list", func(d *day) { d.oldLists = 0.5 }), rule, 0.3, false},
-		{with("all start anew", func(d *day) { d.at = killAll(8 * time.Second) }), rule, 0.4, true},
-		{with("all have just started", func(d *day) { d.unsettled = true }), 1, 0.5, false},
-		{with("a silent store", func(d *day) { d.stale = true }), 1, 0.8, false},
-		{with("nobody hears anybody", func(d *day) { d.at = deafen(8 * time.Second) }), rule, 0.2, true},
-		{with("the limit ends", func(d *day) { d.ends = 12 * time.Second }), 1, 0.7, true},
-	}
-}
-
-// The replica's figure holds for what it gets from the whole fleet, told or not, from one second
-// after the first answer that names it, and is used while there is demand. No instance
-// sees all of it: the one that counts may be killed, frozen, not asked or not be the only one.
-func TestFleetKeepsTheFigure(t *testing.T) {
+	// relaxed is the bound that the users require: half as much again as the limit, and five
+	// requests. It is checked where the owner changes; where it does not, the limit itself is.
+	relaxed := 1.5 + 5/(4*usual.limit)
+	return []scenarioCase{
+		{with("no fault", func(*scenario) {}), 1, 0.8, true},
+		{with("2.1 a second", func(d *scenario) { d.limit = 2.1 }), 1, 0.8, false},
+		{with("8 a second", func(d *scenario) { d.limit, d.perSecond = 8, 40+s/5 }), 1, 0.8, false},
+		{with("0.25 a second", func(d *scenario) { d.limit = 0.25 }), 1, 0.7, false},
+		{with("40 a second", func(d *scenario) { d.limit, d.perSecond = 40, 200 }), 1, 0.8, false},
+		{with("three datagrams in ten lost", func(d *scenario) { d.loss = 0.3 }), 1, 0.5, false},
+		{with("owner killed", func(d *scenario) { d.events = killOwner(8*time.Second, 0) }), relaxed, 0.6, true},
+		{with("owner killed and restarted", func(d *scenario) { d.events = killOwner(8*time.Second, time.Second) }), relaxed, 0.6, false},
+		{with("owner killed as the limit is advertised", func(d *scenario) { d.events = killOwner(100*time.Millisecond, 2*time.Second) }), relaxed, 0.6, false},
+		{with("owner frozen", func(d *scenario) { d.events = freezeOwner(8*time.Second, 5*time.Second) }), relaxed, 0.5, false},
+		{with("owner frozen for a moment", func(d *scenario) { d.events = freezeOwner(8*time.Second, 1500*time.Millisecond) }), relaxed, 0.6, false},
+		{with("half of the lists are old", func(d *scenario) { d.staleListPart = 0.5 }), relaxed, 0.3, false},
+		{with("all instances restart", func(d *scenario) { d.events = restartAll(8 * time.Second) }), relaxed, 0.4, true},
+		{with("all instances have just started", func(d *scenario) { d.justStarted = true }), 1, 0.5, false},
+		{with("no list is confirmed", func(d *scenario) { d.unconfirmed = true }), 1, 0.8, false},
+		{with("no datagram arrives", func(d *scenario) { d.events = partitionAll(8 * time.Second) }), relaxed, 0.2, true},
+		{with("the limit ends", func(d *scenario) { d.limitEndsAt = 12 * time.Second }), 1, 0.7, true},
+	}
+}
+
+// Guards against exceeding the limit of a replica, or leaving it unused while there is demand. The
+// limit applies to all instances, whether or not they know of it, from one second after the first
+// response that advertises it. No instance sees all requests, and the owner may be killed, frozen,
+// unreachable or not the only one.
+func TestFleetEnforcesLimit(t *testing.T) {
 	for _, nodes := range []int{7, 65, 300} {
-		for _, d := range days(nodes) {
-			if nodes > 7 && *dayCount == 1 && !d.always || !strings.Contains(d.name, *dayKind) || *daySize > 0 && nodes != *daySize {
+		for _, d := range scenarios(nodes) {
+			if nodes > 7 && *runsPerScenario == 1 && !d.always || !strings.Contains(d.name, *scenarioFilter) || *sizeFilter > 0 && nodes != *sizeFilter {
 				continue
 			}
-			d.check(t, *dayCount, d.most, d.least)
+			d.check(t, *runsPerScenario, d.maxAllowed, d.minUsed)
 		}
 	}
 }
 
-func (d day) check(t *testing.T, count int, mostWanted, leastUsed float64) {
+func (d scenario) check(t *testing.T, count int, maxAllowed, minUsed float64) {
 	t.Helper()
-	var most, used []float64
-	var back time.Duration
-	var broken []string
+	var maxParts, usedParts []float64
+	var recovery time.Duration
+	var failures []string
 	for i := range count {
 		d.seed = uint64(100*d.size + i)
 		var x result
-		synctest.Test(t, func(*testing.T) { x = d.play() })
-		most, used = append(most, x.most), append(used, x.used)
-		back = max(back, x.back)
-		if x.most <= mostWanted+1e-9 && x.used >= leastUsed {
+		synctest.Test(t, func(*testing.T) { x = d.run() })
+		maxParts, usedParts = append(maxParts, x.maxPart), append(usedParts, x.usedPart)
+		recovery = max(recovery, x.recovery)
+		if x.maxPart <= maxAllowed+1e-9 && x.usedPart >= minUsed {
 			continue
 		}
-		broken = append(broken, fmt.Sprintf("seed %d: %d in four seconds, %.2f of the figure, %.2f used", d.seed, x.n, x.most, x.used))
-		if len(broken) == 1 {
-			t.Logf("%s\n%s", broken[0], tail(x.logs, 40))
+		failures = append(failures, fmt.Sprintf("seed %d: got %d requests in four seconds, %.2f of the limit; %.2f of it used in all", d.seed, x.maxCount, x.maxPart, x.usedPart))
+		if len(failures) == 1 {
+			t.Logf("%s\n%s", failures[0], tail(x.logs, 40))
 		}
 	}
-	slices.Sort(most)
-	slices.Sort(used)
-	t.Logf("%3d instances, %-42s most of the figure in 4 s %.2f (%.2f to %.2f), used %.2f (%.2f to %.2f), back after %s", d.size, d.name+":", most[len(most)/2], most[0], most[len(most)-1], used[len(used)/2], used[0], used[len(used)-1], back)
-	if len(broken) > 0 {
-		t.Errorf("%d instances, %s: %d of %d days with more than %.2f of the figure or less than %.2f used:\n%s", d.size, d.name, len(broken), count, mostWanted, leastUsed, strings.Join(broken, "\n"))
+	slices.Sort(maxParts)
+	slices.Sort(usedParts)
+	t.Logf("%3d instances, %-42s at most %.2f of the limit in 4 s (%.2f to %.2f), %.2f used (%.2f to %.2f), recovery after %s", d.size, d.name+":", maxParts[len(maxParts)/2], maxParts[0], maxParts[len(maxParts)-1], usedParts[len(usedParts)/2], usedParts[0], usedParts[len(usedParts)-1], recovery)
+	if len(failures) > 0 {
+		t.Errorf("%d instances, %s: got %d of %d runs with more than %.2f of the limit in four seconds or less than %.2f used, want none:\n%s", d.size, d.name, len(failures), count, maxAllowed, minUsed, strings.Join(failures, "\n"))
 	}
 }
 
-// A replica names 8, six seconds later 2, and six later 5: from a second after each answer it gets
-// that, and most of it.
-func TestFleetFollowsAChangedFigure(t *testing.T) {
+// A replica advertises limits of 8, 2 and 5 requests a second, for six seconds each. Guards against
+// an old limit that stays in force: from one second after each change the replica gets no more than
+// the new limit, and most of it.
+func TestFleetFollowsChangedLimit(t *testing.T) {
 	for _, size := range []int{7, 65} {
-		d := day{name: "8, 2, 5", size: size, figure: 8, perSecond: 40, changes: []float64{2, 5}, seed: uint64(size)}
+		d := scenario{name: "8, 2, 5", size: size, limit: 8, perSecond: 40, nextLimits: []float64{2, 5}, seed: uint64(size)}
 		var x result
-		synctest.Test(t, func(*testing.T) { x = d.play() })
-		for i, figure := range []float64{8, 2, 5} {
+		synctest.Test(t, func(*testing.T) { x = d.run() })
+		for i, limit := range []float64{8, 2, 5} {
 			from, to := time.Duration(i)*6*time.Second+time.Second, time.Duration(i+1)*6*time.Second
 			var l []time.Time
-			for _, a := range x.at {
+			for _, a := range x.arrivals {
 				if a >= from && a < to {
 					l = append(l, noon.Add(a))
 				}
 			}
-			n, used := arrivals.Most(l, 4*time.Second), float64(len(l))/(figure*5)
-			t.Logf("%d instances, %g a second: %d in four seconds, %.2f used", size, figure, n, used)
-			if float64(n) > 4*figure || used < 0.5 {
-				t.Errorf("%d instances, %g a second: %d in four seconds, %.2f used\n%s", size, figure, n, used, tail(x.logs, 20))
+			n, used := arrivals.Most(l, 4*time.Second), float64(len(l))/(limit*5)
+			t.Logf("%d instances, limit %g: %d requests in four seconds, %.2f used", size, limit, n, used)
+			if float64(n) > 4*limit || used < 0.5 {
+				t.Errorf("%d instances, limit %g: got %d requests in four seconds and %.2f used, want at most the limit and at least 0.5 used\n%s", size, limit, n, used, tail(x.logs, 20))
 			}
 		}
 	}
--- a/quota/fuzz_test.go
+++ b/quota/fuzz_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// No datagram crashes a node, nor has it believe a figure that none can be.
+// Guards against datagrams that panic a node, or make it record a limit out of range.
 func FuzzReceive(f *testing.F) {
 	for _, s := range []string{
 		`{}`, `{"f":"n2"}`, `{"q":1,"a":{"s":"s","c":[{"b":{"r":"r0","n":true,"p":1.5,"g":5,"k":9}}]}}`, `{"q":1,"w":{"c":true,"i":7,"w":[-5]}}`,
@@ -15,16 +15,16 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		now := noon
-		n := alone(&now, true)
+		n := singleNode(&now, true)
 		n.Receive("x", b)
 		n.Receive("x", b)
 		now = now.Add(100 * time.Millisecond)
 		n.Tick()
 		for r, x := range n.LimitedReplicas() {
 			if !(x.PerSecond >= 0 && x.PerSecond <= 1e6) {
-				t.Errorf("%s: %g a second", r, x.PerSecond)
+				t.Errorf("%s: got a limit of %g a second, want 0 to 1e6", r, x.PerSecond)
 			}
 		}
-		n.Take(t.Context(), coldAsk(3, true))
+		n.Take(t.Context(), coldRequest(3, true))
 	})
 }
--- a/quota/word_test.go
+++ b/quota/limit_report_test.go
@@ -13,21 +13,21 @@
 
 var noon = time.Date(2026, 1, 16, 12, 0, 0, 0, time.UTC)
 
-// TestWords plays testdata/words.txt: the figures that an answer names, each quoted, and
-// the limit that they are, "none" or "unreadable".
-func TestWords(t *testing.T) {
-	f, err := os.Open("testdata/words.txt")
+// TestParseLimitReport runs the cases of testdata/limit_headers.txt: the header values of a
+// response, each quoted, and the limit that they advertise, "none" or "unreadable".
+func TestParseLimitReport(t *testing.T) {
+	f, err := os.Open("testdata/limit_headers.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	for c := bufio.NewScanner(f); c.Scan(); {
-		figures, want, ok := strings.Cut(c.Text(), " -> ")
+		values, want, ok := strings.Cut(c.Text(), " -> ")
 		if !ok {
 			continue
 		}
 		var l []string
-		for _, x := range strings.Split(figures, `" "`) {
+		for _, x := range strings.Split(values, `" "`) {
 			if x = strings.Trim(x, `"`); x != "nothing" {
 				l = append(l, x)
 			}
@@ -41,12 +41,12 @@
 			got = fmt.Sprint(w.PerSecond)
 		}
 		if got != want {
-			t.Errorf("%s: %s (%v), want %s", figures, got, err, want)
+			t.Errorf("%s: got %s (%v), want %s", values, got, err, want)
 		}
 	}
 }
 
-// No text crashes the reading, and a limit is never below zero or without bound.
+// No header value makes the parser panic, and no limit is negative or unbounded.
 func FuzzWord(f *testing.F) {
 	for _, s := range []string{"", "2.1", "1e3", "NaN", "-1", "99999999999999999999", "1,2", "+3", "1e999", "0x1p4", "١"} {
 		f.Add(s, "2")
@@ -54,14 +54,15 @@
 	f.Fuzz(func(t *testing.T, a, b string) {
 		w, err := quota.ParseLimitReport([]string{a, b}, noon, noon)
 		if w.HasLimit && (err != nil || !(w.PerSecond >= 0 && w.PerSecond <= 1e6)) {
-			t.Errorf("%q %q: %+v, %v", a, b, w, err)
+			t.Errorf("%q %q: got %+v, %v, want a limit of 0 to 1e6 without an error", a, b, w, err)
 		}
 	})
 }
 
-// TestBeliefs plays testdata/beliefs.txt: words in the order in which they are heard.
-func TestBeliefs(t *testing.T) {
-	f, err := os.Open("testdata/beliefs.txt")
+// TestLimitRecords runs the cases of testdata/limit_records.txt: reports in the order of their
+// arrival, and the limit that is in force afterwards.
+func TestLimitRecords(t *testing.T) {
+	f, err := os.Open("testdata/limit_records.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,26 +79,26 @@
 		if !ok || strings.HasPrefix(name, "#") {
 			continue
 		}
-		words, want, _ := strings.Cut(script, " -> ")
-		var b quota.Belief
-		for _, x := range strings.Split(words, "; ") {
+		reports, want, _ := strings.Cut(script, " -> ")
+		var r quota.LimitRecord
+		for _, x := range strings.Split(reports, "; ") {
 			p := strings.Fields(x)
-			figures := []string{p[0]}
+			values := []string{p[0]}
 			if p[0] == "none" {
-				figures = nil
+				values = nil
 			}
-			w, err := quota.ParseLimitReport(figures, at(p[1]), at(p[2]))
+			w, err := quota.ParseLimitReport(values, at(p[1]), at(p[2]))
 			if err != nil {
 				t.Fatal(err)
 			}
-			b = b.With(w, "n1")
+			r = r.WithReport(w, "n1")
 		}
 		got := "free"
-		if b.IsLimited() {
-			got = fmt.Sprint(b.PerSecond)
+		if r.IsLimited() {
+			got = fmt.Sprint(r.PerSecond)
 		}
 		if got != want {
-			t.Errorf("%s: %s, want %s", name, got, want)
+			t.Errorf("%s: got %s, want %s", name, got, want)
 		}
 	}
 }
--- a/quota/node.go
+++ b/quota/node.go
@@ -8,73 +8,75 @@
 	"fieldvale/reply"
 )
 
-// Transport sends datagrams to other instances. One may be lost.
+// Transport sends datagrams to other instances. Datagrams may be lost.
 type Transport interface {
 	Send(addr string, b []byte) error
 }
 
-// Config are what a node works through.
+// Config holds a node's identity and dependencies.
 type Config struct {
-	// Self is this instance's id.
+	// Self is the id of this instance.
 	Self string
-	// Net may be nil: then instances have no way to each other, and each allows itself its
-	// share of what a replica takes, by FleetSize.
+	// Net may be nil, if instances can't reach one another. Each instance then uses its share of
+	// each limit, by FleetSize.
 	Net   Transport
 	Clock func() time.Time
-	// FleetSize is how many instances there are, 0 if that is not known.
+	// FleetSize returns the number of instances, 0 if it is unknown.
 	FleetSize func() int
-	// Followers returns the addresses of the instances on no list that this one tells
-	// what it hears. It may be nil.
+	// Followers returns the addresses of the unregistered instances to which this instance relays
+	// the records that it receives. It may be nil.
 	Followers func() []string
-	// IsMembershipCurrent reports whether the list of instances was confirmed lately; a change of it is
-	// known everywhere within KnownWithin.
+	// IsMembershipCurrent reports whether the list of members was confirmed recently. All instances
+	// learn of a change of the list within MaxPropagationDelay.
 	IsMembershipCurrent func() bool
 	MaxPropagationDelay time.Duration
-	// Rand returns a number from 0 to 1, below that.
+	// Rand returns a random number in [0, 1).
 	Rand func() float64
 	Log  func(event string, fields ...any)
 }
 
-// Node is one instance's part in what replicas ask of all.
+// Node is one instance's part in enforcing limits: it keeps limit records, asks owners for permits,
+// and owns services itself.
 type Node struct {
 	Config
-	beliefs *beliefs
-	waiting *reply.Waiters[wireAnswer]
+	records *recordTable
+	pending *reply.Waiters[wireAnswer]
 
 	mu       sync.Mutex
 	members  []peer.Member
 	rankings map[string][]peer.Member
-	charges  map[string]*charge
-	// heardOf is when a datagram of another instance came last.
-	heardOf map[string]time.Time
-	// avoid is until when a silent instance is not asked.
+	services map[string]*serviceState
+	// lastReceived is when the last datagram of each other instance arrived.
+	lastReceived map[string]time.Time
+	// avoid maps instances that sent no answer to the time until which they are not asked.
 	avoid map[string]time.Time
-	// resting is until when a replica gets nothing, as who counts said.
-	resting map[string]time.Time
-	// shares are when this instance may send to a replica without asking.
-	shares map[string]time.Time
-	// size is the largest fleet seen lately, until sizeUntil.
-	size      int
-	sizeUntil time.Time
-	// settledAt is when this instance may count, and tickedAt when its timed duties ran last.
-	settledAt, tickedAt, sweepAt time.Time
-	news                         news
-	// complainAt is when the next line may be written on a figure that can't be read.
-	complainAt time.Time
+	// exhaustedUntil maps replicas to the time until which their owner grants no permit.
+	exhaustedUntil map[string]time.Time
+	// nextShare is when this instance may next send to a replica without a permit of the owner.
+	nextShare map[string]time.Time
+	// maxFleetSize is the largest recent number of instances; it is valid until maxFleetSizeUntil.
+	maxFleetSize      int
+	maxFleetSizeUntil time.Time
+	// mayOwnFrom is the time from which this instance may own services, lastTick the time of the
+	// last Tick, nextSweep that of the next sweep.
+	mayOwnFrom, lastTick, nextSweep time.Time
+	updates                         updates
+	// nextInvalidLog is the earliest time for the next log line about an invalid limit.
+	nextInvalidLog time.Time
 }
 
-// NewNode returns an instance that knows of no limit and of no other instance yet. start
-// makes its questions differ from those of an earlier run.
-func NewNode(start uint64, p Config) *Node {
-	now := p.Clock()
+// NewNode returns a node without records or members. start is the first question id; it must differ
+// from run to run, so that late answers to an earlier run match no question.
+func NewNode(start uint64, cfg Config) *Node {
+	now := cfg.Clock()
 	return &Node{
-		Config: p, beliefs: newBeliefs(), waiting: reply.New[wireAnswer](start), rankings: map[string][]peer.Member{}, charges: map[string]*charge{},
-		heardOf: map[string]time.Time{}, avoid: map[string]time.Time{}, resting: map[string]time.Time{}, shares: map[string]time.Time{},
-		settledAt: now.Add(p.MaxPropagationDelay + settleMargin), tickedAt: now, news: news{},
+		Config: cfg, records: newRecordTable(), pending: reply.New[wireAnswer](start), rankings: map[string][]peer.Member{}, services: map[string]*serviceState{},
+		lastReceived: map[string]time.Time{}, avoid: map[string]time.Time{}, exhaustedUntil: map[string]time.Time{}, nextShare: map[string]time.Time{},
+		mayOwnFrom: now.Add(cfg.MaxPropagationDelay + settleMargin), lastTick: now, updates: updates{},
 	}
 }
 
-// SetMembers replaces the list of the fleet's instances.
+// SetMembers replaces the list of registered members.
 func (n *Node) SetMembers(m []peer.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -82,41 +84,42 @@
 	clear(n.rankings)
 }
 
-// Hear counts what an answer of the service's replica says.
+// Observe records the limit report of a response of the service's replica.
 func (n *Node) Observe(service, replica string, w LimitReport) {
-	n.heard(n.beliefs.change(replica, func(b Belief) Belief { return b.With(w, n.Self).withService(service) }))
+	n.handleChange(n.records.update(replica, func(r LimitRecord) LimitRecord { return r.WithReport(w, n.Self).withService(service) }))
 }
 
-// Unreached says that the service's replica could not be connected to: it may have started
-// again, and be cold without its word for it yet.
+// Unreached records that the service's replica could not be connected to. It may have restarted,
+// and be cold without having reported it yet.
 func (n *Node) Unreached(service, replica string) {
 	now := n.Clock()
-	c := n.beliefs.change(replica, func(b Belief) Belief { return b.withSuspect(now.Add(SuspectFor)).withService(service) })
-	if !now.Before(c.Before.SuspectUntil) {
-		n.Log("replica_may_be_cold", "replica", replica, "reason", "not reached", "left", SuspectFor)
-		n.tell(replica, now)
+	c := n.records.update(replica, func(r LimitRecord) LimitRecord { return r.withMaybeCold(now.Add(MaybeColdFor)).withService(service) })
+	if !now.Before(c.Before.MaybeColdUntil) {
+		n.Log("replica_may_be_cold", "replica", replica, "reason", "not reached", "left", MaybeColdFor)
+		n.publish(replica, now)
 	}
 }
 
-// heard logs and tells what this instance heard, if it is news.
-func (n *Node) heard(c Change) {
-	if !c.IsNews() {
+// handleChange logs and publishes a change of the limit in force that this instance observed.
+func (n *Node) handleChange(c Change) {
+	if !c.LimitChanged() {
 		return
 	}
 	n.logChange(c)
-	n.tell(c.Replica, n.Clock())
+	n.publish(c.Replica, n.Clock())
 }
 
-// complainEvery bounds the lines on figures that can't be read.
-const complainEvery = time.Second
+// invalidLogInterval is the minimum time between two log lines about invalid limits.
+const invalidLogInterval = time.Second
 
-// Unreadable says that an answer of the replica names what is no figure. It changes nothing.
+// Unreadable logs that a response of the replica has an invalid limit, which changes nothing else.
+// Log lines are limited to one per invalidLogInterval.
 func (n *Node) Unreadable(replica string, err error) {
 	now := n.Clock()
 	n.mu.Lock()
-	due := !now.Before(n.complainAt)
+	due := !now.Before(n.nextInvalidLog)
 	if due {
-		n.complainAt = now.Add(complainEvery)
+		n.nextInvalidLog = now.Add(invalidLogInterval)
 	}
 	n.mu.Unlock()
 	if due {
@@ -124,68 +127,69 @@
 	}
 }
 
-// IsQuiet reports whether no replica has a limit or may be cold, as far as is known.
-func (n *Node) IsQuiet() bool { return n.beliefs.len() == 0 }
+// IsQuiet reports whether there are no records, so that, as far as this instance knows, no replica
+// has a limit or may be cold.
+func (n *Node) IsQuiet() bool { return n.records.len() == 0 }
 
-// LimitedReplicas returns what is believed of the replicas that are limited.
-func (n *Node) LimitedReplicas() map[string]Belief { return n.beliefs.limited() }
+// LimitedReplicas returns the records of the replicas that are limited now.
+func (n *Node) LimitedReplicas() map[string]LimitRecord { return n.records.limited() }
 
-// UsedRates returns how many requests a second each limited replica got lately, for those that this
-// instance counts for.
+// UsedRates returns how many requests a second each limited replica was granted recently, for the
+// services that this instance owns.
 func (n *Node) UsedRates() map[string]float64 {
-	limited := n.beliefs.limited()
+	limited := n.records.limited()
 	now := n.Clock()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := map[string]float64{}
-	for _, c := range n.charges {
-		if !c.mine {
+	for _, s := range n.services {
+		if !s.isOwner {
 			continue
 		}
-		for r := range c.book.m {
+		for r := range s.grants.byReplica {
 			if _, ok := limited[r]; ok {
-				l[r] = c.book.used(r, now)
+				l[r] = s.grants.rate(r, now)
 			}
 		}
 	}
 	return l
 }
 
-// Bound returns what the replica may get from all instances. coldPerSecond is what it bears
-// while it is cold, 0 where it bears all at once, and isCold whether it says that it is.
+// Bound returns what the replica may get from all instances. coldPerSecond is what it may get while
+// it is cold, 0 if that is not limited. isCold is true if the replica reports that it is cold.
 func (n *Node) Bound(replica string, coldPerSecond float64, isCold bool) Bound {
-	b := n.beliefs.of(replica)
-	x := Bound{IsLimited: b.IsLimited(), PerSecond: b.PerSecond}
-	if coldPerSecond > 0 && (isCold || n.Clock().Before(b.SuspectUntil)) {
+	r := n.records.get(replica)
+	x := Bound{IsLimited: r.IsLimited(), PerSecond: r.PerSecond}
+	if coldPerSecond > 0 && (isCold || n.Clock().Before(r.MaybeColdUntil)) {
 		x.ColdPerSecond = coldPerSecond
 	}
 	return x
 }
 
-// IsResting reports whether the replica gets nothing now, by what this instance was told the
-// last time that it asked.
+// IsResting reports whether the replica's permits are exhausted, by the owner's last answer.
 func (n *Node) IsResting(replica string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.Clock().Before(n.resting[replica])
+	return n.Clock().Before(n.exhaustedUntil[replica])
 }
 
+// logChange logs a change of the limit in force.
 func (n *Node) logChange(c Change) {
-	if !c.IsNews() {
+	if !c.LimitChanged() {
 		return
 	}
 	event := "replica_limit_changed"
 	switch {
 	case !c.Before.IsLimited():
 		event = "replica_limited"
-	case !c.Now.IsLimited():
+	case !c.After.IsLimited():
 		event = "replica_limit_over"
 	}
 	now := n.Clock()
-	n.Log(event, "replica", c.Replica, "service", c.Now.Service, "per_second", c.Now.PerSecond, "before", c.Before.PerSecond, "heard_by", c.Now.By, "named_ago", now.Sub(c.Now.NamedAt), "free_from_ago", ago(now, c.Now.FreeFrom))
+	n.Log(event, "replica", c.Replica, "service", c.After.Service, "per_second", c.After.PerSecond, "before", c.Before.PerSecond, "heard_by", c.After.ReportedBy, "named_ago", now.Sub(c.After.ReceivedAt), "free_from_ago", ago(now, c.After.UnlimitedSince))
 }
 
-// ago is how long before now the moment was; 0 for none.
+// ago returns the time from t until now; 0 if t is zero.
 func ago(now, t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,10 +1,12 @@
-// Package quota holds what replicas ask of the whole fleet: how many requests a second one
-// takes from all instances together. A replica in need names that figure in its answers, for as
-// long as it is in need; one that has just started bears few requests without saying so in any.
+// Package quota enforces fleet-wide rate limits on replicas. An overloaded replica advertises in
+// its responses, for as long as the overload lasts, how many requests a second it takes from all
+// instances together. A cold replica, one that has just started, takes few requests without
+// advertising a limit.
 //
-// What is believed of a replica (Belief) is made of the words of its answers (Word), whichever
-// instance had them. Whether it may get one more request now is decided by Decide, from its
-// bound and what it got; one instance keeps that account for each service, and the others ask it
-// (Node.Take). Nothing is agreed on and nothing is stored: each instance goes by its list of the
-// fleet, and who counts is the first of it by a hash that is heard.
+// Each instance keeps a LimitRecord of each replica, built from the LimitReports of its responses
+// and merged with the records of other instances. Decide decides from a replica's bound and its
+// recent requests whether it may get one more now. One instance, the owner, counts the requests to
+// all replicas of a service, and the others ask it for permits (Node.Take). There is no consensus
+// and no stored state: each instance ranks its list of members by a hash of the service, and the
+// owner is the highest-ranked member that is not silent.
 package quota
--- a/quota/receive.go
+++ b/quota/receive.go
@@ -1,6 +1,6 @@
 package quota
 
-// Receive takes a datagram in; from is where an answer goes.
+// Receive handles a datagram; from is the address for the answer.
 func (n *Node) Receive(from string, b []byte) {
 	m, err := decode(b)
 	if err != nil {
@@ -10,68 +10,69 @@
 	now := n.Clock()
 	n.mu.Lock()
 	if m.From != "" {
-		n.heardOf[m.From] = now
+		n.lastReceived[m.From] = now
 	}
 	n.mu.Unlock()
 	switch {
-	case m.Ask != nil:
-		w, _ := n.decide(m.Ask.ask(), m.Ask.beliefs(now))
-		if w.Counts {
-			w.Beliefs = n.wireBeliefs(m.Ask.replicas(), now)
+	case m.Request != nil:
+		w, _ := n.decide(m.Request.request(), m.Request.records(now))
+		if w.IsOwner {
+			w.Records = n.wireRecords(m.Request.replicas(), now)
 		}
-		_ = n.Net.Send(from, encode(message{From: n.Self, Question: m.Question, Answer: &w}))
+		_ = n.Net.Send(from, encode(message{From: n.Self, QuestionID: m.QuestionID, Answer: &w}))
 	case m.Answer != nil:
 		n.deliver(from, m)
-	case m.Back != nil:
-		n.takeBack(m.Back.Service, m.Back.Replica)
+	case m.Returned != nil:
+		n.returnPermit(m.Returned.Service, m.Returned.Replica)
 	case m.Service != "":
-		n.heardCounting(from, m)
+		n.handleAnnouncement(from, m)
 	default:
-		n.learn(m.Beliefs)
-		if !m.Passed && len(m.Beliefs) > 0 {
-			n.passOn(m)
+		n.mergeRecords(m.Records)
+		if !m.Relayed && len(m.Records) > 0 {
+			n.relayToFollowers(m)
 		}
 	}
 }
 
-// deliver hands an answer to who waits for it. A right that comes too late is given back.
+// deliver hands an answer to the goroutine that waits for it. A permit that arrives too late is
+// returned to the owner.
 func (n *Node) deliver(from string, m message) {
-	if n.waiting.Deliver(m.Question, *m.Answer) || m.Answer.Index < 0 || m.Answer.Taken == nil {
+	if n.pending.Deliver(m.QuestionID, *m.Answer) || m.Answer.Index < 0 || m.Answer.Granted == nil {
 		return
 	}
-	_ = n.Net.Send(from, encode(message{From: n.Self, Back: m.Answer.Taken}))
+	_ = n.Net.Send(from, encode(message{From: n.Self, Returned: m.Answer.Granted}))
 }
 
-// heardCounting notes that another instance counts for the service, and has it know that it
-// is heard.
-func (n *Node) heardCounting(from string, m message) {
+// handleAnnouncement records that the sender owns the service, if it does, and replies so that the
+// sender knows that its datagrams arrive.
+func (n *Node) handleAnnouncement(from string, m message) {
 	now := n.Clock()
-	if m.IsCounting {
+	if m.IsOwner {
 		n.mu.Lock()
-		n.charge(m.Service, now).heard[m.From] = now
+		n.service(m.Service, now).announcements[m.From] = now
 		n.mu.Unlock()
 	}
 	_ = n.Net.Send(from, encode(message{From: n.Self}))
 }
 
-// learn counts what another instance believes.
-func (n *Node) learn(l []wireBelief) {
+// mergeRecords merges the records of another instance.
+func (n *Node) mergeRecords(l []wireRecord) {
 	now := n.Clock()
 	for _, w := range l {
-		n.learnOf(w.Replica, w.belief(now))
+		n.mergeRecord(w.Replica, w.record(now))
 	}
 }
 
-// learnOf counts what another instance believes of one replica.
-func (n *Node) learnOf(replica string, b Belief) {
+// mergeRecord merges the record of another instance for one replica.
+func (n *Node) mergeRecord(replica string, r LimitRecord) {
 	now := n.Clock()
-	c := n.beliefs.change(replica, func(x Belief) Belief {
-		if x.isEmpty() && b.isStale(now) {
+	c := n.records.update(replica, func(x LimitRecord) LimitRecord {
+		if x.isEmpty() && r.isStale(now) {
 			return x
 		}
-		return x.WithTold(b)
+		return x.Merge(r)
 	})
-	if c.IsNews() {
+	if c.LimitChanged() {
 		n.logChange(c)
 	}
 }
--- a/quota/share.go
+++ b/quota/share.go
@@ -5,86 +5,87 @@
 )
 
 const (
-	// sharePart of a replica's figure is what all instances together allow themselves where
-	// they can't ask: with who counts, who may be asked by others, it comes to half as much
-	// again as the figure at most.
-	sharePart = 0.5
-	// abandonedAfter is how long nobody decided before an instance takes its share: a lost
-	// datagram or a change of who counts is no reason.
-	abandonedAfter = silentAfter
-	// sizeFor is how long the largest number of instances that was seen counts. Who hears
-	// nobody sees too few.
-	sizeFor = time.Minute
+	// shareFraction is the part of a limit that all instances together use where they can't ask the
+	// owner. Together with the owner, which may still grant permits to others, the replica gets at
+	// most half as much again as its limit.
+	shareFraction = 0.5
+	// isolationTimeout is how long no owner must have answered before an instance uses its share. A
+	// lost datagram or a change of the owner takes less.
+	isolationTimeout = silenceTimeout
+	// fleetSizeTTL is how long the largest number of instances seen is used. An isolated instance
+	// sees too few.
+	fleetSizeTTL = time.Minute
 )
 
-// decided notes that who counts decided.
-func (n *Node) decided(service string) {
+// markDecided records that the owner of the service answered.
+func (n *Node) markDecided(service string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if c, ok := n.charges[service]; ok {
-		c.undecidedSince = time.Time{}
+	if s, ok := n.services[service]; ok {
+		s.undecidedSince = time.Time{}
 	}
 }
 
-// isAbandoned notes that nobody decided, and reports whether this instance is cut off from
-// all others: nobody decided for long, and nobody was heard of. One that hears others, but not
-// who counts, allows itself nothing: with three datagrams in ten lost, shares had the
-// replica get 1.5 times its figure.
-func (n *Node) isAbandoned(service string, now time.Time) bool {
+// isIsolated records that no owner answered, and reports whether this instance is partitioned from
+// all others: no owner answered within isolationTimeout, and no datagram arrived. An instance that
+// receives datagrams, but no answer of the owner, uses no share: with three datagrams in ten lost,
+// shares let the replica get 1.5 times its limit.
+func (n *Node) isIsolated(service string, now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c := n.charge(service, now)
-	if c.undecidedSince.IsZero() {
-		c.undecidedSince = now
+	s := n.service(service, now)
+	if s.undecidedSince.IsZero() {
+		s.undecidedSince = now
 	}
-	return now.Sub(c.undecidedSince) >= abandonedAfter && !n.hearsAnyone(now)
+	return now.Sub(s.undecidedSince) >= isolationTimeout && !n.hasRecentPeer(now)
 }
 
-// takeShare allows the request if one of the candidates is due by this instance's share, and
-// by nothing else. An instance takes its share evenly, from a moment on that chance chooses:
-// all begin at once.
-func (n *Node) takeShare(a PermitRequest, now time.Time) PermitResult {
-	v := PermitResult{Index: -1, Reason: Undecided, DecidedBy: n.Self}
+// takeShare grants the request if this instance's own share of the limit of a candidate is due. An
+// instance uses its share at regular intervals, the first one after a random delay, because all
+// instances start to do so at the same time.
+func (n *Node) takeShare(req PermitRequest, now time.Time) PermitResult {
+	res := PermitResult{Index: -1, Reason: ReasonNoOwner, DecidedBy: n.Self}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for i, x := range a.Candidates {
-		every, ok := n.shareEvery(x)
+	for i, x := range req.Candidates {
+		interval, ok := n.shareInterval(x)
 		if !ok {
 			continue
 		}
-		at, began := n.shares[x.Replica]
-		if !began || at.Sub(now) > every {
-			at = now.Add(time.Duration(n.Rand() * float64(every)))
+		at, started := n.nextShare[x.Replica]
+		if !started || at.Sub(now) > interval {
+			at = now.Add(time.Duration(n.Rand() * float64(interval)))
 		}
 		if !at.After(now) {
-			n.shares[x.Replica] = now.Add(every)
+			n.nextShare[x.Replica] = now.Add(interval)
 			return PermitResult{Index: i, DecidedBy: n.Self}
 		}
-		n.shares[x.Replica] = at
-		if v.RetryAt.IsZero() || at.Before(v.RetryAt) {
-			v.RetryAt = at
+		n.nextShare[x.Replica] = at
+		if res.RetryAt.IsZero() || at.Before(res.RetryAt) {
+			res.RetryAt = at
 		}
 	}
-	return v
+	return res
 }
 
-// shareEvery returns how often this instance may send to the candidate without asking; false
-// if it may not: it is cold, or the number of instances is not known.
-func (n *Node) shareEvery(x Candidate) (time.Duration, bool) {
-	size, part := n.size, sharePart
+// shareInterval returns the time between two requests that this instance may send to the candidate
+// without a permit. It returns false if it may send none, because the candidate is cold or has no
+// limit, or because the number of instances is unknown.
+func (n *Node) shareInterval(x Candidate) (time.Duration, bool) {
+	size, part := n.maxFleetSize, shareFraction
 	if n.Net == nil {
 		size, part = n.FleetSize(), 1
 	}
 	if x.Bound.ColdPerSecond > 0 || !x.Bound.IsLimited || size < 1 {
 		return 0, false
 	}
-	perSecond := max(n.beliefs.of(x.Replica).PerSecond, 1/trialEvery.Seconds())
+	perSecond := max(n.records.get(x.Replica).PerSecond, 1/probeInterval.Seconds())
 	return time.Duration(float64(size) / (part * perSecond) * float64(time.Second)), true
 }
 
-// sawSize notes how many instances there are; n.mu is held.
-func (n *Node) sawSize(now time.Time) {
-	if s := n.FleetSize(); s >= n.size || !now.Before(n.sizeUntil) {
-		n.size, n.sizeUntil = s, now.Add(sizeFor)
+// recordFleetSize updates the largest number of instances seen. The caller holds n.mu.
+func (n *Node) recordFleetSize(now time.Time) {
+	if s := n.FleetSize(); s >= n.maxFleetSize || !now.Before(n.maxFleetSizeUntil) {
+		n.maxFleetSize, n.maxFleetSizeUntil = s, now.Add(fleetSizeTTL)
 	}
 }
--- a/quota/wire.go
+++ b/quota/wire.go
@@ -7,148 +7,151 @@
 	"github.com/cockroachdb/errors"
 )
 
-// message is what instances say to each other: a question with its answer, a right that is
-// given back, that one counts for a service, or beliefs that others should know. One with
-// nothing but who it is from says that that one is heard.
+// message is a datagram between instances: a permit request or the answer to it, a permit that is
+// returned, the announcement of a service's owner, or limit records. A message with From alone
+// acknowledges an announcement.
 type message struct {
-	From     string       `json:"f,omitempty"`
-	Question uint64       `json:"q,omitempty"`
-	Ask      *wireAsk     `json:"a,omitempty"`
-	Answer   *wireAnswer  `json:"w,omitempty"`
-	Back     *wireBack    `json:"b,omitempty"`
-	Beliefs  []wireBelief `json:"l,omitempty"`
-	// Passed says that the beliefs were passed on already.
-	Passed bool `json:"p,omitempty"`
-	// Service is one that the sender may count for; IsCounting says that it does.
-	Service    string `json:"s,omitempty"`
-	IsCounting bool   `json:"c,omitempty"`
+	From       string       `json:"f,omitempty"`
+	QuestionID uint64       `json:"q,omitempty"`
+	Request    *wireRequest `json:"a,omitempty"`
+	Answer     *wireAnswer  `json:"w,omitempty"`
+	Returned   *wirePermit  `json:"b,omitempty"`
+	Records    []wireRecord `json:"l,omitempty"`
+	// Relayed is true if the records were already relayed to followers.
+	Relayed bool `json:"p,omitempty"`
+	// Service is a service that the sender owns or ranks first for; IsOwner is true if it owns it.
+	Service string `json:"s,omitempty"`
+	IsOwner bool   `json:"c,omitempty"`
 }
 
-type wireAsk struct {
-	Service    string          `json:"s"`
-	Candidates []wireCandidate `json:"c"`
-	Rank       int             `json:"r,omitempty"`
-	IsLast     bool            `json:"l,omitempty"`
+type wireRequest struct {
+	Service     string          `json:"s"`
+	Candidates  []wireCandidate `json:"c"`
+	Priority    int             `json:"r,omitempty"`
+	OnlyBounded bool            `json:"l,omitempty"`
 }
 
 type wireCandidate struct {
-	Belief        wireBelief `json:"b"`
+	Record        wireRecord `json:"b"`
 	ColdPerSecond float64    `json:"p,omitempty"`
-	IsCold        bool       `json:"c,omitempty"`
+	ReportsCold   bool       `json:"c,omitempty"`
 }
 
-// wireAnswer is of an instance that counts, unless Counts is false.
+// wireAnswer is the answer of the owner, or of an instance that is not the owner if IsOwner is
+// false.
 type wireAnswer struct {
-	Counts bool   `json:"c"`
-	Index  int    `json:"i"`
-	Why    Reason `json:"y,omitempty"`
-	// Waits are for how long each candidate gets nothing, and Come after what time the
-	// request is to return, in milliseconds.
-	Waits   []int64      `json:"w,omitempty"`
-	Come    int64        `json:"r,omitempty"`
-	Beliefs []wireBelief `json:"l,omitempty"`
-	// Taken is what was counted, for a right that comes too late.
-	Taken *wireBack `json:"t,omitempty"`
+	IsOwner bool   `json:"c"`
+	Index   int    `json:"i"`
+	Reason  Reason `json:"y,omitempty"`
+	// WaitMillis is how long each candidate gets no request, RetryMillis after what time the
+	// request is to be retried, in milliseconds.
+	WaitMillis  []int64      `json:"w,omitempty"`
+	RetryMillis int64        `json:"r,omitempty"`
+	Records     []wireRecord `json:"l,omitempty"`
+	// Granted identifies the permit, so that one that arrives too late can be returned.
+	Granted *wirePermit `json:"t,omitempty"`
 }
 
-type wireBack struct {
+type wirePermit struct {
 	Service string `json:"s"`
 	Replica string `json:"r"`
 }
 
-// wireBelief is a belief with ages in place of moments, in milliseconds: clocks of instances
-// differ.
-type wireBelief struct {
+// wireRecord is a LimitRecord with ages in milliseconds in place of times, since the clocks of
+// instances differ.
+type wireRecord struct {
 	Replica   string  `json:"r"`
 	Service   string  `json:"s,omitempty"`
 	PerSecond float64 `json:"p,omitempty"`
-	// IsNamed says that it named a limit at some time, HasFree that it said it had none.
-	IsNamed  bool   `json:"n,omitempty"`
-	NamedAgo int64  `json:"g,omitempty"`
-	AskedAgo int64  `json:"k,omitempty"`
-	HasFree  bool   `json:"e,omitempty"`
-	FreeAgo  int64  `json:"h,omitempty"`
-	By       string `json:"b,omitempty"`
-	// Suspect is for how much longer it may be cold.
-	Suspect int64 `json:"u,omitempty"`
+	// HasLimit is true if the replica ever advertised a limit, HasUnlimited if a response ever
+	// advertised none.
+	HasLimit     bool   `json:"n,omitempty"`
+	ReceivedAgo  int64  `json:"g,omitempty"`
+	SentAgo      int64  `json:"k,omitempty"`
+	HasUnlimited bool   `json:"e,omitempty"`
+	UnlimitedAgo int64  `json:"h,omitempty"`
+	ReportedBy   string `json:"b,omitempty"`
+	// MaybeCold is how much longer the replica may be cold.
+	MaybeCold int64 `json:"u,omitempty"`
 }
 
-// toldMargin is how much later what is told may seem than it was, by the way that it took:
-// a word by which a limit is over counts as that much older.
-const toldMargin = 200 * time.Millisecond
+// relayMargin is by how much a report from another instance may appear too recent, since its age
+// does not include the transit time. A report that ends a limit is treated as that much older.
+const relayMargin = 200 * time.Millisecond
 
-func newWireBelief(replica string, b Belief, now time.Time) wireBelief {
-	w := wireBelief{Replica: replica, Service: b.Service, PerSecond: b.PerSecond, By: b.By, IsNamed: !b.NamedAt.IsZero(), HasFree: !b.FreeFrom.IsZero()}
-	if w.IsNamed {
-		w.NamedAgo, w.AskedAgo = now.Sub(b.NamedAt).Milliseconds(), now.Sub(b.AskedAt).Milliseconds()
+func newWireRecord(replica string, b LimitRecord, now time.Time) wireRecord {
+	w := wireRecord{Replica: replica, Service: b.Service, PerSecond: b.PerSecond, ReportedBy: b.ReportedBy, HasLimit: !b.ReceivedAt.IsZero(), HasUnlimited: !b.UnlimitedSince.IsZero()}
+	if w.HasLimit {
+		w.ReceivedAgo, w.SentAgo = now.Sub(b.ReceivedAt).Milliseconds(), now.Sub(b.SentAt).Milliseconds()
 	}
-	if w.HasFree {
-		w.FreeAgo = now.Sub(b.FreeFrom).Milliseconds()
+	if w.HasUnlimited {
+		w.UnlimitedAgo = now.Sub(b.UnlimitedSince).Milliseconds()
 	}
-	if now.Before(b.SuspectUntil) {
-		w.Suspect = b.SuspectUntil.Sub(now).Milliseconds()
+	if now.Before(b.MaybeColdUntil) {
+		w.MaybeCold = b.MaybeColdUntil.Sub(now).Milliseconds()
 	}
 	return w
 }
 
-// belief returns what is told, as of now. Figures beyond any that can be are bounded.
-func (w wireBelief) belief(now time.Time) Belief {
-	b := Belief{Service: w.Service, By: w.By}
-	if w.IsNamed {
-		b.PerSecond = min(most, max(0, w.PerSecond))
-		b.NamedAt = now.Add(-millis(w.NamedAgo))
-		b.AskedAt = now.Add(-millis(max(w.NamedAgo, w.AskedAgo)))
+// record returns the record with times relative to now. Values are clamped to their valid ranges.
+func (w wireRecord) record(now time.Time) LimitRecord {
+	b := LimitRecord{Service: w.Service, ReportedBy: w.ReportedBy}
+	if w.HasLimit {
+		b.PerSecond = min(maxPerSecond, max(0, w.PerSecond))
+		b.ReceivedAt = now.Add(-millis(w.ReceivedAgo))
+		b.SentAt = now.Add(-millis(max(w.ReceivedAgo, w.SentAgo)))
 	}
-	if w.HasFree {
-		b.FreeFrom = now.Add(-millis(w.FreeAgo) - toldMargin)
+	if w.HasUnlimited {
+		b.UnlimitedSince = now.Add(-millis(w.UnlimitedAgo) - relayMargin)
 	}
-	if w.Suspect > 0 {
-		b.SuspectUntil = now.Add(min(SuspectFor, millis(w.Suspect)))
+	if w.MaybeCold > 0 {
+		b.MaybeColdUntil = now.Add(min(MaybeColdFor, millis(w.MaybeCold)))
 	}
 	return b
 }
 
-// oldest bounds an age: what is believed is over long before.
-const oldest = 24 * time.Hour
+// maxAge bounds an age; records expire long before it.
+const maxAge = 24 * time.Hour
 
-// millis is a number of milliseconds, bounded.
+// millis converts a number of milliseconds, clamped to 0 and maxAge.
 func millis(ms int64) time.Duration {
-	return time.Duration(max(0, min(ms, oldest.Milliseconds()))) * time.Millisecond
+	return time.Duration(max(0, min(ms, maxAge.Milliseconds()))) * time.Millisecond
 }
 
-func newWireAsk(a PermitRequest, told map[string]Belief, now time.Time) *wireAsk {
-	w := &wireAsk{Service: a.Service, Rank: a.Priority, IsLast: a.OnlyBounded}
-	for _, c := range a.Candidates {
-		w.Candidates = append(w.Candidates, wireCandidate{Belief: newWireBelief(c.Replica, told[c.Replica], now), ColdPerSecond: c.Bound.ColdPerSecond, IsCold: c.ReportsCold})
+func newWireRequest(req PermitRequest, records map[string]LimitRecord, now time.Time) *wireRequest {
+	w := &wireRequest{Service: req.Service, Priority: req.Priority, OnlyBounded: req.OnlyBounded}
+	for _, c := range req.Candidates {
+		w.Candidates = append(w.Candidates, wireCandidate{Record: newWireRecord(c.Replica, records[c.Replica], now), ColdPerSecond: c.Bound.ColdPerSecond, ReportsCold: c.ReportsCold})
 	}
 	return w
 }
 
-func (w *wireAsk) ask() PermitRequest {
-	a := PermitRequest{Service: w.Service, Priority: w.Rank, OnlyBounded: w.IsLast}
+func (w *wireRequest) request() PermitRequest {
+	req := PermitRequest{Service: w.Service, Priority: w.Priority, OnlyBounded: w.OnlyBounded}
 	for _, c := range w.Candidates {
-		a.Candidates = append(a.Candidates, Candidate{Replica: c.Belief.Replica, Bound: Bound{ColdPerSecond: max(0, c.ColdPerSecond)}, ReportsCold: c.IsCold})
+		req.Candidates = append(req.Candidates, Candidate{Replica: c.Record.Replica, Bound: Bound{ColdPerSecond: max(0, c.ColdPerSecond)}, ReportsCold: c.ReportsCold})
 	}
-	return a
+	return req
 }
 
-func (w *wireAsk) beliefs(now time.Time) map[string]Belief {
-	l := map[string]Belief{}
+func (w *wireRequest) records(now time.Time) map[string]LimitRecord {
+	l := map[string]LimitRecord{}
 	for _, c := range w.Candidates {
-		l[c.Belief.Replica] = c.Belief.belief(now)
+		l[c.Record.Replica] = c.Record.record(now)
 	}
 	return l
 }
 
-func (w *wireAsk) replicas() []string {
+func (w *wireRequest) replicas() []string {
 	var l []string
 	for _, c := range w.Candidates {
-		l = append(l, c.Belief.Replica)
+		l = append(l, c.Record.Replica)
 	}
 	return l
 }
 
-// encode can't fail: a message has numbers and texts only.
+// encode returns the JSON of the message. It can't fail, as a message consists of numbers, booleans
+// and strings.
 func encode(m message) []byte {
 	b, _ := json.Marshal(m)
 	return b
