--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -89,8 +89,8 @@
 	name string
 	// size is the number of instances.
 	size int
-	// listed is how many of them are registered members; the others follow these.
-	listed int
+	// registered is how many of them are registered members; the others follow these.
+	registered int
 	// perSecond is the rate of the requests that prefer the replica.
 	perSecond float64
 	limit     float64
@@ -174,12 +174,12 @@
 // ones.
 func (p *simulation) followers(id string) []string {
 	i := slices.Index(p.ids, id)
-	if i >= p.listed {
+	if i >= p.registered {
 		return nil
 	}
 	var l []string
-	for j := p.listed; j < p.size; j++ {
-		if j%p.listed == i || (j+7)%p.listed == i {
+	for j := p.registered; j < p.size; j++ {
+		if j%p.registered == i || (j+7)%p.registered == i {
 			l = append(l, p.ids[j])
 		}
 	}
@@ -289,16 +289,16 @@
 	r := rand.New(rand.NewPCG(d.seed, 9))
 	f := &fleet{nodes: map[string]*quota.Node{}, frozen: map[string]bool{}, dead: map[string]bool{}, queued: map[string][]func(){}, loss: d.loss, rand: rand.New(rand.NewPCG(d.seed, 8))}
 	p := &simulation{scenario: d, fleet: f, rand: r, advertised: -1, service: "s", nextStartID: d.seed}
-	if p.listed == 0 {
-		p.listed = min(p.size, 48)
+	if p.registered == 0 {
+		p.registered = min(p.size, 48)
 	}
 	for i := range p.size {
 		p.ids = append(p.ids, fmt.Sprint("n", i))
 	}
-	for _, id := range p.ids[:p.listed] {
+	for _, id := range p.ids[:p.registered] {
 		p.members = append(p.members, peer.Member{ID: id, Addr: id})
 	}
-	p.oldMembers = p.members[:max(1, p.listed*4/5)]
+	p.oldMembers = p.members[:max(1, p.registered*4/5)]
 	for _, id := range p.ids {
 		p.startNode(id)
 	}
@@ -432,16 +432,16 @@
 // scenarios returns the scenarios for a fleet of the given size.
 func scenarios(nodes int) []scenarioCase {
 	s := float64(nodes)
-	usual := scenario{size: nodes, limit: 1.5, perSecond: 12 + s/10}
+	base := scenario{size: nodes, limit: 1.5, perSecond: 12 + s/10}
 	with := func(name string, change func(d *scenario)) scenario {
-		d := usual
+		d := base
 		d.name = name
 		change(&d)
 		return d
 	}
 	// relaxed is the bound that the users require: half as much again as the limit, and five
 	// requests. It is checked where the owner changes; where it does not, the limit itself is.
-	relaxed := 1.5 + 5/(4*usual.limit)
+	relaxed := 1.5 + 5/(4*base.limit)
 	return []scenarioCase{
 		{with("no fault", func(*scenario) {}), 1, 0.8, true},
 		{with("2.1 a second", func(d *scenario) { d.limit = 2.1 }), 1, 0.8, false},
