--- a/entry/underway_test.go
+++ b/entry/active_test.go
@@ -17,9 +17,9 @@
 )
 
 // silentUpstream holds each request until it is called off.
-type silentUpstream struct{ sent chan struct{} }
+type hangingUntilCancelled struct{ sent chan struct{} }
 
-func (s silentUpstream) Send(ctx context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
+func (s hangingUntilCancelled) Send(ctx context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
 	s.sent <- struct{}{}
 	<-ctx.Done()
 	return nil, outcome.New(outcome.Unknown, "read", r.ID, ctx.Err())
@@ -34,7 +34,7 @@
 	v := NewCurrentView()
 	v.Put(NewView(nil, []pool.Replica{{ID: "r", Kind: pool.Service, Service: "s", Slots: 1}}, nil, nil).
 		WithRoutes(route.New(1, nil, nil, nil, route.Limits{}), map[string]rollout.Release{}))
-	u := silentUpstream{make(chan struct{}, 1)}
+	u := hangingUntilCancelled{make(chan struct{}, 1)}
 	r := NewRouter(Ports{View: v, Clock: now, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}})
 	end := now().Add(time.Minute)
 	q := &OpaqueRequest{ID: "q", Table: v.Get().Table, Route: &route.Route{Kind: route.Repeatable, MaxAttempts: 2, Split: []route.Part{{Service: "s"}}}, ArrivedAt: now(), Deadline: end, TimeoutAt: end}
--- /dev/null
+++ b/entry/assign.go
@@ -0,0 +1,140 @@
+package entry
+
+import (
+	"context"
+	"time"
+
+	"fieldvale/placement"
+	"fieldvale/pool"
+	"fieldvale/quota"
+)
+
+// assignment is a replica that was chosen, and what is known of the choice.
+type assignment struct {
+	replica *pool.Replica
+	ticket  placement.Ticket
+	// costMs is the estimate of the replica's time for the prompt, in
+	// milliseconds, and open says that it still counts there.
+	costMs        float64
+	promptPending bool
+	// idle says that nothing else waited there, so that the time to the
+	// first event shows how fast the prompt is read.
+	idle   bool
+	tokens float64
+	// permit is the place there, if the replica is bounded.
+	permit quota.Ticket
+	// firstEventMs is the estimate of the time to the first event, in milliseconds;
+	// 0 if there is none.
+	firstEventMs float64
+}
+
+// assignAmong chooses one of the replicas for the request; nil if none is left.
+func (w *forwarding) assignAmong(ctx context.Context, l []*pool.Replica) *assignment {
+	free, bounded := w.splitByBound(l)
+	if len(bounded) == 0 {
+		return w.assignIgnoringQuota(ctx, l, l)
+	}
+	return w.assignBounded(ctx, l, free, bounded)
+}
+
+// assignIgnoringQuota chooses one of the replicas c; allowed are all that the release allows.
+func (w *forwarding) assignIgnoringQuota(ctx context.Context, allowed, c []*pool.Replica) *assignment {
+	if w.q.Prompt.IsNone() {
+		return w.assignLocally(c, "", 1)
+	}
+	e := w.estimatePrompt()
+	c = w.candidates(c)
+	if len(c) == 0 {
+		return nil
+	}
+	if p, ok := w.assignByPlacer(ctx, allowed, c, e); ok {
+		return p
+	}
+	return w.assignLocally(c, e.affinityKey, e.unsharedMs)
+}
+
+// candidates are the replicas that may be chosen now.
+func (w *forwarding) candidates(l []*pool.Replica) []*pool.Replica {
+	if len(l) == 0 {
+		return nil
+	}
+	return w.r.backends.candidates(l, w.tried, w.r.clock())
+}
+
+// assignByPlacer chooses a replica with the knowledge of the fleet; it fails if that can't be
+// had. allowed are all replicas that the release allows.
+func (w *forwarding) assignByPlacer(ctx context.Context, allowed, c []*pool.Replica, e promptEstimate) (p *assignment, ok bool) {
+	if w.r.placer == nil {
+		return nil, false
+	}
+	now := w.r.clock()
+	g, c := w.placementGroup(e.affinityKey, allowed, c)
+	x, t, ok := w.r.placer.Choose(ctx, g, w.placementRequest(e, c))
+	if !ok {
+		return nil, false
+	}
+	p = &assignment{
+		replica: c[x.Index], ticket: t, costMs: x.PrefillMs, promptPending: true,
+		idle: x.WaitMs < 1, tokens: x.PrefillMs / e.msPerToken, firstEventMs: x.WaitMs + x.PrefillMs,
+	}
+	w.r.backends.assign(p.replica, p.costMs, now)
+	return p, true
+}
+
+// placementRequest returns the question which of the replicas the prompt should go to.
+func (w *forwarding) placementRequest(e promptEstimate, c []*pool.Replica) placement.Request {
+	return placement.Request{
+		Replicas: ids(c), RemoteBits: w.r.remoteBits(c), RemotePenaltyMs: w.remotePenaltyMs(),
+		UnsharedMs: max(1, e.unsharedMs), SharedPrefix: e.shared, SlotMs: w.r.slotTimes.ExpectedMs(w.slotTimeKey()),
+		TimeLeftMs: w.timeToTargetMs(),
+	}
+}
+
+// timeToTargetMs is the time left to the route's target, in milliseconds, and at least
+// one where there is a target; 0 where there is none.
+func (w *forwarding) timeToTargetMs() float64 {
+	if w.q.Route.Target <= 0 {
+		return 0
+	}
+	left := w.q.ArrivedAt.Add(w.q.Route.Target).Sub(w.r.clock())
+	return max(1, left.Seconds()*1000)
+}
+
+// assignLocally chooses by this instance's own work.
+func (w *forwarding) assignLocally(l []*pool.Replica, key string, cost float64) *assignment {
+	q := localRequest{affinityKey: key, costMs: cost, remotePenaltyMs: w.remotePenaltyMs(), dataCentre: w.r.dataCentre}
+	b := w.r.backends.takeOpaque(l, q, w.tried, w.r.clock())
+	if b == nil {
+		return nil
+	}
+	return &assignment{replica: b, costMs: cost, promptPending: true}
+}
+
+// recordPromptRead notes that the replica has recordPromptRead the prompt.
+func (w *forwarding) recordPromptRead(p *assignment, sent time.Time) {
+	if p.idle && p.tokens > 0 {
+		w.r.prefillTimes.Observe(w.prefillKey(), w.r.clock().Sub(sent), p.tokens)
+	}
+	w.r.firstEventDelays.Observe(w.result.Service, p.firstEventMs, w.r.clock().Sub(sent))
+	if w.closePrompt(p) {
+		w.r.placer.Read(p.ticket)
+	}
+}
+
+// abandonPrompt takes a prompt that came to nothing off its replica's pending work.
+func (w *forwarding) abandonPrompt(p *assignment, why placement.Fault) {
+	if w.closePrompt(p) {
+		w.r.placer.Lost(p.ticket, why)
+	}
+}
+
+// closePrompt takes the prompt off its replica's pending work, once, and reports
+// whether a keeper is to be told.
+func (w *forwarding) closePrompt(p *assignment) bool {
+	if !p.promptPending {
+		return false
+	}
+	p.promptPending = false
+	w.r.backends.promptRead(p.replica.ID, p.costMs)
+	return w.r.placer != nil
+}
--- a/entry/backends.go
+++ b/entry/backends.go
@@ -12,35 +12,35 @@
 	"fieldvale/pool"
 )
 
-// sessionRule is the rule by which replicas are chosen (docs/MEASURES.md).
-type sessionRule = pool.BoundedAffinity[pool.TwoChoices]
+// sessionPolicy is the rule by which replicas are chosen (docs/MEASURES.md).
+type sessionPolicy = pool.BoundedAffinity[pool.TwoChoices]
 
-// affinityBound is how far above the mean load a session's replica may be.
-const affinityBound = 1.5
+// sessionLoadFactor is how far above the mean load a session's replica may be.
+const sessionLoadFactor = 1.5
 
 // backends keeps what this entry knows of each replica from its own calls.
 type backends struct {
-	mu      sync.Mutex
-	state   map[string]*backend
-	chooser *pool.Chooser[sessionRule]
-	homes   *pool.Chooser[pool.PrefixAffinity]
-	scratch []pool.Candidate
+	mu             sync.Mutex
+	state          map[string]*backend
+	sessionChooser *pool.Chooser[sessionPolicy]
+	prefixChooser  *pool.Chooser[pool.PrefixAffinity]
+	scratch        []pool.Candidate
 	// notices is what replicas said of themselves: no choice goes against it.
 	notices *notice.Tracker
 }
 
 type backend struct {
 	running int
-	// pending is the estimated milliseconds of prompts sent and not yet read.
-	pending float64
-	breaker admission.Breaker
+	// pendingMs is the estimated milliseconds of prompts sent and not yet read.
+	pendingMs float64
+	breaker   admission.Breaker
 	// service is the plain service of the replica, empty for others.
 	service string
 }
 
-// usual is the rate of failures of the service's replicas: the middle one of
+// serviceFailureRate is the rate of failures of the service's replicas: the middle one of
 // all, so that one bad replica does not excuse itself.
-func (b *backends) usual(x *backend) float64 {
+func (b *backends) serviceFailureRate(x *backend) float64 {
 	var l []float64
 	for _, s := range b.state {
 		if s.service == x.service && s != x {
@@ -56,14 +56,14 @@
 
 func newBackends(s rand.Source, n *notice.Tracker) *backends {
 	return &backends{
-		state:   map[string]*backend{},
-		notices: n,
-		chooser: pool.NewChooser(sessionRule{LoadFactor: affinityBound}, s),
-		homes:   pool.NewChooser(pool.PrefixAffinity{SlackMs: homeSlack}, s),
+		state:          map[string]*backend{},
+		notices:        n,
+		sessionChooser: pool.NewChooser(sessionPolicy{LoadFactor: sessionLoadFactor}, s),
+		prefixChooser:  pool.NewChooser(pool.PrefixAffinity{SlackMs: affinitySlackMs}, s),
 	}
 }
 
-func (b *backends) of(id string) *backend {
+func (b *backends) stateOf(id string) *backend {
 	x, ok := b.state[id]
 	if !ok {
 		x = &backend{}
@@ -82,12 +82,12 @@
 			break
 		}
 	}
-	i := b.chooser.Choose(a, b.scratch)
+	i := b.sessionChooser.Choose(a, b.scratch)
 	if i < 0 {
 		return nil
 	}
 	c := b.scratch[i].Replica
-	s := b.of(c.ID)
+	s := b.stateOf(c.ID)
 	s.running++
 	s.breaker.Tried(now)
 	return c
@@ -98,13 +98,13 @@
 func (b *backends) done(id string, err error, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.of(id)
+	s := b.stateOf(id)
 	s.running--
 	if err == nil || isRefusal(err) {
 		s.breaker.Succeeded()
 		return
 	}
-	s.breaker.Failed(now, b.usual(s))
+	s.breaker.Failed(now, b.serviceFailureRate(s))
 }
 
 func isRefusal(err error) bool {
@@ -112,13 +112,13 @@
 	return ok && o.Kind == outcome.NotRun && o.Status != 0
 }
 
-// queued is the work waiting at the replicas, by slot.
-func (b *backends) queued(r []*pool.Replica) float64 {
+// queuedPerSlot is the work waiting at the replicas, by slot.
+func (b *backends) queuedPerSlot(r []*pool.Replica) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w, n := 0, 0
 	for _, x := range r {
-		c := pool.Candidate{Replica: x, Local: b.of(x.ID).running}
+		c := pool.Candidate{Replica: x, Local: b.stateOf(x.ID).running}
 		w += max(0, -c.FreeSlots())
 		n += max(1, x.Slots)
 	}
@@ -141,12 +141,12 @@
 	return r
 }
 
-// forgetAbove is how many replicas are known before those are forgotten that
+// maxStates is how many replicas are known before those are forgotten that
 // have nothing running: replicas come and go for as long as the process runs.
-const forgetAbove = 2000
+const maxStates = 2000
 
-func (b *backends) forget() {
-	if len(b.state) <= forgetAbove {
+func (b *backends) forgetIdle() {
+	if len(b.state) <= maxStates {
 		return
 	}
 	for id, s := range b.state {
--- a/entry/backends_test.go
+++ b/entry/backends_test.go
@@ -15,7 +15,7 @@
 	b := newBackends(rand.NewPCG(1, 1), nil)
 	l := []*pool.Replica{{ID: "far", DataCentre: "b", Slots: 4}, {ID: "near", DataCentre: "a", Slots: 4}}
 	now := time.Unix(1_700_000_000, 0)
-	q := local{cost: 1, away: 30, dataCentre: "a"}
+	q := localRequest{costMs: 1, remotePenaltyMs: 30, dataCentre: "a"}
 	near := 0
 	for b.takeOpaque(l, q, nil, now).ID == "near" {
 		near++
@@ -33,19 +33,19 @@
 func TestBackendsKeepWhatIsUsed(t *testing.T) {
 	b := newBackends(rand.NewPCG(1, 1), nil)
 	var l []*pool.Replica
-	for i := range 3 * forgetAbove {
+	for i := range 3 * maxStates {
 		l = append(l, &pool.Replica{ID: fmt.Sprint(i), Service: "s", Slots: 4})
 	}
 	now := time.Unix(1_700_000_000, 0)
 	for range 40 {
-		b.put(l[7], 1, now)
+		b.assign(l[7], 1, now)
 		b.doneOpaque("7", true, true, now)
 	}
 	for range 5 {
 		if c := b.candidates(l, nil, now); len(c) != len(l)-1 {
 			t.Fatalf("%d candidates of %d, want all but the one that fails", len(c), len(l))
 		}
-		b.put(l[3], 1, now)
+		b.assign(l[3], 1, now)
 	}
 	if n := len(b.state); n != 2 {
 		t.Errorf("%d replicas are remembered, want 2", n)
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -10,7 +10,7 @@
 
 // BenchmarkDecision is one whole decision: plan, version and replica.
 func BenchmarkDecision(b *testing.B) {
-	r, v := newTestRouter(b, &backendsFake{}, &rest{})
+	r, v := newTestRouter(b, &backendsFake{}, &portsFake{})
 	q := request(v, "gold", AutoModel)
 	now := time.Now()
 	b.ReportAllocs()
--- a/entry/homes.go
+++ b/entry/candidates.go
@@ -8,49 +8,49 @@
 	"fieldvale/pool"
 )
 
-// homeSlack is how many milliseconds of this instance's pending work a home
+// affinitySlackMs is how many milliseconds of this instance's pending work a home
 // may have above the least busy replica before the next choice takes over.
-const homeSlack = 150
+const affinitySlackMs = 150
 
-// local is an opaque request that is placed by this instance's own work.
-type local struct {
-	// affinity ties it to a home; empty for none.
-	affinity string
-	// cost is its time at the replica, in milliseconds.
-	cost float64
-	// away is what another data centre than this one counts for, in
+// localRequest is an opaque request that is placed by this instance's own work.
+type localRequest struct {
+	// affinityKey ties it to a home; empty for none.
+	affinityKey string
+	// costMs is its time at the replica, in milliseconds.
+	costMs float64
+	// remotePenaltyMs is what another data centre than this one counts for, in
 	// milliseconds.
-	away       float64
-	dataCentre string
+	remotePenaltyMs float64
+	dataCentre      string
 }
 
 // takeOpaque chooses a replica for an opaque request and counts it there; nil
 // if none is left. Breakers have no say when they leave none.
-func (b *backends) takeOpaque(r []*pool.Replica, q local, tried []string, now time.Time) *pool.Replica {
+func (b *backends) takeOpaque(r []*pool.Replica, q localRequest, tried []string, now time.Time) *pool.Replica {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.gatherSound(r, tried, now)
+	b.gatherHealthy(r, tried, now)
 	for i, c := range b.scratch {
 		if c.Replica.DataCentre != q.dataCentre {
-			b.scratch[i].RemotePenaltyMs = q.away
+			b.scratch[i].RemotePenaltyMs = q.remotePenaltyMs
 		}
 	}
-	i := b.homes.Choose(pool.Request{AffinityKey: q.affinity}, b.scratch)
+	i := b.prefixChooser.Choose(pool.Request{AffinityKey: q.affinityKey}, b.scratch)
 	if i < 0 {
 		return nil
 	}
 	c := b.scratch[i].Replica
-	b.add(c, q.cost, now)
+	b.countRequest(c, q.costMs, now)
 	return c
 }
 
-// add counts a request at the replica.
-func (b *backends) add(r *pool.Replica, cost float64, now time.Time) {
-	b.forget()
-	s := b.of(r.ID)
+// countRequest counts a request at the replica.
+func (b *backends) countRequest(r *pool.Replica, cost float64, now time.Time) {
+	b.forgetIdle()
+	s := b.stateOf(r.ID)
 	s.service = r.Service
 	s.running++
-	s.pending += cost
+	s.pendingMs += cost
 	s.breaker.Tried(now)
 }
 
@@ -59,7 +59,7 @@
 func (b *backends) candidates(r []*pool.Replica, tried []string, now time.Time) []*pool.Replica {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.gatherSound(r, tried, now)
+	b.gatherHealthy(r, tried, now)
 	l := make([]*pool.Replica, len(b.scratch))
 	for i, c := range b.scratch {
 		l[i] = c.Replica
@@ -67,16 +67,16 @@
 	return l
 }
 
-// put counts a request at a replica that was chosen elsewhere.
-func (b *backends) put(r *pool.Replica, cost float64, now time.Time) {
+// assign counts a request at a replica that was chosen elsewhere.
+func (b *backends) assign(r *pool.Replica, cost float64, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.add(r, cost, now)
+	b.countRequest(r, cost, now)
 }
 
-// gatherSound makes the candidates anew of those whose breakers allow it, or
+// gatherHealthy makes the candidates anew of those whose breakers allow it, or
 // of all if they leave none; of those that leave if there is no other.
-func (b *backends) gatherSound(r []*pool.Replica, tried []string, now time.Time) {
+func (b *backends) gatherHealthy(r []*pool.Replica, tried []string, now time.Time) {
 	b.gather(r, tried, now, func(x *backend, v notice.Availability) bool { return v == notice.Available && x.breaker.Allows(now) })
 	for _, v := range []notice.Availability{notice.Available, notice.LastResort} {
 		if len(b.scratch) == 0 {
@@ -85,8 +85,8 @@
 	}
 }
 
-// unused is the state of a replica that was not used yet.
-var unused backend
+// unusedBackend is the state of a replica that was not used yet.
+var unusedBackend backend
 
 // gather makes the candidates anew. Every road to a replica comes by here.
 func (b *backends) gather(r []*pool.Replica, tried []string, now time.Time, allowed func(*backend, notice.Availability) bool) {
@@ -96,33 +96,33 @@
 		// thousands.
 		s := b.state[x.ID]
 		if s == nil {
-			s = &unused
+			s = &unusedBackend
 		}
 		if allowed(s, b.notices.Availability(x.ID, now)) && !slices.Contains(tried, x.ID) {
-			b.scratch = append(b.scratch, pool.Candidate{Replica: x, Local: s.running, PendingMs: s.pending})
+			b.scratch = append(b.scratch, pool.Candidate{Replica: x, Local: s.running, PendingMs: s.pendingMs})
 		}
 	}
 }
 
-// read takes a prompt's cost off once the replica has read it.
-func (b *backends) read(id string, cost float64) {
+// promptRead takes a prompt's cost off once the replica has promptRead it.
+func (b *backends) promptRead(id string, cost float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(id).pending -= cost
+	b.stateOf(id).pendingMs -= cost
 }
 
 // doneOpaque gives the replica back and learns from the result.
 func (b *backends) doneOpaque(id string, bad, unreached bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.of(id)
+	s := b.stateOf(id)
 	s.running--
 	if unreached {
 		s.breaker.Open(now)
 		return
 	}
 	if bad {
-		s.breaker.Failed(now, b.usual(s))
+		s.breaker.Failed(now, b.serviceFailureRate(s))
 		return
 	}
 	s.breaker.Succeeded()
@@ -132,5 +132,5 @@
 func (b *backends) release(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(id).running--
+	b.stateOf(id).running--
 }
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -16,18 +16,18 @@
 
 // cascadeRun is a chat request on its way through the steps of its plan.
 type cascadeRun struct {
-	session session.Session
-	moved   bool
-	spent   bill.Amount
+	session      session.Session
+	sessionMoved bool
+	spent        bill.Amount
 	// best is the last whole answer that was rated too low.
-	best *Answer
-	by   version.ID
+	best    *Answer
+	version version.ID
 	// slow says that the last answer speaks against its version by its time.
 	slow bool
-	// held is that answer's chunks, if the request is streamed.
-	held *collector
-	// unknown is set by a step of which it is not known that it did not run.
-	unknown bool
+	// bestStream is that answer's chunks, if the request is streamed.
+	bestStream *collector
+	// mayHaveRun is set by a step of which it is not known that it did not run.
+	mayHaveRun bool
 }
 
 // maxRepicks bounds how often one step picks anew because its version was
@@ -50,26 +50,26 @@
 	for i, s := range p {
 		a, ok, err := r.step(x, q, c, s)
 		if err != nil && i == len(p)-1 {
-			return r.fallBack(q, c, err)
+			return r.finishWithBest(q, c, err)
 		}
 		if ok {
-			return a, r.finish(q, c, c.by, false), nil
+			return a, r.finish(q, c, c.version, false), nil
 		}
 	}
-	return r.fallBack(q, c, nil)
+	return r.finishWithBest(q, c, nil)
 }
 
-// fallBack ends a cascade whose last step gave no answer: with the best
+// finishWithBest ends a cascade whose last step gave no answer: with the best
 // answer that an earlier step gave, else with the failure.
-func (r *Router) fallBack(q Request, c *cascadeRun, err error) (Answer, Result, error) {
+func (r *Router) finishWithBest(q Request, c *cascadeRun, err error) (Answer, Result, error) {
 	if c.best != nil {
-		return *c.best, r.finish(q, c, c.by, true), nil
+		return *c.best, r.finish(q, c, c.version, true), nil
 	}
 	if err == nil {
 		err = notRun(ModelNotAllowed, "the plan has no steps")
 	}
 	f := *failed(err)
-	if c.unknown {
+	if c.mayHaveRun {
 		f.Outcome = outcome.Unknown
 	}
 	return Answer{}, Result{}, &f
@@ -79,7 +79,7 @@
 func (r *Router) finish(q Request, c *cascadeRun, x version.ID, below bool) Result {
 	v := r.view.Get()
 	r.bill(v, q, x, c.spent)
-	return Result{RequestID: q.ID, Version: x, Revision: v.Active.Revision(), Session: c.session, SessionMoved: c.moved, BelowTarget: below}
+	return Result{RequestID: q.ID, Version: x, Revision: v.Active.Revision(), Session: c.session, SessionMoved: c.sessionMoved, BelowTarget: below}
 }
 
 // step runs one step of the plan. ok says that its answer is good enough.
@@ -91,7 +91,7 @@
 		}
 	}
 	if err != nil {
-		c.unknown = c.unknown || outcome.Of(err) == outcome.Unknown && !isFailure(err)
+		c.mayHaveRun = c.mayHaveRun || outcome.Of(err) == outcome.Unknown && !isFailure(err)
 		return a, false, err
 	}
 	return a, r.accept(ctx, q, c, s, a), nil
@@ -104,13 +104,13 @@
 
 func (r *Router) stepOnce(ctx context.Context, q Request, c *cascadeRun, s policy.Step) (Answer, error) {
 	v := r.view.Get()
-	x, n, moved, err := r.pick(v, q, c.session, s.Model)
+	x, n, moved, err := r.pickVersion(v, q, c.session, s.Model)
 	if err != nil {
 		return Answer{}, err
 	}
 	var a Answer
 	var sent time.Time
-	err = r.attempts(ctx, q, x, func(b *pool.Replica) (err error) {
+	err = r.runOnVersion(ctx, q, x, func(b *pool.Replica) (err error) {
 		sent = r.clock()
 		a, err = r.engines.Chat(ctx, b, newAttempt(q, x))
 		return err
@@ -119,7 +119,7 @@
 		return a, err
 	}
 	c.slow = r.answerIsSlow(v, q.Caller, x, a, r.clock().Sub(sent))
-	c.by, c.session, c.moved = x, n, c.moved || moved
+	c.version, c.session, c.sessionMoved = x, n, c.sessionMoved || moved
 	c.spent = c.spent.Plus(price(v, x, a))
 	return a, nil
 }
@@ -128,18 +128,18 @@
 // rating the next step is tried: quality goes before cost.
 func (r *Router) accept(ctx context.Context, q Request, c *cascadeRun, s policy.Step, a Answer) bool {
 	if s.Accept == 0 {
-		r.weigh(r.view.Get(), q, c, a.Body)
+		r.recordUnratedAnswer(r.view.Get(), q, c, a.Body)
 		return true
 	}
 	c.best = &a
 	f, err := r.rater.Rate(ctx, q.Body, []byte(a.Text))
 	if err != nil {
-		r.events.unrated(q.ID, err)
+		r.hooks.ratingFailed(q.ID, err)
 		return false
 	}
-	r.rated(c, f)
+	r.recordRating(c, f)
 	r.mu.Lock()
-	r.learner.Saw(learnKey(q, s), f >= s.Accept)
+	r.cascadeLearner.Saw(learnerKey(q, s), f >= s.Accept)
 	r.mu.Unlock()
 	return f >= s.Accept
 }
--- a/entry/ended_test.go
+++ b/entry/crash_test.go
@@ -16,14 +16,14 @@
 )
 
 // endedUpstream breaks each request off, as a replica does that ends.
-type endedUpstream struct{}
+type crashedUpstream struct{}
 
-func (endedUpstream) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
+func (crashedUpstream) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
 	return nil, outcome.New(outcome.Unknown, "read", r.ID, io.ErrUnexpectedEOF)
 }
 
 // HasEnded implements Prober.
-func (endedUpstream) HasEnded(context.Context, *pool.Replica) bool { return true }
+func (crashedUpstream) HasEnded(context.Context, *pool.Replica) bool { return true }
 
 // A request brings down a replica of a good release, and forty others break off there. To
 // the judges that was forty bad answers of the release, and it was taken back.
@@ -33,14 +33,14 @@
 	rel.Phase = 2
 	v.Put(NewView(nil, []pool.Replica{{ID: "new.1", Kind: pool.Service, Service: "s", Release: "v2", Slots: 64}}, nil, nil).
 		WithRoutes(route.New(1, nil, nil, nil, route.Limits{}), map[string]rollout.Release{"s": rel}))
-	r := NewRouter(Ports{View: v, Clock: time.Now, Rand: rand.NewPCG(1, 1), Upstream: endedUpstream{}, Prober: endedUpstream{}, Retries: admission.Repeats{Burst: 99}})
+	r := NewRouter(Ports{View: v, Clock: time.Now, Rand: rand.NewPCG(1, 1), Upstream: crashedUpstream{}, Prober: crashedUpstream{}, Retries: admission.Repeats{Burst: 99}})
 	x := &route.Route{Kind: route.Once, MaxAttempts: 1, Split: []route.Part{{Service: "s"}}}
 	for i := range 40 {
 		q := &OpaqueRequest{ID: fmt.Sprint("q", i), Table: v.Get().Table, Route: x, ArrivedAt: time.Now(), Deadline: time.Now().Add(time.Second), TimeoutAt: time.Now().Add(time.Second)}
 		if _, err := r.Forward(t.Context(), q, &clientSink{}); err == nil {
 			t.Fatal("a request was answered")
 		}
-		r.backends.of("new.1").breaker = admission.Breaker{}
+		r.backends.stateOf("new.1").breaker = admission.Breaker{}
 	}
 	var broken uint64
 	for _, y := range r.CollectTallies() {
@@ -72,9 +72,9 @@
 		if c.listed {
 			v.Put(NewView(nil, []pool.Replica{b}, nil, nil))
 		}
-		r := NewRouter(Ports{View: v, Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Prober: endedUpstream{}})
-		a := &attempt{w: &forwarding{r: r, f: &ForwardResult{Service: "s"}}, replica: &b, sent: c.sent}
-		if got := a.replicaEnded(); got != c.want {
+		r := NewRouter(Ports{View: v, Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Prober: crashedUpstream{}})
+		a := &attempt{w: &forwarding{r: r, result: &ForwardResult{Service: "s"}}, replica: &b, sentAt: c.sent}
+		if got := a.replicaCrashed(); got != c.want {
 			t.Errorf("%s: ended %t, want %t", c.name, got, c.want)
 		}
 	}
--- a/entry/hopeless_test.go
+++ b/entry/deadline_test.go
@@ -16,8 +16,8 @@
 	q := &OpaqueRequest{Route: &route.Route{}, Deadline: now.Add(5 * time.Second), TimeoutAt: now.Add(5 * time.Second)}
 	seen := map[time.Time]bool{}
 	for range 20 {
-		w := &forwarding{r: r, q: q, f: &ForwardResult{Service: "s"}}
-		if !w.hopeless(&placed{ready: 7000}) {
+		w := &forwarding{r: r, q: q, result: &ForwardResult{Service: "s"}}
+		if !w.missesDeadline(&assignment{firstEventMs: 7000}) {
 			t.Fatal("a first event after 7 s of 5 s is not hopeless")
 		}
 		if d := w.retryAt.Sub(now); d < 2*time.Second || d > 3*time.Second {
--- a/entry/distance_test.go
+++ b/entry/distance_test.go
@@ -14,17 +14,17 @@
 func TestAwayCountsBytes(t *testing.T) {
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: time.Now, Rand: rand.NewPCG(1, 1)})
 	away := func(name string, body int) float64 {
-		return (&forwarding{r: r, q: &OpaqueRequest{Route: &route.Route{Name: name}, Body: make([]byte, body)}}).away()
+		return (&forwarding{r: r, q: &OpaqueRequest{Route: &route.Route{Name: name}, Body: make([]byte, body)}}).remotePenaltyMs()
 	}
 	small, large := away("a", 1_000), away("a", 18_000)
-	if d := large - small; d < 17*awayPerKB-1 || d > 17*awayPerKB+1 {
-		t.Errorf("17 kB more count for %.0f ms more, want %.0f", d, 17*awayPerKB)
+	if d := large - small; d < 17*remoteMsPerKB-1 || d > 17*remoteMsPerKB+1 {
+		t.Errorf("17 kB more count for %.0f ms more, want %.0f", d, 17*remoteMsPerKB)
 	}
 	for range 200 {
-		r.answers.saw("b", 12_000)
+		r.answerSizes.observe("b", 12_000)
 	}
-	if d := away("b", 1_000) - small; d < 9*awayPerKB || d > 11*awayPerKB {
-		t.Errorf("answers of 12 kB count for %.0f ms more, want about %.0f", d, 10*awayPerKB)
+	if d := away("b", 1_000) - small; d < 9*remoteMsPerKB || d > 11*remoteMsPerKB {
+		t.Errorf("answers of 12 kB count for %.0f ms more, want about %.0f", d, 10*remoteMsPerKB)
 	}
 }
 
@@ -32,11 +32,11 @@
 // reads it in no time.
 func TestReadingAgainCountsTokens(t *testing.T) {
 	const tokens = 10_000
-	quick, slow := readAgain(tokens, 0.008), readAgain(tokens, 0.08)
-	if quick < tokens*againPerToken {
-		t.Errorf("%.0f ms, want %.0f at least", quick, tokens*againPerToken)
+	quick, slow := reprefillPenaltyMs(tokens, 0.008), reprefillPenaltyMs(tokens, 0.08)
+	if quick < tokens*reprefillMsPerToken {
+		t.Errorf("%.0f ms, want %.0f at least", quick, tokens*reprefillMsPerToken)
 	}
-	if d, want := slow-quick, againTimes*720.0; d < want-1 || d > want+1 {
+	if d, want := slow-quick, reprefillFactor*720.0; d < want-1 || d > want+1 {
 		t.Errorf("720 ms of reading more count for %.0f ms more, want %.0f", d, want)
 	}
 }
@@ -45,11 +45,11 @@
 func TestEstimateNamesParts(t *testing.T) {
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: time.Now, Rand: rand.NewPCG(1, 1)})
 	q := &OpaqueRequest{Route: &route.Route{}, Prompt: prompt.Prompt{Model: "m", In: 350, Parts: []prompt.Part{{ID: "a", Tokens: 100}, {ID: "b", Tokens: 200}, {ID: "own", Tokens: 50}}}}
-	e := (&forwarding{r: r, q: q, f: &ForwardResult{Service: "s"}, model: -1}).estimate()
-	if e.key != "m/b" || len(e.shared) != 2 || e.shared[0].Key != "m/a" || e.shared[1].Key != "m/b" {
-		t.Errorf("key %q, parts %+v, want m/b of m/a and m/b", e.key, e.shared)
+	e := (&forwarding{r: r, q: q, result: &ForwardResult{Service: "s"}, modelIndex: -1}).estimatePrompt()
+	if e.affinityKey != "m/b" || len(e.shared) != 2 || e.shared[0].Key != "m/a" || e.shared[1].Key != "m/b" {
+		t.Errorf("key %q, parts %+v, want m/b of m/a and m/b", e.affinityKey, e.shared)
 	}
-	if want := 50 * e.speed; e.own < want-1e-9 || e.own > want+1e-9 {
-		t.Errorf("%f ms for what nobody shares, want %f", e.own, want)
+	if want := 50 * e.msPerToken; e.unsharedMs < want-1e-9 || e.unsharedMs > want+1e-9 {
+		t.Errorf("%f ms for what nobody shares, want %f", e.unsharedMs, want)
 	}
 }
--- a/entry/estimate.go
+++ b/entry/estimate.go
@@ -3,31 +3,31 @@
 import "fieldvale/placement"
 
 // estimate is what the request's prompt takes to read, in milliseconds.
-type estimate struct {
+type promptEstimate struct {
 	// key names all that is shared; empty for nothing.
-	key string
+	affinityKey string
 	// own is the time for what nobody shares, shared for the rest by part.
-	own    float64
-	shared []placement.PrefixPart
+	unsharedMs float64
+	shared     []placement.PrefixPart
 	// speed is the time for a token.
-	speed float64
+	msPerToken float64
 }
 
 // estimate returns the prompt's times at the model's speed. Parts are kept by
 // model.
-func (w *forwarding) estimate() estimate {
+func (w *forwarding) estimatePrompt() promptEstimate {
 	p := w.q.Prompt
-	s := w.r.speeds.MsPerToken(w.speedKey(), max(0, w.model))
-	e := estimate{own: float64(p.In-p.SharedTokens()) * s, speed: s}
+	s := w.r.prefillTimes.MsPerToken(w.prefillKey(), max(0, w.modelIndex))
+	e := promptEstimate{unsharedMs: float64(p.In-p.SharedTokens()) * s, msPerToken: s}
 	for _, x := range p.Shared() {
-		e.key = w.modelName() + "/" + x.ID
-		e.shared = append(e.shared, placement.PrefixPart{Key: e.key, PrefillMs: float64(x.Tokens) * s, ReprefillPenaltyMs: readAgain(x.Tokens, s)})
+		e.affinityKey = w.modelName() + "/" + x.ID
+		e.shared = append(e.shared, placement.PrefixPart{Key: e.affinityKey, PrefillMs: float64(x.Tokens) * s, ReprefillPenaltyMs: reprefillPenaltyMs(x.Tokens, s)})
 	}
 	return e
 }
 
 // speedKey names what reads at one speed.
-func (w *forwarding) speedKey() string { return w.f.Service + "/" + w.modelName() }
+func (w *forwarding) prefillKey() string { return w.result.Service + "/" + w.modelName() }
 
 // holdKey names what holds its slot for one time on average.
-func (w *forwarding) holdKey() string { return w.q.Route.Name + "/" + w.modelName() }
+func (w *forwarding) slotTimeKey() string { return w.q.Route.Name + "/" + w.modelName() }
--- a/entry/evidence.go
+++ b/entry/evidence.go
@@ -22,10 +22,10 @@
 // evidence counts good and bad outcomes by version. An answer counts as good
 // or bad once: by its rating where there is one, else by having come whole.
 type evidence struct {
-	mu    sync.Mutex
-	count map[version.ID]rollout.Outcomes
-	rater Rater
-	queue *ring.Ring[ratingJob]
+	mu       sync.Mutex
+	outcomes map[version.ID]rollout.Outcomes
+	rater    Rater
+	queue    *ring.Ring[ratingJob]
 }
 
 type ratingJob struct {
@@ -35,19 +35,19 @@
 }
 
 func newEvidence(r Rater) *evidence {
-	return &evidence{count: map[version.ID]rollout.Outcomes{}, rater: r, queue: ring.New[ratingJob](maxRatings)}
+	return &evidence{outcomes: map[version.ID]rollout.Outcomes{}, rater: r, queue: ring.New[ratingJob](maxRatings)}
 }
 
 func (e *evidence) good(v version.ID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.count[v] = e.count[v].WithGood(1)
+	e.outcomes[v] = e.outcomes[v].WithGood(1)
 }
 
 func (e *evidence) bad(v version.ID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.count[v] = e.count[v].WithBad(1)
+	e.outcomes[v] = e.outcomes[v].WithBad(1)
 }
 
 func (e *evidence) rated(v version.ID, rating float64) {
@@ -60,7 +60,7 @@
 
 // later has an answer rated after the caller got it. One that finds no room
 // counts as good, as an unrated answer does.
-func (e *evidence) later(v version.ID, request, answer []byte) {
+func (e *evidence) queueRating(v version.ID, request, answer []byte) {
 	if !e.queue.Offer(ratingJob{v, request, answer}) {
 		e.good(v)
 	}
@@ -88,8 +88,8 @@
 func (e *evidence) all() map[version.ID]rollout.Outcomes {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := make(map[version.ID]rollout.Outcomes, len(e.count))
-	for k, v := range e.count {
+	r := make(map[version.ID]rollout.Outcomes, len(e.outcomes))
+	for k, v := range e.outcomes {
 		r[k] = v
 	}
 	return r
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -15,221 +15,221 @@
 	// maxRefusals bounds how many replicas may turn a request away before the
 	// client is told to come back.
 	maxRefusals = 3
-	// maxUnreached bounds how many replicas that can't be connected to are
+	// maxUnreachable bounds how many replicas that can't be connected to are
 	// tried; those reset at once or take a dial's time.
-	maxUnreached = 8
-	// refusedRetry is when a client should come back that no replica took.
-	refusedRetry = 250 * time.Millisecond
+	maxUnreachable = 8
+	// refusalRetryDelay is when a client should come back that no replica took.
+	refusalRetryDelay = 250 * time.Millisecond
 )
 
 // forwarding is one opaque request on its way.
 type forwarding struct {
-	r   *Router
-	q   *OpaqueRequest
-	out ForwardSink
-	f   *ForwardResult
+	r      *Router
+	q      *OpaqueRequest
+	out    ForwardSink
+	result *ForwardResult
 
 	tried    []string
 	refusals int
-	// unreached counts replicas that could not be connected to.
-	unreached int
-	// next is the replica for the next attempt, if it is chosen already.
-	next *placed
-	// model is an index into the route's models; below 0 the client's stays.
-	model int
-	// askedBy is the model whose answer was dropped for this one's; below 0
+	// unreachable counts replicas that could not be connected to.
+	unreachable int
+	// nextAssignment is the replica for the nextAssignment attempt, if it is chosen already.
+	nextAssignment *assignment
+	// modelIndex is an index into the route's models; below 0 the client's stays.
+	modelIndex int
+	// escalatedFrom is the model whose answer was dropped for this one's; below 0
 	// there was none.
-	askedBy int
-	// started says that the client has some of the answer.
-	started bool
-	// after is the last event that the client has.
-	after string
-	watch watch
-	// hasBegun says that it was told that the request began to run.
-	hasBegun bool
-	// unknown says that some attempt may have run without an answer.
-	unknown bool
-	retryAt time.Time
-	cause   error
-	// failure is a whole answer of failure that a replica gave.
-	failure *keptAnswer
+	escalatedFrom int
+	// answerStarted says that the client has some of the answer.
+	answerStarted bool
+	// lastEventID is the last event that the client has.
+	lastEventID     string
+	quarantineCheck quarantineCheck
+	// startReported says that it was told that the request began to run.
+	startReported bool
+	// mayHaveRun says that some attempt may have run without an answer.
+	mayHaveRun bool
+	retryAt    time.Time
+	cause      error
+	// failureAnswer is a whole answer of failureAnswer that a replica gave.
+	failureAnswer *failureAnswer
 }
 
 // Forward routes a request to a replica of its service and passes the answer
 // on. The error is a *Failure; if the sink had its head by then, the answer
 // must be broken off.
 func (r *Router) Forward(ctx context.Context, q *OpaqueRequest, out ForwardSink) (*ForwardResult, error) {
-	x, cancel := context.WithTimeout(ctx, q.until().Sub(r.clock()))
+	x, cancel := context.WithTimeout(ctx, q.effectiveDeadline().Sub(r.clock()))
 	defer cancel()
-	w := &forwarding{r: r, q: q, out: out, after: q.LastEventID, model: -1, askedBy: -1, watch: watch{quarantine: r.quarantine, content: q.Fingerprint}}
-	w.f = &ForwardResult{Request: q, Service: q.Route.Service(q.ID), Confidence: -1}
+	w := &forwarding{r: r, q: q, out: out, lastEventID: q.LastEventID, modelIndex: -1, escalatedFrom: -1, quarantineCheck: quarantineCheck{quarantine: r.quarantine, fingerprint: q.Fingerprint}}
+	w.result = &ForwardResult{Request: q, Service: q.Route.Service(q.ID), Confidence: -1}
 	if len(q.Route.Models) > 0 && (q.Prompt.Model == prompt.AnyModel || q.Prompt.Model == "") {
-		w.model = 0
+		w.modelIndex = 0
 	}
-	r.underway.add(w, cancel)
-	defer r.underway.remove(w)
-	r.received(w.f.Service)
+	r.activeForwards.add(w, cancel)
+	defer r.activeForwards.remove(w)
+	r.countRequest(w.result.Service)
 	err := w.run(x)
-	w.f.EndedAt = r.clock()
+	w.result.EndedAt = r.clock()
 	if err == nil {
-		return w.f, nil
+		return w.result, nil
 	}
-	f := w.failed(ctx, err)
-	w.f.Outcome, w.f.Code, w.f.Cause = f.Outcome, f.Code, f.Cause
-	return w.f, f
+	f := w.failure(ctx, err)
+	w.result.Outcome, w.result.Code, w.result.Cause = f.Outcome, f.Code, f.Cause
+	return w.result, f
 }
 
-// errGiveUp says that no further attempt may be made.
-var errGiveUp = errors.New("no further attempt may be made")
+// errNoAttemptLeft says that no further attempt may be made.
+var errNoAttemptLeft = errors.New("no further attempt may be made")
 
 // run makes one attempt after another until the request is over.
 func (w *forwarding) run(ctx context.Context) error {
 	for {
 		err := w.attempt(ctx)
-		if err == nil || w.over(ctx, err) {
+		if err == nil || w.isOver(ctx, err) {
 			return err
 		}
 	}
 }
 
-// over decides whether the request ends with err or goes to another replica.
-func (w *forwarding) over(ctx context.Context, err error) bool {
-	if errors.Is(err, errPaid) {
+// isOver decides whether the request ends with err or goes to another replica.
+func (w *forwarding) isOver(ctx context.Context, err error) bool {
+	if errors.Is(err, errRetryGranted) {
 		return false
 	}
-	if errors.Is(err, errGiveUp) {
-		return w.ends(true, "no replica left")
+	if errors.Is(err, errNoAttemptLeft) {
+		return w.stopIf(true, "no replica left")
 	}
 	if errors.Is(err, errQuarantined) {
 		w.cause = errors.CombineErrors(err, w.cause)
-		return w.ends(true, "quarantined: "+w.f.Verdict.Decision.String())
+		return w.stopIf(true, "quarantined: "+w.result.Verdict.Decision.String())
 	}
-	if errors.Is(err, errHopeless) {
+	if errors.Is(err, errTooLateAlready) {
 		w.cause = err
-		return w.ends(true, "too late already")
+		return w.stopIf(true, "too late already")
 	}
-	isLate := !w.r.clock().Before(w.q.until())
-	if errors.Is(err, errCaller) || errors.Is(ctx.Err(), context.Canceled) && !isLate {
-		return w.ends(true, "the client left")
+	isLate := !w.r.clock().Before(w.q.effectiveDeadline())
+	if errors.Is(err, errCallerGone) || errors.Is(ctx.Err(), context.Canceled) && !isLate {
+		return w.stopIf(true, "the client left")
 	}
 	w.cause = err
 	if ctx.Err() != nil || isLate {
-		return w.ends(true, "out of time")
+		return w.stopIf(true, "out of time")
 	}
 	switch {
-	case isUnreached(err):
-		return w.overUnreached()
+	case isUnreachable(err):
+		return w.isOverUnreachable()
 	case outcome.Of(err) == outcome.NotRun:
-		return w.overRefused()
+		return w.isOverRefused()
 	}
-	return w.overRan(err)
+	return w.isOverRan(err)
 }
 
-// overUnreached counts a replica that could not be connected to.
-func (w *forwarding) overUnreached() bool {
-	w.unreached++
-	return w.ends(w.unreached >= maxUnreached, "replicas out of reach")
+// isOverUnreachable counts a replica that could not be connected to.
+func (w *forwarding) isOverUnreachable() bool {
+	w.unreachable++
+	return w.stopIf(w.unreachable >= maxUnreachable, "replicas out of reach")
 }
 
-// overRefused counts a replica that turned the request away.
-func (w *forwarding) overRefused() bool {
+// isOverRefused counts a replica that turned the request away.
+func (w *forwarding) isOverRefused() bool {
 	w.refusals++
-	return w.ends(w.refusals >= maxRefusals, "replicas refused") || w.ends(!w.budget(), "no budget")
+	return w.stopIf(w.refusals >= maxRefusals, "replicas refused") || w.stopIf(!w.takeRetry(), "no budget")
 }
 
-// overRan decides after an attempt that ran or may have run.
-func (w *forwarding) overRan(err error) bool {
+// isOverRan decides after an attempt that ran or may have run.
+func (w *forwarding) isOverRan(err error) bool {
 	if outcome.Of(err) == outcome.Unknown {
-		w.unknown = true
+		w.mayHaveRun = true
 	}
-	return w.ends(!w.q.Route.Repeats(), "may run once") ||
-		w.ends(w.f.Runs >= w.q.Route.MaxAttempts, "attempts used") ||
-		w.ends(!w.budget(), "no budget")
+	return w.stopIf(!w.q.Route.Repeats(), "may run once") ||
+		w.stopIf(w.result.Runs >= w.q.Route.MaxAttempts, "attempts used") ||
+		w.stopIf(!w.takeRetry(), "no budget")
 }
 
-// ends notes why no further attempt is made, if that is so.
-func (w *forwarding) ends(over bool, why string) bool {
+// stopIf notes why no further attempt is made, if that is so.
+func (w *forwarding) stopIf(over bool, why string) bool {
 	if over {
-		w.f.StopReason = why
+		w.result.StopReason = why
 	}
 	return over
 }
 
-// isUnreached reports whether the replica was not connected to: nothing
+// isUnreachable reports whether the replica was not connected to: nothing
 // arrived there, so that no repeat is counted.
-func isUnreached(err error) bool {
+func isUnreachable(err error) bool {
 	o, ok := asOutcome(err)
 	return ok && o.Kind == outcome.NotRun && o.Status == 0
 }
 
-// budget takes a repeat after a failure.
-func (w *forwarding) budget() bool {
-	return w.r.mayRepeat(w.f.Service, 0)
+// takeRetry takes a repeat after a failure.
+func (w *forwarding) takeRetry() bool {
+	return w.r.takeOpaqueRetry(w.result.Service, 0)
 }
 
 // attempt sends the request to one replica and passes its answer on.
 func (w *forwarding) attempt(ctx context.Context) error {
-	p := w.next
-	w.next = nil
-	if err := w.allowed(ctx); err != nil {
+	p := w.nextAssignment
+	w.nextAssignment = nil
+	if err := w.checkQuarantine(ctx); err != nil {
 		if p != nil {
-			w.giveBack(p)
+			w.releaseAssignment(p)
 		}
 		return err
 	}
-	if p = w.begun(ctx, p); p == nil {
-		w.watch.untried()
-		return errors.CombineErrors(errGiveUp, w.cause)
+	if p = w.acquireReplica(ctx, p); p == nil {
+		w.quarantineCheck.cancelTrial()
+		return errors.CombineErrors(errNoAttemptLeft, w.cause)
 	}
-	if w.hopeless(p) {
-		w.watch.untried()
-		w.giveBack(p)
-		return errHopeless
+	if w.missesDeadline(p) {
+		w.quarantineCheck.cancelTrial()
+		w.releaseAssignment(p)
+		return errTooLateAlready
 	}
 	b := p.replica
-	d := Dispatch{Request: w.q, LastEventID: w.after, Deadline: w.q.until(), Priority: w.q.priority()}
-	if w.model >= 0 {
-		d.Model = w.q.Route.Models[w.model]
+	d := Dispatch{Request: w.q, LastEventID: w.lastEventID, Deadline: w.q.effectiveDeadline(), Priority: w.q.priority()}
+	if w.modelIndex >= 0 {
+		d.Model = w.q.Route.Models[w.modelIndex]
 	}
-	w.f.Sends++
-	w.f.Tried = append(w.f.Tried, b.ID)
-	w.f.Replica, w.f.Release, w.f.Model = b.ID, b.Release, d.Model
+	w.result.Sends++
+	w.result.Tried = append(w.result.Tried, b.ID)
+	w.result.Replica, w.result.Release, w.result.Model = b.ID, b.Release, d.Model
 	w.tried = append(w.tried, b.ID)
-	a := &attempt{w: w, placed: p, replica: b, sent: w.r.clock(), kind: w.holdKey()}
-	a.await()
+	a := &attempt{w: w, assignment: p, replica: b, sentAt: w.r.clock(), slotTimeKey: w.slotTimeKey()}
+	a.startHeadWait()
 	err := a.exchange(ctx, d)
-	a.left = errors.Is(ctx.Err(), context.Canceled)
+	a.clientLeft = errors.Is(ctx.Err(), context.Canceled)
 	a.done(err)
 	return err
 }
 
-// take chooses a replica among those that the release allows.
-func (w *forwarding) take(ctx context.Context) *placed {
+// assignReplica chooses a replica among those that the release allows.
+func (w *forwarding) assignReplica(ctx context.Context) *assignment {
 	v := w.r.view.Get()
-	l := w.inRegions(v.byService[w.f.Service])
-	w.f.Excluded = w.r.notices.ExclusionSummary(pool.IDs(l), w.r.clock())
-	rel, ok := v.Releases[w.f.Service]
+	l := w.inAllowedRegions(v.byService[w.result.Service])
+	w.result.Excluded = w.r.notices.ExclusionSummary(pool.IDs(l), w.r.clock())
+	rel, ok := v.Releases[w.result.Service]
 	if !ok {
-		return w.place(ctx, l)
+		return w.assignAmong(ctx, l)
 	}
-	passed := len(w.f.Skipped)
-	p := w.place(ctx, w.ofRelease(l, rel))
-	if p == nil && (len(w.f.Skipped) > passed || w.f.Excluded != "") && w.mayStay(rel) {
-		return w.place(ctx, ofOld(l, rel))
+	passed := len(w.result.Skipped)
+	p := w.assignAmong(ctx, w.replicasByRelease(l, rel))
+	if p == nil && (len(w.result.Skipped) > passed || w.result.Excluded != "") && w.mayUseOldRelease(rel) {
+		return w.assignAmong(ctx, oldReplicas(l, rel))
 	}
 	return p
 }
 
 // modelName is the model that the request goes to.
 func (w *forwarding) modelName() string {
-	if w.model >= 0 {
-		return w.q.Route.Models[w.model]
+	if w.modelIndex >= 0 {
+		return w.q.Route.Models[w.modelIndex]
 	}
 	return w.q.Prompt.Model
 }
 
-// failed is the last word on the request.
-func (w *forwarding) failed(ctx context.Context, err error) *Failure {
+// failure is the last word on the request.
+func (w *forwarding) failure(ctx context.Context, err error) *Failure {
 	f := &Failure{Code: Refused, Outcome: outcome.NotRun, RetryAt: w.retryAt, Message: "no replica took the request", Cause: err}
 	if w.cause != nil {
 		f.Cause = w.cause
@@ -238,19 +238,19 @@
 		f.Code, f.Message = Quarantined, errQuarantined.Error()
 	}
 	switch {
-	case w.unknown || w.started:
+	case w.mayHaveRun || w.answerStarted:
 		f.Code, f.Outcome, f.Message = BackendFailed, outcome.Unknown, "the backend servers failed"
-	case w.f.Runs > 0:
+	case w.result.Runs > 0:
 		f.Code, f.Outcome, f.Message = BackendFailed, outcome.Ran, "the backend servers failed"
 	}
-	if !w.r.clock().Before(w.q.until()) && ctx.Err() == nil {
+	if !w.r.clock().Before(w.q.effectiveDeadline()) && ctx.Err() == nil {
 		f.Code, f.Message = DeadlineExceeded, "the deadline passed"
 	}
 	if f.RetryAt.IsZero() {
-		f.RetryAt = w.r.restedAt(w.r.view.Get().byService[w.f.Service])
+		f.RetryAt = w.r.backoffEndsAt(w.r.view.Get().byService[w.result.Service])
 	}
 	if f.RetryAt.IsZero() {
-		f.RetryAt = w.r.clock().Add(refusedRetry)
+		f.RetryAt = w.r.clock().Add(refusalRetryDelay)
 	}
 	return f
 }
--- a/entry/forward_test.go
+++ b/entry/forward_test.go
@@ -43,7 +43,7 @@
 		t.Fatalf("no scripts: %v", err)
 	}
 	for _, p := range l {
-		t.Run(strings.TrimSuffix(filepath.Base(p), ".txt"), func(t *testing.T) { playForward(t, p) })
+		t.Run(strings.TrimSuffix(filepath.Base(p), ".txt"), func(t *testing.T) { runForwardScript(t, p) })
 	}
 }
 
@@ -67,12 +67,12 @@
 	end        string
 }
 
-func playForward(t *testing.T, path string) { playForwardWith(t, path, nil, nil) }
+func runForwardScript(t *testing.T, path string) { runForwardScriptWith(t, path, nil, nil) }
 
 // playForwardWith plays a script with replicas bounded as the quota says, and contents sent as
 // the quarantine says, and returns how often the request was sent.
-func playForwardWith(t *testing.T, path string, bounds Quota, contents Quarantine) int {
-	s := readForward(t, path)
+func runForwardScriptWith(t *testing.T, path string, bounds Quota, contents Quarantine) int {
+	s := readForwardScript(t, path)
 	s.route.Split = []route.Part{{Service: "s"}}
 	v := NewCurrentView()
 	var l []pool.Replica
@@ -117,7 +117,7 @@
 	return busyPlacer(s.busy)
 }
 
-func readForward(t *testing.T, path string) *forwardScript {
+func readForwardScript(t *testing.T, path string) *forwardScript {
 	f, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
@@ -203,23 +203,23 @@
 	if p.err != nil {
 		return nil, p.err
 	}
-	return &scriptReply{ctx: ctx, p: p}, nil
+	return &replyFake{ctx: ctx, p: p}, nil
 }
 
-type scriptReply struct {
+type replyFake struct {
 	ctx context.Context
 	p   scriptedReply
 	n   int
 }
 
-func (r *scriptReply) Head() Head { return Head{Status: r.p.status, Header: http.Header{}} }
+func (r *replyFake) Head() Head { return Head{Status: r.p.status, Header: http.Header{}} }
 
-func (r *scriptReply) Confidence() (float64, bool) {
+func (r *replyFake) Confidence() (float64, bool) {
 	c, err := strconv.ParseFloat(r.p.confidence, 64)
 	return c, err == nil
 }
 
-func (r *scriptReply) Next() (Event, error) {
+func (r *replyFake) Next() (Event, error) {
 	if err := context.Cause(r.ctx); err != nil {
 		return Event{}, err
 	}
@@ -237,7 +237,7 @@
 	return Event{}, io.EOF
 }
 
-func (r *scriptReply) Body() ([]byte, error) {
+func (r *replyFake) Body() ([]byte, error) {
 	var b []byte
 	for {
 		e, err := r.Next()
@@ -251,7 +251,7 @@
 	}
 }
 
-func (r *scriptReply) Close() {}
+func (r *replyFake) Close() {}
 
 type clientSink struct{ got []string }
 
--- a/entry/leads_test.go
+++ b/entry/gains_test.go
@@ -13,8 +13,8 @@
 // largest one's cost.
 func Example_bounds() {
 	for _, c := range []struct{ lead, share float64 }{{15, 0.5}, {45, 0.5}, {2, 0.5}, {15, 0.25}, {15, 0.9}} {
-		b := bounds(c.lead, c.share)
-		fmt.Printf("lead %.0f, share %.2f: first from %.0f, at all from %.0f\n", c.lead, c.share, b.first, b.atAll)
+		b := nextModelBoundsFor(c.lead, c.share)
+		fmt.Printf("lead %.0f, share %.2f: first from %.0f, at all from %.0f\n", c.lead, c.share, b.askFirst, b.askAtAll)
 	}
 	// Output:
 	// lead 15, share 0.50: first from 44, at all from 25
@@ -29,21 +29,21 @@
 	if g := costShare(s, "m", "l"); g != 0.5 {
 		t.Errorf("share %f, want 0.5", g)
 	}
-	if g := costShare(s, "m", "unknown"); g != unknownShare {
-		t.Errorf("share of an unknown cost %f, want %f", g, unknownShare)
+	if g := costShare(s, "m", "unknown"); g != defaultCostShare {
+		t.Errorf("share of an unknown cost %f, want %f", g, defaultCostShare)
 	}
 }
 
 // A model that can do more than was thought is found out by a few requests
 // that both answered.
 func TestLeadsAreLearntSoon(t *testing.T) {
-	l := newLeads()
-	if g := l.of("s/m"); g != firstLead {
-		t.Errorf("lead %.1f before any was seen, want %.1f", g, firstLead)
+	l := newConfidenceGains()
+	if g := l.of("s/m"); g != initialGain {
+		t.Errorf("lead %.1f before any was seen, want %.1f", g, initialGain)
 	}
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 8 {
-		l.saw("s/m", 50, 95+10*r.Float64()-5)
+		l.observe("s/m", 50, 95+10*r.Float64()-5)
 	}
 	if g := l.of("s/m"); g < 33 {
 		t.Errorf("lead %.1f after 8 requests with 45, want 33 at least", g)
@@ -54,19 +54,19 @@
 // before counts.
 func TestLeadOfOneRequest(t *testing.T) {
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: time.Now, Rand: rand.NewPCG(1, 1)})
-	w := &forwarding{r: r, q: &OpaqueRequest{Route: &route.Route{Models: []string{"s", "m", "l"}}}, f: &ForwardResult{Service: "x", Confidence: 50}, model: 2, askedBy: 0}
-	w.learnLead(100)
-	if g := r.leads.of("x/l"); g != firstLead {
+	w := &forwarding{r: r, q: &OpaqueRequest{Route: &route.Route{Models: []string{"s", "m", "l"}}}, result: &ForwardResult{Service: "x", Confidence: 50}, modelIndex: 2, escalatedFrom: 0}
+	w.learnGain(100)
+	if g := r.confidenceGains.of("x/l"); g != initialGain {
 		t.Errorf("the largest model's lead over the smallest counted as one over the middle: %.1f", g)
 	}
-	w.model, w.askedBy = 1, 0
-	w.learnLead(90)
-	g := r.leads.of("x/m")
-	if g <= firstLead {
-		t.Errorf("lead %.1f after one of 40, want more than %.1f", g, firstLead)
+	w.modelIndex, w.escalatedFrom = 1, 0
+	w.learnGain(90)
+	g := r.confidenceGains.of("x/m")
+	if g <= initialGain {
+		t.Errorf("lead %.1f after one of 40, want more than %.1f", g, initialGain)
 	}
-	w.learnLead(90)
-	if again := r.leads.of("x/m"); again != g {
+	w.learnGain(90)
+	if again := r.confidenceGains.of("x/m"); again != g {
 		t.Errorf("lead %.1f after the same answer again, want %.1f", again, g)
 	}
 }
--- a/entry/group.go
+++ b/entry/group.go
@@ -13,7 +13,7 @@
 
 // group returns the group that the key belongs to among the allowed replicas, and its best
 // candidates: the key's preferred ones first.
-func (w *forwarding) group(key string, allowed, c []*pool.Replica) (group string, best []*pool.Replica) {
+func (w *forwarding) placementGroup(key string, allowed, c []*pool.Replica) (group string, best []*pool.Replica) {
 	if key == "" {
 		key = w.q.ID
 	}
@@ -22,11 +22,11 @@
 	if in := inGroup(c, g, k); len(in) > 0 {
 		c = in
 	}
-	return w.f.Service + "/" + strconv.Itoa(k), preferred(key, c)
+	return w.result.Service + "/" + strconv.Itoa(k), firstCandidates(key, c)
 }
 
 // preferred returns the key's preferred replicas in their order.
-func preferred(key string, l []*pool.Replica) []*pool.Replica {
+func firstCandidates(key string, l []*pool.Replica) []*pool.Replica {
 	if len(l) == 0 {
 		return nil
 	}
@@ -53,7 +53,7 @@
 }
 
 // far returns the bits of the replicas in other data centres.
-func (r *Router) far(c []*pool.Replica) uint64 {
+func (r *Router) remoteBits(c []*pool.Replica) uint64 {
 	var m uint64
 	for i, x := range c {
 		if x.DataCentre != r.dataCentre {
--- a/entry/events.go
+++ b/entry/hooks.go
@@ -38,31 +38,31 @@
 	AttemptJudged func(service, release, verdict string)
 }
 
-func (e *Hooks) judged(service, release, verdict string) {
+func (e *Hooks) attemptJudged(service, release, verdict string) {
 	if e.AttemptJudged != nil {
 		e.AttemptJudged(service, release, verdict)
 	}
 }
 
-func (e *Hooks) badRelease(r rollout.Release, seen rollout.Tally, f rollout.Finding) {
+func (e *Hooks) badReleaseFound(r rollout.Release, seen rollout.Tally, f rollout.Finding) {
 	if e.BadReleaseFound != nil {
 		e.BadReleaseFound(r, seen, f)
 	}
 }
 
-func (e *Hooks) attempt(f FailedAttempt) {
+func (e *Hooks) attemptFailed(f FailedAttempt) {
 	if e.AttemptFailed != nil {
 		e.AttemptFailed(f)
 	}
 }
 
-func (e *Hooks) unrated(request string, err error) {
+func (e *Hooks) ratingFailed(request string, err error) {
 	if e.RatingFailed != nil {
 		e.RatingFailed(request, err)
 	}
 }
 
-func (e *Hooks) unrecorded(c claim.Claim, err error) {
+func (e *Hooks) claimNotRecorded(c claim.Claim, err error) {
 	if e.ClaimNotRecorded != nil {
 		e.ClaimNotRecorded(c, err)
 	}
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -16,14 +16,14 @@
 )
 
 // needy are backend servers of which some name a limit in each answer.
-type needy struct {
+type limitedBackends struct {
 	clock  func() time.Time
 	quota  *quota.Node
 	limits map[string]string
 	got    map[string][]time.Time
 }
 
-func (n *needy) answer(r *pool.Replica) {
+func (n *limitedBackends) answer(r *pool.Replica) {
 	now := n.clock()
 	n.got[r.ID] = append(n.got[r.ID], now)
 	var figures []string
@@ -37,17 +37,17 @@
 	n.quota.Observe(r.Service, r.ID, w)
 }
 
-func (n *needy) Call(_ context.Context, r *pool.Replica, _ ServiceCall) (ServiceAnswer, error) {
+func (n *limitedBackends) Call(_ context.Context, r *pool.Replica, _ ServiceCall) (ServiceAnswer, error) {
 	n.answer(r)
 	return ServiceAnswer{Status: 200}, nil
 }
 
-func (n *needy) Chat(_ context.Context, r *pool.Replica, _ Attempt) (Answer, error) {
+func (n *limitedBackends) Chat(_ context.Context, r *pool.Replica, _ Attempt) (Answer, error) {
 	n.answer(r)
 	return Answer{}, nil
 }
 
-func (n *needy) Stream(_ context.Context, r *pool.Replica, _ Attempt, _ func([]byte) error) (Answer, error) {
+func (n *limitedBackends) Stream(_ context.Context, r *pool.Replica, _ Attempt, _ func([]byte) error) (Answer, error) {
 	n.answer(r)
 	return Answer{}, nil
 }
@@ -55,8 +55,8 @@
 const (
 	// limitFigure is what 1.5 a second come to in four, and limitAllowed what the users' bound does: half as
 	// much again and five.
-	limitFigure  = 6
-	limitAllowed = 14
+	reportedLimit = 6
+	allowedLimit  = 14
 )
 
 // The roads of the product's own interfaces to a backend server go by its limit as well: chats,
@@ -72,7 +72,7 @@
 				t.Run(fmt.Sprintf("%s, %d of 3 servers limited, %d entries", road, limited, entries), func(t *testing.T) {
 					now := time.Unix(1_700_000_000, 0)
 					clock := func() time.Time { return now }
-					n := &needy{clock: clock, limits: map[string]string{}, got: map[string][]time.Time{}}
+					n := &limitedBackends{clock: clock, limits: map[string]string{}, got: map[string][]time.Time{}}
 					var l []pool.Replica
 					for i := range 3 {
 						id := fmt.Sprint("s", i)
@@ -98,9 +98,9 @@
 						n.quota = quotas[k]
 						var err error
 						if road == "call" {
-							_, err = routers[k].serviceTries(t.Context(), ServiceRequest{ID: fmt.Sprint(i), Service: "memory", Caller: config.Caller{Team: "t"}, Deadline: now.Add(time.Second)})
+							_, err = routers[k].tryServiceReplicas(t.Context(), ServiceRequest{ID: fmt.Sprint(i), Service: "memory", Caller: config.Caller{Team: "t"}, Deadline: now.Add(time.Second)})
 						} else {
-							b, retryAt := routers[k].takeFor(t.Context(), model.String(), v.Get().byVersion[model], pool.Request{}, nil, 1)
+							b, retryAt := routers[k].takeReplica(t.Context(), model.String(), v.Get().byVersion[model], pool.Request{}, nil, 1)
 							if b == nil {
 								err = routers[k].noReplica(retryAt)
 							} else {
@@ -122,12 +122,12 @@
 								told = append(told, x)
 							}
 						}
-						most := limitFigure
+						most := reportedLimit
 						if entries > 1 {
-							most = limitAllowed
+							most = allowedLimit
 						}
 						if n.limits[r] != "" && arrivals.Most(told, 4*time.Second) > most {
-							t.Errorf("%s got %d in four seconds, it takes %d and allows %d", r, arrivals.Most(told, 4*time.Second), limitFigure, limitAllowed)
+							t.Errorf("%s got %d in four seconds, it takes %d and allows %d", r, arrivals.Most(told, 4*time.Second), reportedLimit, allowedLimit)
 						}
 						if n.limits[r] != "" && len(told) < 18 {
 							t.Errorf("%s got %d in 19 s, it takes 28", r, len(told))
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -8,43 +8,43 @@
 	"fieldvale/pool"
 )
 
-// restedSpread spreads the clients that come back when replicas have rested: the first to come
+// backoffSpread spreads the clients that come back when replicas have rested: the first to come
 // is a trial, and those after it find what it found.
-const restedSpread = 500 * time.Millisecond
+const backoffSpread = 500 * time.Millisecond
 
-// begun returns the choice, or another one, whose replica may be sent to in this moment; nil if
+// acquireReplica returns the choice, or another one, whose replica may be sent to in this moment; nil if
 // none may. What a replica says of itself after it was chosen counts as well.
-func (w *forwarding) begun(ctx context.Context, p *placed) *placed {
+func (w *forwarding) acquireReplica(ctx context.Context, p *assignment) *assignment {
 	for {
 		if p == nil {
-			p = w.take(ctx)
+			p = w.assignReplica(ctx)
 		}
 		if p == nil {
-			w.retryBy(w.r.restedAt(w.r.view.Get().byService[w.f.Service]))
+			w.retryNoLaterThan(w.r.backoffEndsAt(w.r.view.Get().byService[w.result.Service]))
 			return nil
 		}
 		if w.r.notices.AdmitRequest(p.replica.ID, w.r.clock()) {
 			return p
 		}
-		w.giveBack(p)
+		w.releaseAssignment(p)
 		w.tried = append(w.tried, p.replica.ID)
 		p = nil
 	}
 }
 
-// restedAt is when a client should come back for whom all of the replicas rest; zero if that is
+// backoffEndsAt is when a client should come back for whom all of the replicas rest; zero if that is
 // not so.
-func (r *Router) restedAt(l []*pool.Replica) time.Time {
+func (r *Router) backoffEndsAt(l []*pool.Replica) time.Time {
 	t := r.notices.BackoffEndsAt(pool.IDs(l), r.clock())
 	if t.IsZero() {
 		return t
 	}
-	return t.Add(rand.N(restedSpread))
+	return t.Add(rand.N(backoffSpread))
 }
 
-// leftInOrder reports whether the replica had said for long enough that it leaves: its end is
+// drainedInOrder reports whether the replica had said for long enough that it leaves: its end is
 // no fault.
-func (r *Router) leftInOrder(id string) bool {
+func (r *Router) drainedInOrder(id string) bool {
 	x := r.notices.States()[id]
-	return x.IsDraining() && r.clock().Sub(x.DrainingSince) >= servesOn
+	return x.IsDraining() && r.clock().Sub(x.DrainingSince) >= drainGrace
 }
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -29,60 +29,60 @@
 
 const (
 	// talkersServe is how long after its word a leaving talker may get requests, as the last resort.
-	talkersServe = time.Second
-	talkersDrain = 2 * talkersServe
+	drainServeTime = time.Second
+	drainTime      = 2 * drainServeTime
 )
 
 // talkers are replicas that say in their answers, as drawn, that they leave or want rest, and
 // check that what they get was sent in spite of neither.
-type talkers struct {
-	t     *rapid.T
-	now   time.Time
-	book  *notice.Tracker
-	all   []pool.Replica
-	left  map[string]time.Time
-	rests map[string]time.Time
+type noticingReplicas struct {
+	t             *rapid.T
+	now           time.Time
+	tracker       *notice.Tracker
+	replicas      []pool.Replica
+	drainingSince map[string]time.Time
+	backoffUntil  map[string]time.Time
 	// sent are the replicas that the request under way was sent to.
 	sent []string
 }
 
-func newTalkers(t *rapid.T, kind pool.Kind) *talkers {
-	w := &talkers{t: t, now: time.Unix(1_700_000_000, 0), left: map[string]time.Time{}, rests: map[string]time.Time{}}
-	w.book = notice.NewTracker(w.clock, talkersDrain, func(string, ...any) {})
+func newNoticingReplicas(t *rapid.T, kind pool.Kind) *noticingReplicas {
+	w := &noticingReplicas{t: t, now: time.Unix(1_700_000_000, 0), drainingSince: map[string]time.Time{}, backoffUntil: map[string]time.Time{}}
+	w.tracker = notice.NewTracker(w.clock, drainTime, func(string, ...any) {})
 	for i := range rapid.IntRange(1, 6).Draw(t, "replicas") {
-		w.all = append(w.all, pool.Replica{ID: fmt.Sprint("r", i), Kind: kind, Service: "s", Release: fmt.Sprint("v", i%2), Slots: 4, Versions: []version.ID{version.New("m", "1")}})
+		w.replicas = append(w.replicas, pool.Replica{ID: fmt.Sprint("r", i), Kind: kind, Service: "s", Release: fmt.Sprint("v", i%2), Slots: 4, Versions: []version.ID{version.New("m", "1")}})
 	}
 	return w
 }
 
-func (w *talkers) clock() time.Time { return w.now }
+func (w *noticingReplicas) clock() time.Time { return w.now }
 
 // isResting reports whether the replica wants no request now, isGone whether it must get none any more.
-func (w *talkers) isResting(id string) bool { return w.now.Before(w.rests[id]) }
-func (w *talkers) isGone(id string) bool {
-	at, ok := w.left[id]
-	return ok && !w.now.Before(at.Add(talkersServe))
+func (w *noticingReplicas) isBackingOff(id string) bool { return w.now.Before(w.backoffUntil[id]) }
+func (w *noticingReplicas) isGone(id string) bool {
+	at, ok := w.drainingSince[id]
+	return ok && !w.now.Before(at.Add(drainServeTime))
 }
 
-func (w *talkers) isFit(id string) bool {
-	_, leaves := w.left[id]
-	return !leaves && !w.isResting(id)
+func (w *noticingReplicas) isAvailable(id string) bool {
+	_, leaves := w.drainingSince[id]
+	return !leaves && !w.isBackingOff(id)
 }
 
 // got checks that the replica may be sent to.
-func (w *talkers) got(id string) {
-	if w.isResting(id) {
-		w.t.Errorf("%s got a request %s before the end of its rest", id, w.rests[id].Sub(w.now))
+func (w *noticingReplicas) checkSent(id string) {
+	if w.isBackingOff(id) {
+		w.t.Errorf("%s got a request %s before the end of its rest", id, w.backoffUntil[id].Sub(w.now))
 	}
 	if w.isGone(id) {
-		w.t.Errorf("%s got a request %s after its word that it leaves", id, w.now.Sub(w.left[id]))
+		w.t.Errorf("%s got a request %s after its word that it leaves", id, w.now.Sub(w.drainingSince[id]))
 	}
 	w.sent = append(w.sent, id)
 }
 
 // says has the replica say what was drawn, in an answer to a request sent then, and reports whether it
 // turns the request away.
-func (w *talkers) says(id string, sentAt time.Time) (refused bool) {
+func (w *noticingReplicas) answerWithNotice(id string, sentAt time.Time) (refused bool) {
 	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 60).Draw(w.t, "took")) * time.Millisecond)
 	n := notice.Notice{Replica: id, Service: "s", SentAt: sentAt, ReceivedAt: w.now}
 	switch rapid.IntRange(0, 9).Draw(w.t, "word") {
@@ -94,21 +94,21 @@
 	case 3:
 		n.Refused = true
 	}
-	w.book.Observe(n)
-	if _, known := w.left[id]; n.Draining && !known {
-		w.left[id] = w.now
+	w.tracker.Observe(n)
+	if _, known := w.drainingSince[id]; n.Draining && !known {
+		w.drainingSince[id] = w.now
 	}
-	if n.BackoffUntil.After(w.rests[id]) {
-		w.rests[id] = n.BackoffUntil
+	if n.BackoffUntil.After(w.backoffUntil[id]) {
+		w.backoffUntil[id] = n.BackoffUntil
 	}
 	return n.Refused
 }
 
 // Send implements Upstream.
-func (w *talkers) Send(ctx context.Context, r *pool.Replica, d Dispatch) (Reply, error) {
-	w.got(r.ID)
-	if w.says(r.ID, w.now) {
-		return nil, outcome.New(outcome.NotRun, "refused", r.ID, errors.New("status 503")).WithStatus(http.StatusServiceUnavailable).WithRetryAt(w.rests[r.ID])
+func (w *noticingReplicas) Send(ctx context.Context, r *pool.Replica, d Dispatch) (Reply, error) {
+	w.checkSent(r.ID)
+	if w.answerWithNotice(r.ID, w.now) {
+		return nil, outcome.New(outcome.NotRun, "refused", r.ID, errors.New("status 503")).WithStatus(http.StatusServiceUnavailable).WithRetryAt(w.backoffUntil[r.ID])
 	}
 	p := scriptedReply{status: http.StatusOK, events: []string{"1", "2"}}
 	switch rapid.IntRange(0, 5).Draw(w.t, "answer") {
@@ -121,72 +121,72 @@
 	case 3:
 		p.confidence = "5"
 	}
-	return &scriptReply{ctx: ctx, p: p}, nil
+	return &replyFake{ctx: ctx, p: p}, nil
 }
 
 // others have a word come between the choice of a replica and the send.
-func (w *talkers) others() {
+func (w *noticingReplicas) maybeNotice() {
 	if rapid.IntRange(0, 3).Draw(w.t, "meanwhile") == 0 {
-		w.says(w.all[rapid.IntRange(0, len(w.all)-1).Draw(w.t, "who")].ID, w.now)
+		w.answerWithNotice(w.replicas[rapid.IntRange(0, len(w.replicas)-1).Draw(w.t, "who")].ID, w.now)
 	}
 }
 
 // Choose implements Placer, the other methods as well.
-func (w *talkers) Choose(_ context.Context, _ string, a placement.Request) (placement.Choice, placement.Ticket, bool) {
+func (w *noticingReplicas) Choose(_ context.Context, _ string, a placement.Request) (placement.Choice, placement.Ticket, bool) {
 	i := rapid.IntRange(-1, len(a.Replicas)-1).Draw(w.t, "placed")
-	w.others()
+	w.maybeNotice()
 	return placement.Choice{Index: max(0, i)}, placement.Ticket{}, i >= 0
 }
-func (w *talkers) Read(placement.Ticket)                  {}
-func (w *talkers) Lost(placement.Ticket, placement.Fault) {}
+func (w *noticingReplicas) Read(placement.Ticket)                  {}
+func (w *noticingReplicas) Lost(placement.Ticket, placement.Fault) {}
 
 // scarce is a quota that bounds every other replica and has a word come while it is asked.
-type scarce struct {
-	unbounded
-	w *talkers
+type drawnQuota struct {
+	noQuota
+	w *noticingReplicas
 }
 
-func (s scarce) IsQuiet() bool { return false }
-func (s scarce) Bound(id string, _ float64, _ bool) quota.Bound {
+func (s drawnQuota) IsQuiet() bool { return false }
+func (s drawnQuota) Bound(id string, _ float64, _ bool) quota.Bound {
 	return quota.Bound{IsLimited: id[1]%2 == 0, PerSecond: 1}
 }
-func (s scarce) Take(_ context.Context, a quota.PermitRequest) quota.PermitResult {
-	s.w.others()
+func (s drawnQuota) Take(_ context.Context, a quota.PermitRequest) quota.PermitResult {
+	s.w.maybeNotice()
 	return quota.PermitResult{Index: rapid.IntRange(-1, len(a.Candidates)-1).Draw(s.w.t, "right")}
 }
 
 // trials is a quarantine that sends some contents on trial and has a word come while it is asked.
-type trials struct{ w *talkers }
+type drawnQuarantine struct{ w *noticingReplicas }
 
-func (s trials) IsQuiet() bool { return false }
-func (s trials) Ask(context.Context, quarantine.Fingerprint) quarantine.Verdict {
-	s.w.others()
+func (s drawnQuarantine) IsQuiet() bool { return false }
+func (s drawnQuarantine) Ask(context.Context, quarantine.Fingerprint) quarantine.Verdict {
+	s.w.maybeNotice()
 	return quarantine.Verdict{Decision: rapid.SampledFrom([]quarantine.Decision{quarantine.Allow, quarantine.AllowTrial}).Draw(s.w.t, "trial")}
 }
-func (s trials) Tell(quarantine.Fingerprint, quarantine.AttemptResult) {}
+func (s drawnQuarantine) Tell(quarantine.Fingerprint, quarantine.AttemptResult) {}
 
 // router returns a router before the talkers, with what else decides drawn.
-func (w *talkers) router() (*Router, *CurrentView) {
+func (w *noticingReplicas) router() (*Router, *CurrentView) {
 	v := NewCurrentView()
 	rel := map[string]rollout.Release{}
 	if rapid.Bool().Draw(w.t, "release") {
 		rel["s"] = rollout.NewRelease("s", "v1", 1, time.Minute).WithNextPhase().WithNextPhase()
 	}
-	v.Put(NewView(nil, w.all, nil, nil).WithRoutes(route.New(1, nil, nil, nil, route.Limits{}), rel))
-	p := Ports{View: v, Clock: w.clock, Rand: rand.NewPCG(1, 1), Upstream: w, Retries: admission.Repeats{Burst: 1000}, AcceptConfidence: 60, Notices: w.book}
+	v.Put(NewView(nil, w.replicas, nil, nil).WithRoutes(route.New(1, nil, nil, nil, route.Limits{}), rel))
+	p := Ports{View: v, Clock: w.clock, Rand: rand.NewPCG(1, 1), Upstream: w, Retries: admission.Repeats{Burst: 1000}, AcceptConfidence: 60, Notices: w.tracker}
 	if rapid.Bool().Draw(w.t, "placer") {
 		p.Placer = w
 	}
 	if rapid.Bool().Draw(w.t, "quota") {
-		p.Quota = scarce{w: w}
+		p.Quota = drawnQuota{w: w}
 	}
 	if rapid.Bool().Draw(w.t, "quarantine") {
-		p.Quarantine = trials{w}
+		p.Quarantine = drawnQuarantine{w}
 	}
 	return NewRouter(p), v
 }
 
-func (w *talkers) request(i int) *OpaqueRequest {
+func (w *noticingReplicas) request(i int) *OpaqueRequest {
 	r := &route.Route{Split: []route.Part{{Service: "s"}}, Target: time.Second, MaxAttempts: rapid.IntRange(1, 4).Draw(w.t, "attempts")}
 	r.Kind = rapid.SampledFrom([]route.Kind{route.Once, route.Repeatable, route.Stream}).Draw(w.t, "kind")
 	r.Resumable = rapid.Bool().Draw(w.t, "resumable")
@@ -206,19 +206,19 @@
 
 // checkRefusal checks that a request for which no replica was left had none, and when its client is to
 // come back.
-func (w *talkers) checkRefusal(f *Failure) {
+func (w *noticingReplicas) checkRefusal(f *Failure) {
 	var ends []time.Time
-	for _, r := range w.all {
-		if w.isFit(r.ID) {
+	for _, r := range w.replicas {
+		if w.isAvailable(r.ID) {
 			return
 		}
-		if _, leaves := w.left[r.ID]; !leaves {
-			ends = append(ends, w.rests[r.ID])
+		if _, leaves := w.drainingSince[r.ID]; !leaves {
+			ends = append(ends, w.backoffUntil[r.ID])
 		}
 	}
 	if f.Outcome == outcome.NotRun && len(ends) > 0 {
 		first := slices.MinFunc(ends, time.Time.Compare)
-		if f.RetryAt.After(first.Add(restedSpread)) {
+		if f.RetryAt.After(first.Add(backoffSpread)) {
 			w.t.Errorf("refused until %s after the first replica has rested", f.RetryAt.Sub(first))
 		}
 	}
@@ -228,7 +228,7 @@
 // streams, sessions, with and without a keeper's choice, a place at a bounded replica, a trial, a release.
 func TestNoRoadLeadsToReplicasThatLeaveOrRest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTalkers(t, pool.Service)
+		w := newNoticingReplicas(t, pool.Service)
 		r, _ := w.router()
 		for i := range 60 {
 			w.sent = nil
@@ -244,9 +244,9 @@
 }
 
 // Call implements Services.
-func (w *talkers) Call(_ context.Context, r *pool.Replica, _ ServiceCall) (ServiceAnswer, error) {
-	w.got(r.ID)
-	if w.says(r.ID, w.now) {
+func (w *noticingReplicas) Call(_ context.Context, r *pool.Replica, _ ServiceCall) (ServiceAnswer, error) {
+	w.checkSent(r.ID)
+	if w.answerWithNotice(r.ID, w.now) {
 		return ServiceAnswer{}, outcome.New(outcome.NotRun, "refusal", r.ID, errors.New("status 503")).WithStatus(http.StatusServiceUnavailable)
 	}
 	return ServiceAnswer{Status: http.StatusOK}, nil
@@ -256,19 +256,19 @@
 func TestOwnInterfacesKeepOffReplicasThatLeaveOrRest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := rapid.SampledFrom([]pool.Kind{pool.Service, pool.Engine}).Draw(t, "of")
-		w := newTalkers(t, kind)
+		w := newNoticingReplicas(t, kind)
 		r, v := w.router()
 		r.services = w
 		for i := range 60 {
 			w.sent = nil
 			if kind == pool.Service {
-				_, err := r.serviceTries(context.Background(), ServiceRequest{ID: fmt.Sprint(i), Service: "s", Caller: config.Caller{Team: "t"}, Deadline: w.now.Add(time.Second)})
+				_, err := r.tryServiceReplicas(context.Background(), ServiceRequest{ID: fmt.Sprint(i), Service: "s", Caller: config.Caller{Team: "t"}, Deadline: w.now.Add(time.Second)})
 				if err != nil && len(w.sent) == 0 {
 					w.checkRefusal(failed(err))
 				}
-			} else if b, _ := r.takeFor(context.Background(), "m@1", v.Get().byVersion[version.New("m", "1")], pool.Request{}, nil, 1); b != nil {
-				w.got(b.ID)
-				w.says(b.ID, w.now)
+			} else if b, _ := r.takeReplica(context.Background(), "m@1", v.Get().byVersion[version.New("m", "1")], pool.Request{}, nil, 1); b != nil {
+				w.checkSent(b.ID)
+				w.answerWithNotice(b.ID, w.now)
 				r.backends.done(b.ID, nil, w.now)
 			}
 			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
@@ -277,19 +277,19 @@
 }
 
 // sure answers well, and counts.
-type sure struct{ got map[string]int }
+type reliableUpstream struct{ got map[string]int }
 
-func (u sure) Send(ctx context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
+func (u reliableUpstream) Send(ctx context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
 	u.got[r.ID]++
-	return &scriptReply{ctx: ctx, p: scriptedReply{status: http.StatusOK, events: []string{"body"}}}, nil
+	return &replyFake{ctx: ctx, p: scriptedReply{status: http.StatusOK, events: []string{"body"}}}, nil
 }
 
 // What callers get when replicas say that they leave or rest, one after another until none is left.
 func TestCallersWhileReplicasLeaveAndRest(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	clock := func() time.Time { return now }
-	b := notice.NewTracker(clock, talkersDrain, func(string, ...any) {})
-	u := sure{map[string]int{}}
+	b := notice.NewTracker(clock, drainTime, func(string, ...any) {})
+	u := reliableUpstream{map[string]int{}}
 	v := NewCurrentView()
 	v.Put(NewView(nil, []pool.Replica{{ID: "a", Kind: pool.Service, Service: "s"}, {ID: "b", Kind: pool.Service, Service: "s"}, {ID: "c", Kind: pool.Service, Service: "s"}}, nil, nil))
 	r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}, Notices: b})
@@ -316,15 +316,15 @@
 	want("a, b leave", "c")
 	b.Observe(notice.Notice{Replica: "c", BackoffUntil: now.Add(3 * time.Second), Refused: true, SentAt: now, ReceivedAt: now})
 	want("c rests, the others still serve", "ab")
-	now = now.Add(talkersServe)
-	if g, f := send(); f == nil || f.Outcome != outcome.NotRun || f.RetryAt.Before(now.Add(2*time.Second)) || f.RetryAt.After(now.Add(2*time.Second+restedSpread)) {
+	now = now.Add(drainServeTime)
+	if g, f := send(); f == nil || f.Outcome != outcome.NotRun || f.RetryAt.Before(now.Add(2*time.Second)) || f.RetryAt.After(now.Add(2*time.Second+backoffSpread)) {
 		t.Fatalf("none left: at %q, %+v", g, f)
 	}
 	now = now.Add(2 * time.Second)
 	if g, f := send(); f != nil || g != "c" {
 		t.Fatalf("c has rested: at %q, %+v", g, f)
 	}
-	if g, f := send(); f == nil || f.RetryAt.Sub(now) > restedSpread {
+	if g, f := send(); f == nil || f.RetryAt.Sub(now) > backoffSpread {
 		t.Fatalf("while c is tried: at %q, %+v", g, f)
 	}
 	b.Observe(notice.Notice{Replica: "c", SentAt: now, ReceivedAt: now})
@@ -332,15 +332,15 @@
 }
 
 // needsRest turns all away and asks for the rest that is drawn for each.
-type needsRest struct {
-	book *notice.Tracker
-	now  time.Time
-	rest map[string]time.Duration
+type backoffUpstream struct {
+	tracker *notice.Tracker
+	now     time.Time
+	backoff map[string]time.Duration
 }
 
-func (u needsRest) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
-	until := u.now.Add(u.rest[r.ID])
-	u.book.Observe(notice.Notice{Replica: r.ID, Refused: true, BackoffUntil: until, SentAt: u.now, ReceivedAt: u.now})
+func (u backoffUpstream) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
+	until := u.now.Add(u.backoff[r.ID])
+	u.tracker.Observe(notice.Notice{Replica: r.ID, Refused: true, BackoffUntil: until, SentAt: u.now, ReceivedAt: u.now})
 	return nil, outcome.New(outcome.NotRun, "refused", r.ID, errors.New("status 503")).WithStatus(http.StatusServiceUnavailable).WithRetryAt(until)
 }
 
@@ -351,21 +351,21 @@
 		replicas int
 		min, max time.Duration
 	}{
-		{5, refusedRetry, refusedRetry},
-		{3, time.Second, time.Second + restedSpread},
+		{5, refusalRetryDelay, refusalRetryDelay},
+		{3, time.Second, time.Second + backoffSpread},
 	} {
 		now := time.Unix(1_700_000_000, 0)
 		clock := func() time.Time { return now }
-		u := needsRest{book: notice.NewTracker(clock, talkersDrain, func(string, ...any) {}), now: now, rest: map[string]time.Duration{}}
+		u := backoffUpstream{tracker: notice.NewTracker(clock, drainTime, func(string, ...any) {}), now: now, backoff: map[string]time.Duration{}}
 		var l []pool.Replica
 		for i := range c.replicas {
 			id := fmt.Sprint("r", i)
-			u.rest[id] = time.Duration(1+i) * time.Second
+			u.backoff[id] = time.Duration(1+i) * time.Second
 			l = append(l, pool.Replica{ID: id, Kind: pool.Service, Service: "s"})
 		}
 		v := NewCurrentView()
 		v.Put(NewView(nil, l, nil, nil))
-		r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}, FleetSize: func() int { return 1 }, Notices: u.book})
+		r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}, FleetSize: func() int { return 1 }, Notices: u.tracker})
 		q := &OpaqueRequest{ID: "q", Table: route.New(1, nil, nil, nil, route.Limits{}), Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 3}, ArrivedAt: now, Deadline: now.Add(time.Hour), TimeoutAt: now.Add(time.Hour)}
 		_, err := r.Forward(t.Context(), q, &clientSink{})
 		var f *Failure
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -50,8 +50,8 @@
 	return q.fingerprint
 }
 
-// until is when the request has to be answered.
-func (q *OpaqueRequest) until() time.Time {
+// effectiveDeadline is when the request has to be answered.
+func (q *OpaqueRequest) effectiveDeadline() time.Time {
 	if q.TimeoutAt.Before(q.Deadline) {
 		return q.TimeoutAt
 	}
--- a/entry/crashing_test.go
+++ b/entry/quarantine_test.go
@@ -17,28 +17,28 @@
 )
 
 // brittleServices end under one body.
-type brittleServices struct {
-	ended map[string]bool
-	sent  int
+type crashingServices struct {
+	crashed map[string]bool
+	sent    int
 }
 
-func (s *brittleServices) Call(_ context.Context, r *pool.Replica, c ServiceCall) (ServiceAnswer, error) {
+func (s *crashingServices) Call(_ context.Context, r *pool.Replica, c ServiceCall) (ServiceAnswer, error) {
 	if string(c.Body) != "bad" {
 		return ServiceAnswer{Status: 200}, nil
 	}
 	s.sent++
-	s.ended[r.ID] = true
+	s.crashed[r.ID] = true
 	return ServiceAnswer{}, outcome.New(outcome.Unknown, "read", r.ID, io.EOF)
 }
 
 // HasEnded implements Prober.
-func (s *brittleServices) HasEnded(_ context.Context, r *pool.Replica) bool { return s.ended[r.ID] }
+func (s *crashingServices) HasEnded(_ context.Context, r *pool.Replica) bool { return s.crashed[r.ID] }
 
 // A plain service's call ends each backend server that runs it, and its client calls again
 // and again with another id. What the entry knew of it ended with each call: three servers
 // a call.
 func TestOneCallEndsFewServers(t *testing.T) {
-	s := &brittleServices{ended: map[string]bool{}}
+	s := &crashingServices{crashed: map[string]bool{}}
 	v := NewCurrentView()
 	var l []pool.Replica
 	for i := range 40 {
@@ -49,12 +49,12 @@
 	r := NewRouter(Ports{View: v, Clock: time.Now, Rand: rand.NewPCG(1, 1), Services: s, Quarantine: n, Prober: s})
 	call := func(id, body string) error {
 		q := ServiceRequest{ID: id, Service: "memory", Call: "find", Body: []byte(body), Caller: config.Caller{Team: "t"}, Deadline: time.Now().Add(time.Second)}
-		_, err := r.serviceTries(t.Context(), q)
+		_, err := r.tryServiceReplicas(t.Context(), q)
 		return err
 	}
 	for i := range 200 {
 		// Others' calls earn the budget of repeats.
-		r.budget.Request()
+		r.retryBudget.Request()
 		if err := call(fmt.Sprint("o", i), "good"); err != nil {
 			t.Fatalf("another's call: %v", err)
 		}
--- a/entry/bounded.go
+++ b/entry/quota.go
@@ -31,32 +31,32 @@
 }
 
 // unbounded has no replica bounded.
-type unbounded struct{}
+type noQuota struct{}
 
-func (unbounded) IsQuiet() bool                           { return true }
-func (unbounded) Bound(string, float64, bool) quota.Bound { return quota.Bound{} }
-func (unbounded) IsResting(string) bool                   { return false }
-func (unbounded) Take(context.Context, quota.PermitRequest) quota.PermitResult {
+func (noQuota) IsQuiet() bool                           { return true }
+func (noQuota) Bound(string, float64, bool) quota.Bound { return quota.Bound{} }
+func (noQuota) IsResting(string) bool                   { return false }
+func (noQuota) Take(context.Context, quota.PermitRequest) quota.PermitResult {
 	return quota.PermitResult{}
 }
-func (unbounded) Return(quota.Ticket)      {}
-func (unbounded) Unreached(string, string) {}
+func (noQuota) Return(quota.Ticket)      {}
+func (noQuota) Unreached(string, string) {}
 
 // mostAsked bounds the replicas that one question for a place names. Each question names other
 // ones: at 100 questions a second before 112 limited replicas a place is found after some 0.1 s.
-const mostAsked = 12
+const maxPermitCandidates = 12
 
 // coldPerSecond is how many requests one of the service's replicas may get in any second
 // while it is cold; 0 where they bear all at once.
 func (w *forwarding) coldPerSecond() float64 {
-	if n := w.q.Table.Service(w.f.Service).ColdPerSecond; n > 0 {
+	if n := w.q.Table.Service(w.result.Service).ColdPerSecond; n > 0 {
 		return w.r.coldBound.PerOwner(n)
 	}
 	return 0
 }
 
 // byBound parts the replicas that may get any number of requests from those that may not.
-func (w *forwarding) byBound(l []*pool.Replica) (free, bounded []*pool.Replica) {
+func (w *forwarding) splitByBound(l []*pool.Replica) (free, bounded []*pool.Replica) {
 	cold := w.coldPerSecond()
 	if cold <= 0 && w.r.quota.IsQuiet() {
 		return l, nil
@@ -82,7 +82,7 @@
 // worthAsking returns the bounded replicas for which a place is worth asking beside free
 // ones: not those that were said to have none now. A request without a prompt has nothing
 // to find at a cold one, which is slow.
-func (w *forwarding) worthAsking(bounded []*pool.Replica) []*pool.Replica {
+func (w *forwarding) withPossiblePermit(bounded []*pool.Replica) []*pool.Replica {
 	now := w.r.clock()
 	return slices.DeleteFunc(slices.Clone(bounded), func(r *pool.Replica) bool {
 		return w.r.quota.IsResting(r.ID) || w.q.Prompt.IsNone() && w.r.quota.Bound(r.ID, w.coldPerSecond(), r.IsCold(now)).ColdPerSecond > 0
@@ -91,49 +91,49 @@
 
 // placeBounded chooses a replica where some are bounded: one of those only if the fleet has a
 // place there for this request. Where all that are left are bounded, any of them will do.
-func (w *forwarding) placeBounded(ctx context.Context, allowed, free, bounded []*pool.Replica) *placed {
+func (w *forwarding) assignBounded(ctx context.Context, allowed, free, bounded []*pool.Replica) *assignment {
 	isLast := len(w.candidates(free)) == 0
 	open := bounded
 	if !isLast {
-		open = w.worthAsking(bounded)
+		open = w.withPossiblePermit(bounded)
 	}
-	p := w.choose(ctx, allowed, slices.Concat(free, open))
+	p := w.assignIgnoringQuota(ctx, allowed, slices.Concat(free, open))
 	if p == nil || !slices.Contains(open, p.replica) {
 		return p
 	}
 	c := []*pool.Replica{p.replica}
 	if isLast {
-		c = w.others(c, bounded)
+		c = w.addCandidates(c, bounded)
 	}
-	v := w.r.quota.Take(ctx, w.askFor(c, isLast))
+	v := w.r.quota.Take(ctx, w.permitRequest(c, isLast))
 	if v.Index == 0 {
-		p.right = v.Ticket
+		p.permit = v.Ticket
 		return p
 	}
-	w.giveBack(p)
+	w.releaseAssignment(p)
 	if v.Index > 0 {
-		return w.placeWithRight(ctx, allowed, c[v.Index], v.Ticket)
+		return w.assignWithPermit(ctx, allowed, c[v.Index], v.Ticket)
 	}
-	w.passOver(c, v)
+	w.recordSkipped(c, v)
 	if isLast {
 		return nil
 	}
-	return w.choose(ctx, allowed, free)
+	return w.assignIgnoringQuota(ctx, allowed, free)
 }
 
 // placeWithRight places the request at the replica where it has a place.
-func (w *forwarding) placeWithRight(ctx context.Context, allowed []*pool.Replica, r *pool.Replica, t quota.Ticket) *placed {
-	p := w.choose(ctx, allowed, []*pool.Replica{r})
+func (w *forwarding) assignWithPermit(ctx context.Context, allowed []*pool.Replica, r *pool.Replica, t quota.Ticket) *assignment {
+	p := w.assignIgnoringQuota(ctx, allowed, []*pool.Replica{r})
 	if p == nil {
 		w.r.quota.Return(t)
 		return nil
 	}
-	p.right = t
+	p.permit = t
 	return p
 }
 
 // others adds other candidates among the bounded replicas, from any of them on.
-func (w *forwarding) others(c, bounded []*pool.Replica) []*pool.Replica {
+func (w *forwarding) addCandidates(c, bounded []*pool.Replica) []*pool.Replica {
 	l := w.candidates(bounded)
 	if len(l) == 0 {
 		return c
@@ -141,7 +141,7 @@
 	first := rand.IntN(len(l))
 	for i := range l {
 		r := l[(first+i)%len(l)]
-		if len(c) < mostAsked && !slices.Contains(c, r) {
+		if len(c) < maxPermitCandidates && !slices.Contains(c, r) {
 			c = append(c, r)
 		}
 	}
@@ -149,11 +149,11 @@
 }
 
 // askFor returns the question for a place at one of the replicas.
-func (w *forwarding) askFor(l []*pool.Replica, isLast bool) quota.PermitRequest {
-	return w.r.askFor(w.f.Service, l, w.coldPerSecond(), w.q.priority(), isLast)
+func (w *forwarding) permitRequest(l []*pool.Replica, isLast bool) quota.PermitRequest {
+	return w.r.permitRequest(w.result.Service, l, w.coldPerSecond(), w.q.priority(), isLast)
 }
 
-func (r *Router) askFor(service string, l []*pool.Replica, coldPerSecond float64, rank int, isLast bool) quota.PermitRequest {
+func (r *Router) permitRequest(service string, l []*pool.Replica, coldPerSecond float64, rank int, isLast bool) quota.PermitRequest {
 	now := r.clock()
 	a := quota.PermitRequest{Service: service, Priority: rank, OnlyBounded: isLast}
 	for _, x := range l {
@@ -165,35 +165,35 @@
 
 // passOver notes the replicas that had no place, and has the client come back when there is
 // one, or when the first of them is warm.
-func (w *forwarding) passOver(l []*pool.Replica, v quota.PermitResult) {
-	w.f.SkippedCount += len(l)
-	w.f.Skipped = append(w.f.Skipped, SkippedReplica{Replica: l[0].ID, Reason: v.Reason, DecidedBy: v.DecidedBy})
-	w.retryBy(v.RetryAt)
+func (w *forwarding) recordSkipped(l []*pool.Replica, v quota.PermitResult) {
+	w.result.SkippedCount += len(l)
+	w.result.Skipped = append(w.result.Skipped, SkippedReplica{Replica: l[0].ID, Reason: v.Reason, DecidedBy: v.DecidedBy})
+	w.retryNoLaterThan(v.RetryAt)
 	now := w.r.clock()
 	for _, r := range l {
 		if r.IsCold(now) && v.Reason == quota.ReasonCold {
-			w.retryBy(r.ColdUntil)
+			w.retryNoLaterThan(r.ColdUntil)
 		}
 	}
 }
 
 // retryBy has the client come back at that moment, or earlier.
-func (w *forwarding) retryBy(t time.Time) {
-	w.retryAt = earlier(w.retryAt, t)
+func (w *forwarding) retryNoLaterThan(t time.Time) {
+	w.retryAt = earliest(w.retryAt, t)
 }
 
-// takeFor chooses a replica for a request of the product's own interfaces and counts it
+// takeReplica chooses a replica for a request of the product's own interfaces and counts it
 // there; nil if none may get it, with when to come back. It is taken off with backends.done.
-func (r *Router) takeFor(ctx context.Context, service string, l []*pool.Replica, a pool.Request, tried []string, rank int) (*pool.Replica, time.Time) {
+func (r *Router) takeReplica(ctx context.Context, service string, l []*pool.Replica, a pool.Request, tried []string, rank int) (*pool.Replica, time.Time) {
 	var retryAt time.Time
 	for {
 		b := r.backends.take(l, a, tried, r.clock())
 		if b == nil {
-			return nil, earlier(retryAt, r.restedAt(l))
+			return nil, earliest(retryAt, r.backoffEndsAt(l))
 		}
 		v := quota.PermitResult{}
 		if !r.quota.IsQuiet() && r.quota.Bound(b.ID, 0, false).IsBounded() {
-			v = r.quota.Take(ctx, r.askFor(service, []*pool.Replica{b}, 0, rank, false))
+			v = r.quota.Take(ctx, r.permitRequest(service, []*pool.Replica{b}, 0, rank, false))
 		}
 		if v.Index == 0 && r.notices.AdmitRequest(b.ID, r.clock()) {
 			return b, retryAt
@@ -201,12 +201,12 @@
 		r.quota.Return(v.Ticket)
 		r.backends.release(b.ID)
 		tried = append(slices.Clip(tried), b.ID)
-		retryAt = earlier(retryAt, v.RetryAt)
+		retryAt = earliest(retryAt, v.RetryAt)
 	}
 }
 
 // earlier returns the earlier moment of those that are known.
-func earlier(a, b time.Time) time.Time {
+func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
 	}
--- a/entry/bounded_test.go
+++ b/entry/quota_test.go
@@ -21,28 +21,28 @@
 	"fieldvale/route"
 )
 
-// grantingQuota stands for who counts: it lets so many requests go to bounded replicas, to the
+// quotaFake stands for who counts: it lets so many requests go to bounded replicas, to the
 // last of the candidates by their ids.
-type grantingQuota struct {
-	grants  int
-	limited map[string]bool
-	resting map[string]bool
-	suspect map[string]bool
-	asked   []quota.PermitRequest
-	back    []quota.Ticket
-	retryAt time.Time
+type quotaFake struct {
+	grants   int
+	limited  map[string]bool
+	resting  map[string]bool
+	suspect  map[string]bool
+	asked    []quota.PermitRequest
+	returned []quota.Ticket
+	retryAt  time.Time
 }
 
-func (g *grantingQuota) IsQuiet() bool { return len(g.limited)+len(g.suspect) == 0 }
-func (g *grantingQuota) Bound(r string, coldPerSecond float64, isCold bool) quota.Bound {
+func (g *quotaFake) IsQuiet() bool { return len(g.limited)+len(g.suspect) == 0 }
+func (g *quotaFake) Bound(r string, coldPerSecond float64, isCold bool) quota.Bound {
 	b := quota.Bound{IsLimited: g.limited[r], PerSecond: 1}
 	if isCold || g.suspect[r] {
 		b.ColdPerSecond = coldPerSecond
 	}
 	return b
 }
-func (g *grantingQuota) IsResting(r string) bool { return g.resting[r] }
-func (g *grantingQuota) Take(_ context.Context, a quota.PermitRequest) quota.PermitResult {
+func (g *quotaFake) IsResting(r string) bool { return g.resting[r] }
+func (g *quotaFake) Take(_ context.Context, a quota.PermitRequest) quota.PermitResult {
 	g.asked = append(g.asked, a)
 	if g.grants == 0 {
 		why := quota.Limited
@@ -60,24 +60,24 @@
 	}
 	return quota.PermitResult{Index: last}
 }
-func (g *grantingQuota) Return(t quota.Ticket)       { g.back = append(g.back, t) }
-func (g *grantingQuota) Unreached(_, replica string) { g.suspect[replica] = true }
+func (g *quotaFake) Return(t quota.Ticket)       { g.returned = append(g.returned, t) }
+func (g *quotaFake) Unreached(_, replica string) { g.suspect[replica] = true }
 
 // firstPlacer chooses the first candidate.
 type firstPlacer struct{ busyPlacer }
 
 // boundedRouter has a service whose replicas bear ten requests a second while they are
 // cold: warm ones, cold ones, and some that were not reached a moment ago.
-func boundedRouter(g *grantingQuota, p Placer) (*Router, *route.Table, []*pool.Replica, *time.Time) {
+func newBoundedRouter(g *quotaFake, p Placer) (*Router, *route.Table, []*pool.Replica, *time.Time) {
 	now := time.Unix(1_700_000_000, 0)
 	g.suspect = map[string]bool{}
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Quota: g, Placer: p, ColdBound: quota.ColdBound{Overage: 2}})
 	t := route.New(1, nil, map[string]route.Service{"s": {ColdFor: 3 * time.Second, ColdPerSecond: 10}}, nil, route.Limits{})
 	l := []*pool.Replica{{ID: "warm"}, {ID: "cold", ColdUntil: now.Add(2 * time.Second)}, {ID: "lost"}, {ID: "cut"}}
 	for _, x := range l {
-		w := &forwarding{r: r, q: &OpaqueRequest{Table: t, Route: &route.Route{}}, f: &ForwardResult{Service: "s"}}
-		r.backends.put(x, 1, now)
-		a := &attempt{w: w, placed: &placed{replica: x}, replica: x, ran: x.ID == "cut"}
+		w := &forwarding{r: r, q: &OpaqueRequest{Table: t, Route: &route.Route{}}, result: &ForwardResult{Service: "s"}}
+		r.backends.assign(x, 1, now)
+		a := &attempt{w: w, assignment: &assignment{replica: x}, replica: x, mayHaveRun: x.ID == "cut"}
 		var err error
 		switch x.ID {
 		case "lost":
@@ -90,12 +90,12 @@
 	return r, t, l, &now
 }
 
-func (w *forwarding) parts(l []*pool.Replica) string {
-	free, bounded := w.byBound(l)
-	return names(free) + "; " + names(bounded)
+func (w *forwarding) splitNames(l []*pool.Replica) string {
+	free, bounded := w.splitByBound(l)
+	return idsOf(free) + "; " + idsOf(bounded)
 }
 
-func names(l []*pool.Replica) string {
+func idsOf(l []*pool.Replica) string {
 	var n []string
 	for _, r := range l {
 		n = append(n, r.ID)
@@ -119,14 +119,14 @@
 		{"one names a limit", "other", "cut", 0, "warm cold lost; cut"},
 		{"both", "s", "cut", 0, "warm; cold lost cut"},
 	} {
-		g := &grantingQuota{limited: map[string]bool{}}
-		r, table, l, now := boundedRouter(g, nil)
+		g := &quotaFake{limited: map[string]bool{}}
+		r, table, l, now := newBoundedRouter(g, nil)
 		*now = now.Add(c.after)
 		if c.limited != "" {
 			g.limited[c.limited] = true
 		}
-		w := &forwarding{r: r, q: &OpaqueRequest{Table: table}, f: &ForwardResult{Service: c.service}}
-		if x := w.parts(l); x != c.want {
+		w := &forwarding{r: r, q: &OpaqueRequest{Table: table}, result: &ForwardResult{Service: c.service}}
+		if x := w.splitNames(l); x != c.want {
 			t.Errorf("%s: %q, want %q", c.name, x, c.want)
 		}
 	}
@@ -135,8 +135,8 @@
 // A request without a prompt goes to a warm replica while there is one, then to a cold
 // one as the fleet allows, and else is refused at once with when the first one is warm.
 func TestRequestWithoutAPromptAtColdReplicas(t *testing.T) {
-	g := &grantingQuota{grants: 1}
-	r, table, l, now := boundedRouter(g, nil)
+	g := &quotaFake{grants: 1}
+	r, table, l, now := newBoundedRouter(g, nil)
 	for _, c := range []struct {
 		tried, want string
 		asked       int
@@ -146,8 +146,8 @@
 		{"warm", "cold", 1, 0},
 		{"warm", "", 2, 2 * time.Second},
 	} {
-		w := &forwarding{r: r, model: -1, askedBy: -1, q: &OpaqueRequest{ID: "q", Table: table, Route: &route.Route{}}, f: &ForwardResult{Service: "s"}, tried: strings.Fields(c.tried)}
-		x := w.place(t.Context(), l[:2])
+		w := &forwarding{r: r, modelIndex: -1, escalatedFrom: -1, q: &OpaqueRequest{ID: "q", Table: table, Route: &route.Route{}}, result: &ForwardResult{Service: "s"}, tried: strings.Fields(c.tried)}
+		x := w.assignAmong(t.Context(), l[:2])
 		got := ""
 		if x != nil {
 			got = x.replica.ID
@@ -181,8 +181,8 @@
 		{"all limited, none has one", "a b c", "", 0, "", "a"},
 	} {
 		for _, q := range []prompt.Prompt{{}, {Model: "m", In: 10}} {
-			g := &grantingQuota{grants: c.grants, limited: map[string]bool{}, resting: map[string]bool{}}
-			r, table, _, now := boundedRouter(g, firstPlacer{})
+			g := &quotaFake{grants: c.grants, limited: map[string]bool{}, resting: map[string]bool{}}
+			r, table, _, now := newBoundedRouter(g, firstPlacer{})
 			for _, x := range strings.Fields(c.limited) {
 				g.limited[x] = true
 			}
@@ -192,14 +192,14 @@
 			g.retryAt = now.Add(700 * time.Millisecond)
 			l := []*pool.Replica{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 			// The others have more to do.
-			r.backends.put(l[1], 500, *now)
-			r.backends.put(l[2], 900, *now)
-			w := &forwarding{r: r, model: -1, askedBy: -1, q: &OpaqueRequest{ID: "q", Table: table, Route: &route.Route{}, Prompt: q}, f: &ForwardResult{Service: "other"}}
+			r.backends.assign(l[1], 500, *now)
+			r.backends.assign(l[2], 900, *now)
+			w := &forwarding{r: r, modelIndex: -1, escalatedFrom: -1, q: &OpaqueRequest{ID: "q", Table: table, Route: &route.Route{}, Prompt: q}, result: &ForwardResult{Service: "other"}}
 			got, passed := "", ""
-			if p := w.place(t.Context(), l); p != nil {
+			if p := w.assignAmong(t.Context(), l); p != nil {
 				got = p.replica.ID
 			}
-			for _, x := range w.f.Skipped {
+			for _, x := range w.result.Skipped {
 				passed += x.Replica
 			}
 			if q.IsNone() && (got != c.want || passed != c.passed) {
@@ -218,17 +218,17 @@
 // A right that comes to nothing is given back: the replica could not be reached, or the request
 // is taken elsewhere before it is sent.
 func TestRightsAreGivenBack(t *testing.T) {
-	g := &grantingQuota{grants: 2, limited: map[string]bool{"a": true}}
-	r, table, _, _ := boundedRouter(g, nil)
-	g.back = nil
-	w := &forwarding{r: r, model: -1, askedBy: -1, q: &OpaqueRequest{ID: "q", Table: table, Route: &route.Route{}}, f: &ForwardResult{Service: "s"}}
-	p := w.place(t.Context(), []*pool.Replica{{ID: "a"}})
-	w.giveBack(p)
-	p = w.place(t.Context(), []*pool.Replica{{ID: "a"}})
-	a := &attempt{w: w, placed: p, replica: p.replica}
+	g := &quotaFake{grants: 2, limited: map[string]bool{"a": true}}
+	r, table, _, _ := newBoundedRouter(g, nil)
+	g.returned = nil
+	w := &forwarding{r: r, modelIndex: -1, escalatedFrom: -1, q: &OpaqueRequest{ID: "q", Table: table, Route: &route.Route{}}, result: &ForwardResult{Service: "s"}}
+	p := w.assignAmong(t.Context(), []*pool.Replica{{ID: "a"}})
+	w.releaseAssignment(p)
+	p = w.assignAmong(t.Context(), []*pool.Replica{{ID: "a"}})
+	a := &attempt{w: w, assignment: p, replica: p.replica}
 	a.done(outcome.New(outcome.NotRun, "dial", "a", errors.New("connection refused")))
-	if len(g.back) != 2 {
-		t.Errorf("%d rights were given back, want 2", len(g.back))
+	if len(g.returned) != 2 {
+		t.Errorf("%d rights were given back, want 2", len(g.returned))
 	}
 }
 
@@ -246,7 +246,7 @@
 		{"old", "", map[string]bool{"new": true, "": true}},
 		{"", "", map[string]bool{"new": true, "old": true}},
 	} {
-		g := &grantingQuota{limited: map[string]bool{c.limited: true}, suspect: map[string]bool{}}
+		g := &quotaFake{limited: map[string]bool{c.limited: true}, suspect: map[string]bool{}}
 		v := NewCurrentView()
 		l := []pool.Replica{{ID: "old", Kind: pool.Service, Service: "s", Release: "v1"}, {ID: "new", Kind: pool.Service, Service: "s", Release: "v2"}}
 		table := route.New(1, nil, nil, nil, route.Limits{})
@@ -258,9 +258,9 @@
 			if c.session != "" {
 				q.Session = fmt.Sprint(c.session, i)
 			}
-			w := &forwarding{r: r, model: -1, askedBy: -1, q: q, f: &ForwardResult{Service: "s"}}
+			w := &forwarding{r: r, modelIndex: -1, escalatedFrom: -1, q: q, result: &ForwardResult{Service: "s"}}
 			id := ""
-			if p := w.take(t.Context()); p != nil {
+			if p := w.assignReplica(t.Context()); p != nil {
 				id = p.replica.ID
 			}
 			got[id] = true
@@ -281,35 +281,35 @@
 	}
 	for _, p := range l {
 		name := strings.TrimSuffix(filepath.Base(p), ".txt")
-		g := &grantingQuota{grants: 100, limited: map[string]bool{}, suspect: map[string]bool{}}
+		g := &quotaFake{grants: 100, limited: map[string]bool{}, suspect: map[string]bool{}}
 		for i := range 8 {
 			g.limited[fmt.Sprint("r", i)] = true
 		}
 		sends := 0
-		t.Run(name, func(t *testing.T) { sends = playForwardWith(t, p, g, nil) })
-		if taken := 100 - g.grants; taken < sends || taken > sends+len(g.back) {
-			t.Errorf("%s: %d rights for %d sends, %d given back", name, taken, sends, len(g.back))
+		t.Run(name, func(t *testing.T) { sends = runForwardScriptWith(t, p, g, nil) })
+		if taken := 100 - g.grants; taken < sends || taken > sends+len(g.returned) {
+			t.Errorf("%s: %d rights for %d sends, %d given back", name, taken, sends, len(g.returned))
 		}
 	}
 }
 
 // onTrial has each try sent as a trial.
-type onTrial struct{}
+type alwaysTrial struct{}
 
-func (onTrial) IsQuiet() bool { return false }
-func (onTrial) Ask(context.Context, quarantine.Fingerprint) quarantine.Verdict {
+func (alwaysTrial) IsQuiet() bool { return false }
+func (alwaysTrial) Ask(context.Context, quarantine.Fingerprint) quarantine.Verdict {
 	return quarantine.Verdict{Decision: quarantine.AllowTrial}
 }
-func (onTrial) Tell(quarantine.Fingerprint, quarantine.AttemptResult) {}
+func (alwaysTrial) Tell(quarantine.Fingerprint, quarantine.AttemptResult) {}
 
 // A suspect request that is sent on trial has a right for each send like any other.
 func TestTrialsHaveARight(t *testing.T) {
 	for _, name := range []string{"resumed", "repeatable_after_reset", "once_after_refusal"} {
-		g := &grantingQuota{grants: 100, limited: map[string]bool{}, suspect: map[string]bool{}}
+		g := &quotaFake{grants: 100, limited: map[string]bool{}, suspect: map[string]bool{}}
 		for i := range 8 {
 			g.limited[fmt.Sprint("r", i)] = true
 		}
-		sends := playForwardWith(t, "testdata/forward/"+name+".txt", g, onTrial{})
+		sends := runForwardScriptWith(t, "testdata/forward/"+name+".txt", g, alwaysTrial{})
 		if taken := 100 - g.grants; taken != sends {
 			t.Errorf("%s: %d rights for %d sends on trial", name, taken, sends)
 		}
--- a/entry/regions.go
+++ b/entry/regions.go
@@ -8,7 +8,7 @@
 
 // inRegions returns the replicas in whose region both the route and the customer let
 // the request run. A data centre of which no region is known lies in none.
-func (w *forwarding) inRegions(l []*pool.Replica) []*pool.Replica {
+func (w *forwarding) inAllowedRegions(l []*pool.Replica) []*pool.Replica {
 	route, customer := w.q.Route.Regions, w.q.Customer.Regions
 	if len(route)+len(customer) == 0 {
 		return l
@@ -16,7 +16,7 @@
 	var n []*pool.Replica
 	for _, r := range l {
 		region, ok := w.r.regions[r.DataCentre]
-		if ok && allows(route, region) && allows(customer, region) {
+		if ok && allowsRegion(route, region) && allowsRegion(customer, region) {
 			n = append(n, r)
 		}
 	}
@@ -24,6 +24,6 @@
 }
 
 // allows reports whether the regions, none of which allow all, have this one.
-func allows(regions []string, region string) bool {
+func allowsRegion(regions []string, region string) bool {
 	return len(regions) == 0 || slices.Contains(regions, region)
 }
--- a/entry/regions_test.go
+++ b/entry/regions_test.go
@@ -23,7 +23,7 @@
 	} {
 		w := &forwarding{r: r, q: &OpaqueRequest{Route: &route.Route{Regions: strings.Fields(c.route)}, Customer: route.Customer{Regions: strings.Fields(c.customer)}}}
 		var got []string
-		for _, x := range w.inRegions(all) {
+		for _, x := range w.inAllowedRegions(all) {
 			got = append(got, x.ID)
 		}
 		if g := strings.Join(got, " "); g != c.want {
--- a/entry/release_test.go
+++ b/entry/release_test.go
@@ -16,11 +16,11 @@
 )
 
 // anyReplica answers every request and notes the releases that ran.
-type anyReplica struct{ ran []string }
+type recordingUpstream struct{ ran []string }
 
-func (u *anyReplica) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
+func (u *recordingUpstream) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
 	u.ran = append(u.ran, r.Release)
-	return &scriptReply{ctx: context.Background(), p: scriptedReply{status: http.StatusOK, events: []string{"body"}}}, nil
+	return &replyFake{ctx: context.Background(), p: scriptedReply{status: http.StatusOK, events: []string{"body"}}}, nil
 }
 
 // Sessions stay where they are in a release's first phase, whichever instance
@@ -32,7 +32,7 @@
 		{ID: "new", Kind: pool.Service, Service: "s", Release: "v2"},
 	}, nil, nil)
 	now := time.Unix(1_700_000_000, 0)
-	u := &anyReplica{}
+	u := &recordingUpstream{}
 	r := NewRouter(Ports{View: v, Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}})
 	rel := rollout.NewRelease("s", "v2", 1, time.Minute).WithNextPhase()
 	send := func(id, session string) string {
@@ -66,9 +66,9 @@
 }
 
 // hangingReplica holds each request until its context ends.
-type hangingReplica struct{ began chan struct{} }
+type hangingUpstream struct{ began chan struct{} }
 
-func (u hangingReplica) Send(ctx context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
+func (u hangingUpstream) Send(ctx context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
 	u.began <- struct{}{}
 	<-ctx.Done()
 	return nil, outcome.New(outcome.Unknown, "read", r.ID, ctx.Err())
@@ -80,7 +80,7 @@
 	rel := rollout.NewRelease("s", "v2", 1, time.Minute).WithNextPhase()
 	v.Put(NewView(nil, []pool.Replica{{ID: "new", Kind: pool.Service, Service: "s", Release: "v2"}}, nil, nil).
 		WithRoutes(nil, map[string]rollout.Release{"s": rel.WithNextPhase()}))
-	u := hangingReplica{began: make(chan struct{})}
+	u := hangingUpstream{began: make(chan struct{})}
 	r := NewRouter(Ports{View: v, Clock: time.Now, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}})
 	for range 20 {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -96,7 +96,7 @@
 	if l := r.CollectTallies(); len(l) != 0 {
 		t.Errorf("the release has %+v", l)
 	}
-	if !r.backends.of("new").breaker.Allows(time.Now()) {
+	if !r.backends.stateOf("new").breaker.Allows(time.Now()) {
 		t.Error("the replica's breaker is open")
 	}
 }
--- a/entry/allowed.go
+++ b/entry/releasefilter.go
@@ -5,11 +5,11 @@
 	"fieldvale/rollout"
 )
 
-// ofRelease returns the replicas that the request may go to while its service
+// replicasByRelease returns the replicas that the request may go to while its service
 // changes its release.
-func (w *forwarding) ofRelease(l []*pool.Replica, rel rollout.Release) []*pool.Replica {
+func (w *forwarding) replicasByRelease(l []*pool.Replica, rel rollout.Release) []*pool.Replica {
 	takes := rel.RoutesToTarget(w.q.sessionKey()) && (w.q.Session == "" || rel.IncludesSessions())
-	if rel.State == rollout.Running && w.r.trippedHere(rel) {
+	if rel.State == rollout.Running && w.r.isFoundBad(rel) {
 		takes = false
 	}
 	var n []*pool.Replica
@@ -18,22 +18,22 @@
 			n = append(n, b)
 		}
 	}
-	if len(n) == 0 && rel.State != rollout.Tripped && !w.r.trippedHere(rel) {
+	if len(n) == 0 && rel.State != rollout.Tripped && !w.r.isFoundBad(rel) {
 		return l
 	}
 	return n
 }
 
-// mayStay reports whether a request that is meant for the new release may go to the old one
+// mayUseOldRelease reports whether a request that is meant for the new release may go to the old one
 // if the new one's replicas take no more: it has no session that must not change its release, and
 // the old replicas stay for some time. The other way would give a release that may be bad
 // more than its share.
-func (w *forwarding) mayStay(rel rollout.Release) bool {
-	return w.q.Session == "" && rel.State == rollout.Running && rel.SplitsTraffic() && rel.RoutesToTarget(w.q.sessionKey()) && !w.r.trippedHere(rel)
+func (w *forwarding) mayUseOldRelease(rel rollout.Release) bool {
+	return w.q.Session == "" && rel.State == rollout.Running && rel.SplitsTraffic() && rel.RoutesToTarget(w.q.sessionKey()) && !w.r.isFoundBad(rel)
 }
 
-// ofOld returns the replicas of other releases than the new one that may be used.
-func ofOld(l []*pool.Replica, rel rollout.Release) []*pool.Replica {
+// oldReplicas returns the replicas of other releases than the new one that may be used.
+func oldReplicas(l []*pool.Replica, rel rollout.Release) []*pool.Replica {
 	var n []*pool.Replica
 	for _, b := range l {
 		if b.Release != rel.Target && rel.Allows(b.Release) {
@@ -43,8 +43,8 @@
 	return n
 }
 
-// trippedHere reports whether this instance found the release bad; it stops
+// isFoundBad reports whether this instance found the release bad; it stops
 // sending to it before the others know.
-func (r *Router) trippedHere(rel rollout.Release) bool {
-	return r.releases.tripped(rel)
+func (r *Router) isFoundBad(rel rollout.Release) bool {
+	return r.releases.isBad(rel)
 }
--- a/entry/budget_test.go
+++ b/entry/retries_test.go
@@ -16,8 +16,8 @@
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: func() time.Time { return now }, Retries: admission.Repeats{Part: 0.87, Burst: 147}, FleetSize: func() int { return instances }})
 	for i := range requests {
 		now = now.Add(10 * time.Second / requests)
-		r.received("s")
-		if i%10 < 7 && !r.mayRepeat("s", escalateReserve) && i > 10 {
+		r.countRequest("s")
+		if i%10 < 7 && !r.takeOpaqueRetry("s", escalationReserve) && i > 10 {
 			t.Errorf("request %d may not ask a larger model", i)
 		}
 	}
--- a/entry/router.go
+++ b/entry/router.go
@@ -26,11 +26,11 @@
 	"fieldvale/version"
 )
 
-// maxTries bounds the attempts at one step.
-const maxTries = 3
+// maxAttempts bounds the attempts at one step.
+const maxAttempts = 3
 
-// raters is how many duties rate answers behind the callers' backs.
-const raters = 4
+// ratingWorkers is how many duties rate answers behind the callers' backs.
+const ratingWorkers = 4
 
 // Router decides and carries out each request.
 type Router struct {
@@ -43,36 +43,36 @@
 	clock    Clock
 	self     string
 
-	backends *backends
-	evidence *evidence
-	mu       sync.Mutex
-	limiters map[string]*admission.Limiter
-	budget   *admission.RetryBudget
-	learner  *cascade.Learner
-	events   *Hooks
+	backends       *backends
+	evidence       *evidence
+	mu             sync.Mutex
+	limiters       map[string]*admission.Limiter
+	retryBudget    *admission.RetryBudget
+	cascadeLearner *cascade.Learner
+	hooks          *Hooks
 
 	dataCentre string
 	// regions are the data centres' regions.
 	regions map[string]string
 
-	upstream   Upstream
-	underway   *underway
-	prober     Prober
-	quarantine Quarantine
-	placer     Placer
-	speeds     *timing.PrefillTimes
-	holds      *timing.SlotTimes
-	leads      *leads
-	answers    *answerSizes
-	delays     *timing.FirstEventDelays
-	paces      *paces
-	releases   *releases
-	// windows bound the repeats of opaque requests by service.
-	windows   map[string]*admission.Window
-	fleetSize func() int
-	repeats   admission.Repeats
-	quota     Quota
-	notices   *notice.Tracker
+	upstream         Upstream
+	activeForwards   *activeForwards
+	prober           Prober
+	quarantine       Quarantine
+	placer           Placer
+	prefillTimes     *timing.PrefillTimes
+	slotTimes        *timing.SlotTimes
+	confidenceGains  *confidenceGains
+	answerSizes      *answerSizes
+	firstEventDelays *timing.FirstEventDelays
+	tokenTimes       *tokenTimes
+	releases         *releases
+	// retryWindows bound the repeats of opaque requests by service.
+	retryWindows map[string]*admission.Window
+	fleetSize    func() int
+	retries      admission.Repeats
+	quota        Quota
+	notices      *notice.Tracker
 	// coldBound is how many requests a cold replica may get.
 	coldBound quota.ColdBound
 	// acceptConfidence is a smaller model's opinion of its own answer, out of
@@ -131,16 +131,16 @@
 		e = &Hooks{}
 	}
 	if p.Quota == nil {
-		p.Quota = unbounded{}
+		p.Quota = noQuota{}
 	}
 	return &Router{
 		view: p.View, engines: p.Engines, services: p.Services, claims: p.Claims, rater: p.Rater,
 		biller: p.Biller, clock: p.Clock, self: p.Self, dataCentre: p.DataCentre, regions: p.Regions,
 		backends: newBackends(p.Rand, p.Notices), evidence: newEvidence(p.Rater),
-		limiters: map[string]*admission.Limiter{}, budget: admission.NewRetryBudget(),
-		learner: cascade.NewLearner(), events: e,
-		upstream: p.Upstream, underway: newUnderway(), quarantine: p.Quarantine, prober: p.Prober, placer: p.Placer, speeds: timing.NewPrefillTimes(), holds: timing.NewSlotTimes(), leads: newLeads(), answers: newAnswerSizes(), delays: timing.NewFirstEventDelays(), paces: newPaces(),
-		releases: newReleases(p.Clock()), windows: map[string]*admission.Window{}, repeats: p.Retries, fleetSize: p.FleetSize,
+		limiters: map[string]*admission.Limiter{}, retryBudget: admission.NewRetryBudget(),
+		cascadeLearner: cascade.NewLearner(), hooks: e,
+		upstream: p.Upstream, activeForwards: newActiveForwards(), quarantine: p.Quarantine, prober: p.Prober, placer: p.Placer, prefillTimes: timing.NewPrefillTimes(), slotTimes: timing.NewSlotTimes(), confidenceGains: newConfidenceGains(), answerSizes: newAnswerSizes(), firstEventDelays: timing.NewFirstEventDelays(), tokenTimes: newTokenTimes(),
+		releases: newReleases(p.Clock()), retryWindows: map[string]*admission.Window{}, retries: p.Retries, fleetSize: p.FleetSize,
 		acceptConfidence: p.AcceptConfidence, coldBound: p.ColdBound, quota: p.Quota, notices: p.Notices,
 	}
 }
@@ -148,7 +148,7 @@
 // Run is the router's duties; it returns when ctx ends.
 func (r *Router) Run(ctx context.Context) error {
 	g, x := errgroup.WithContext(ctx)
-	for range raters {
+	for range ratingWorkers {
 		g.Go(func() error { return r.evidence.run(x) })
 	}
 	g.Go(func() error { return r.biller.Run(x) })
@@ -180,7 +180,7 @@
 		if len(p) == 0 {
 			return nil, notRun(ModelNotAllowed, "the policy has no model for this request")
 		}
-		return r.learned(v, q, p), nil
+		return r.withoutWastedStep(v, q, p), nil
 	}
 	m := q.Model
 	if x, err := version.Parse(q.Model); err == nil {
@@ -194,25 +194,25 @@
 	return nil, notRun(ModelNotFound, "model "+q.Model+" does not exist or may not be used")
 }
 
-// learned leaves out a cheap first step that ratings show to be wasted.
-func (r *Router) learned(v *View, q Request, p policy.Plan) policy.Plan {
+// withoutWastedStep leaves out a cheap first step that ratings show to be wasted.
+func (r *Router) withoutWastedStep(v *View, q Request, p policy.Plan) policy.Plan {
 	if len(p) < 2 {
 		return p
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.learner.Skip(learnKey(q, p[0]), unitCost(v, q, p[0].Model), unitCost(v, q, p[1].Model)) {
+	if r.cascadeLearner.Skip(learnerKey(q, p[0]), pricePerToken(v, q, p[0].Model), pricePerToken(v, q, p[1].Model)) {
 		return p[1:]
 	}
 	return p
 }
 
-func learnKey(q Request, s policy.Step) cascade.Key {
+func learnerKey(q Request, s policy.Step) cascade.Key {
 	return cascade.Key{Team: q.Caller.Team, Task: q.Task, Size: q.Size, Model: s.Model}
 }
 
-// unitCost is a model's price for the comparison of steps.
-func unitCost(v *View, q Request, model string) float64 {
+// pricePerToken is a model's price for the comparison of steps.
+func pricePerToken(v *View, q Request, model string) float64 {
 	x, ok := v.Active.Document().Part(q.Caller.Team).ActiveVersion(model)
 	if !ok {
 		return 0
@@ -221,8 +221,8 @@
 	return float64(c.CostIn + c.CostOut)
 }
 
-// pick returns the version for a step and the session that keeps it.
-func (r *Router) pick(v *View, q Request, s session.Session, model string) (version.ID, session.Session, bool, error) {
+// pickVersion returns the version for a step and the session that keeps it.
+func (r *Router) pickVersion(v *View, q Request, s session.Session, model string) (version.ID, session.Session, bool, error) {
 	if x, err := version.Parse(q.Model); err == nil {
 		if !v.mayRun(q.Caller, x) {
 			return x, s, false, notRun(ModelNotAllowed, "version "+q.Model+" may not be used")
@@ -247,16 +247,16 @@
 	return l
 }
 
-func (r *Router) admit(name string, c config.Caller, p []*pool.Replica, deadline time.Time) *admission.Refusal {
+func (r *Router) enterLimiter(name string, c config.Caller, p []*pool.Replica, deadline time.Time) *admission.Refusal {
 	n := r.clock()
-	w := r.backends.queued(p)
+	w := r.backends.queuedPerSlot(p)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget.Request()
+	r.retryBudget.Request()
 	return r.limiter(name).Admit(c.Customer.Name, c.Customer.Share, w, n, deadline)
 }
 
-func (r *Router) leave(name string, c config.Caller, start, deadline time.Time, err error) {
+func (r *Router) leaveLimiter(name string, c config.Caller, start, deadline time.Time, err error) {
 	n := r.clock()
 	t := 0.0
 	if err == nil {
@@ -282,61 +282,61 @@
 	return o, ok
 }
 
-// retry reports whether another attempt may be made after err.
-func (r *Router) retry(err error, once bool) bool {
+// takeRetry reports whether another attempt may be made after err.
+func (r *Router) takeRetry(err error, once bool) bool {
 	if !outcome.MayRepeat(err, once) {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budget.Retry()
+	return r.retryBudget.Retry()
 }
 
-// attempts dispatches a step to replicas of the version until one answers.
+// runOnVersion dispatches a step to replicas of the version until one answers.
 // Whether the version may still run is asked anew before each dispatch. call
 // makes one attempt.
-func (r *Router) attempts(ctx context.Context, q Request, x version.ID, call func(*pool.Replica) error) error {
+func (r *Router) runOnVersion(ctx context.Context, q Request, x version.ID, call func(*pool.Replica) error) error {
 	p := r.view.Get().byVersion[x]
 	if len(p) == 0 {
 		return r.noReplica(time.Time{})
 	}
-	if f := r.admit(x.String(), q.Caller, p, q.Deadline); f != nil {
+	if f := r.enterLimiter(x.String(), q.Caller, p, q.Deadline); f != nil {
 		return refused(f)
 	}
 	start := r.clock()
-	err := r.tries(ctx, q, x, call)
-	r.leave(x.String(), q.Caller, start, q.Deadline, err)
+	err := r.tryReplicas(ctx, q, x, call)
+	r.leaveLimiter(x.String(), q.Caller, start, q.Deadline, err)
 	return err
 }
 
-func (r *Router) tries(ctx context.Context, q Request, x version.ID, call func(*pool.Replica) error) error {
+func (r *Router) tryReplicas(ctx context.Context, q Request, x version.ID, call func(*pool.Replica) error) error {
 	var tried []string
 	var last error
 	var retryAt time.Time
-	w := r.watchOf(q.content())
-	for range maxTries {
+	w := r.newQuarantineCheck(q.content())
+	for range maxAttempts {
 		v := r.view.Get()
 		if ok := v.mayRun(q.Caller, x); !ok {
 			return errors.CombineErrors(errWithdrawn, last)
 		}
-		if w.allowed(ctx) != nil {
-			return worse(last, w.quarantined())
+		if w.check(ctx) != nil {
+			return lessCertain(last, w.refusal())
 		}
 		var b *pool.Replica
-		if b, retryAt = r.takeFor(ctx, x.String(), v.byVersion[x], pool.Request{AffinityKey: q.Session.ID}, tried, q.Priority); b == nil {
-			w.untried()
+		if b, retryAt = r.takeReplica(ctx, x.String(), v.byVersion[x], pool.Request{AffinityKey: q.Session.ID}, tried, q.Priority); b == nil {
+			w.cancelTrial()
 			break
 		}
 		err := call(b)
-		w.report(r.cameOf(b, err), b.ID)
+		w.report(r.quarantineOutcomeOf(b, err), b.ID)
 		r.backends.done(b.ID, err, r.clock())
-		r.judge(x, err)
+		r.countVersionFailure(x, err)
 		if err == nil {
 			return nil
 		}
-		r.events.attempt(FailedAttempt{Request: q.ID, Service: x.String(), Replica: b.ID, Err: err})
-		tried, last = append(tried, b.ID), worse(last, err)
-		if ctx.Err() != nil || !r.retry(err, false) {
+		r.hooks.attemptFailed(FailedAttempt{Request: q.ID, Service: x.String(), Replica: b.ID, Err: err})
+		tried, last = append(tried, b.ID), lessCertain(last, err)
+		if ctx.Err() != nil || !r.takeRetry(err, false) {
 			return last
 		}
 	}
@@ -350,20 +350,20 @@
 // its way; another version is picked.
 var errWithdrawn = errors.New("version was withdrawn")
 
-// worse keeps the error of which less is known, so that "not run" is told
+// lessCertain keeps the error of which less is known, so that "not run" is told
 // only if no attempt may have run.
-func worse(a, b error) error {
+func lessCertain(a, b error) error {
 	if a != nil && outcome.Of(a) == outcome.Unknown {
 		return a
 	}
 	return b
 }
 
-// judge counts a failed attempt against the version if it may be its fault.
+// countVersionFailure counts a failed attempt against the version if it may be its fault.
 // Good answers are counted where they are rated.
-func (r *Router) judge(x version.ID, err error) {
+func (r *Router) countVersionFailure(x version.ID, err error) {
 	o, ok := asOutcome(err)
-	if !ok || o.Kind == outcome.NotRun || errors.Is(o.Cause, errCaller) {
+	if !ok || o.Kind == outcome.NotRun || errors.Is(o.Cause, errCallerGone) {
 		return
 	}
 	if o.Step == stepAnswer {
@@ -376,35 +376,35 @@
 // not the version's.
 const stepAnswer = "answer"
 
-// errCaller marks failures of the caller's side of a stream.
-var errCaller = errors.New("the caller is gone")
+// errCallerGone marks failures of the caller's side of a stream.
+var errCallerGone = errors.New("the caller is gone")
 
-// inForce reports whether a roll-out to the version is under way, so that its
+// isRollingOut reports whether a roll-out to the version is under way, so that its
 // answers must be rated.
-func inForce(v *View, c config.Caller, x version.ID) bool {
+func isRollingOut(v *View, c config.Caller, x version.ID) bool {
 	o, ok := v.Active.Document().Part(c.Team).Rollout(x.Model)
 	return ok && o.To == x && o.State == rollout.Running
 }
 
-// weigh counts an answer that the policy does not rate.
-func (r *Router) weigh(v *View, q Request, c *cascadeRun, answer []byte) {
+// recordUnratedAnswer counts an answer that the policy does not rate.
+func (r *Router) recordUnratedAnswer(v *View, q Request, c *cascadeRun, answer []byte) {
 	switch {
 	case c.slow:
-		r.evidence.bad(c.by)
-	case inForce(v, q.Caller, c.by):
-		r.evidence.later(c.by, q.Body, answer)
+		r.evidence.bad(c.version)
+	case isRollingOut(v, q.Caller, c.version):
+		r.evidence.queueRating(c.version, q.Body, answer)
 	default:
-		r.evidence.good(c.by)
+		r.evidence.good(c.version)
 	}
 }
 
-// rated counts an answer by its rating, and as bad whatever that is if it is slow.
-func (r *Router) rated(c *cascadeRun, rating float64) {
+// recordRating counts an answer by its rating, and as bad whatever that is if it is slow.
+func (r *Router) recordRating(c *cascadeRun, rating float64) {
 	if c.slow {
-		r.evidence.bad(c.by)
+		r.evidence.bad(c.version)
 		return
 	}
-	r.evidence.rated(c.by, rating)
+	r.evidence.rated(c.version, rating)
 }
 
 func (r *Router) bill(v *View, q Request, x version.ID, a bill.Amount) {
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -67,37 +67,37 @@
 }
 
 // rest fakes the other ports: claims are granted or not, ratings are fixed.
-type rest struct {
-	claims  error
-	rating  float64
-	held    int
-	freed   int
-	ranOnce int
+type portsFake struct {
+	claimErr    error
+	rating      float64
+	billsHeld   int
+	claimsFreed int
+	claimsRan   int
 }
 
-func (f *rest) Claim(_ context.Context, c claim.Claim) (claim.Verdict, claim.Claim, error) {
-	return claim.Send, c, f.claims
+func (f *portsFake) Claim(_ context.Context, c claim.Claim) (claim.Verdict, claim.Claim, error) {
+	return claim.Send, c, f.claimErr
 }
 
-func (f *rest) Finish(_ context.Context, c claim.Claim) error {
+func (f *portsFake) Finish(_ context.Context, c claim.Claim) error {
 	if c.State == claim.Free {
-		f.freed++
+		f.claimsFreed++
 		return nil
 	}
-	f.ranOnce++
+	f.claimsRan++
 	return nil
 }
 
-func (f *rest) Hold(context.Context, peer.Member, bill.Record) (bill.Word, error) {
-	f.held++
+func (f *portsFake) Hold(context.Context, peer.Member, bill.Record) (bill.Word, error) {
+	f.billsHeld++
 	return bill.Word{}, nil
 }
 
-func (f *rest) Release(context.Context, peer.Member, bill.Record) error { return nil }
+func (f *portsFake) Release(context.Context, peer.Member, bill.Record) error { return nil }
 
-func (f *rest) Rate(context.Context, []byte, []byte) (float64, error) { return f.rating, nil }
+func (f *portsFake) Rate(context.Context, []byte, []byte) (float64, error) { return f.rating, nil }
 
-const program = `
+const policyProgram = `
 def allow(customer, model, version):
     return customer.tier == "gold" or model != "large" 
 def route(customer, task, size):
@@ -108,7 +108,7 @@
 
 var versions = []version.ID{version.New("large", "1"), version.New("small", "1"), version.New("small", "2")}
 
-func newTestRouter(t interface{ Fatal(...any) }, b *backendsFake, f *rest) (*Router, *CurrentView) {
+func newTestRouter(t interface{ Fatal(...any) }, b *backendsFake, f *portsFake) (*Router, *CurrentView) {
 	c := catalog.Catalog{Team: "t", Services: []catalog.Service{{Name: "desk", Once: []string{"confirm"}}, {Name: "checked", Once: []string{"confirm"}, ChecksKey: true}}}
 	for i, tier := range []string{"gold", "bronze"} {
 		c.Customers = append(c.Customers, catalog.Customer{Name: tier, Tier: tier, Share: 1, KeyHashes: []string{fmt.Sprintf("%064x", i)}})
@@ -116,7 +116,7 @@
 	for _, v := range versions {
 		c.Versions = append(c.Versions, catalog.Version{ID: v, CostOut: 1000})
 	}
-	d, _, err := config.Document{}.Apply(config.Change{ID: "1", Team: "t", Action: audit.Accept, Base: config.AnyBase, Source: policy.Source{Program: program, Catalog: c}})
+	d, _, err := config.Document{}.Apply(config.Change{ID: "1", Team: "t", Action: audit.Accept, Base: config.AnyBase, Source: policy.Source{Program: policyProgram, Catalog: c}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 func TestOnlyAllowedVersionsRunAndNotRunIsTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &backendsFake{script: kinds.Draw(t, "script")}
-		f := &rest{rating: rapid.Float64Range(0, 1).Draw(t, "rating")}
+		f := &portsFake{rating: rapid.Float64Range(0, 1).Draw(t, "rating")}
 		r, v := newTestRouter(t, b, f)
 		c := rapid.SampledFrom([]string{"gold", "bronze"}).Draw(t, "customer")
 		q := request(v, c, rapid.SampledFrom([]string{AutoModel, "", "small", "large", "large@1", "small@2", "none"}).Draw(t, "model"))
@@ -170,8 +170,8 @@
 		if err != nil && failed(err).Outcome == outcome.NotRun && len(b.ran) > 0 {
 			t.Fatalf("told %v, and it ran on %v", err, b.ran)
 		}
-		if err == nil && f.held != 1 {
-			t.Fatalf("an answered request was billed %d times", f.held)
+		if err == nil && f.billsHeld != 1 {
+			t.Fatalf("an answered request was billed %d times", f.billsHeld)
 		}
 	})
 }
@@ -186,13 +186,13 @@
 func TestOnceIsSentAgainOnlyAfterProof(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &backendsFake{script: kinds.Draw(t, "script")}
-		f := &rest{}
+		f := &portsFake{}
 		r, v := newTestRouter(t, b, f)
 		_, err := r.Call(t.Context(), ServiceRequest{ID: "id", Caller: customerOf(v, "gold"), Service: "desk", Call: "confirm", IdempotencyKey: "k", Deadline: time.Now().Add(time.Minute)})
 		if len(b.ran) > 1 {
 			t.Fatalf("sent %d times after %v", len(b.ran), b.script)
 		}
-		if f.freed > 0 && len(b.ran) > 0 {
+		if f.claimsFreed > 0 && len(b.ran) > 0 {
 			t.Fatalf("the claim was freed though %v may have run", b.script)
 		}
 		if err != nil && failed(err).Outcome == outcome.NotRun && len(b.ran) > 0 {
@@ -214,7 +214,7 @@
 		{"none", "k", 0, ServiceNotFound},
 	} {
 		b := &backendsFake{}
-		r, v := newTestRouter(t, b, &rest{claims: errors.New("store is out")})
+		r, v := newTestRouter(t, b, &portsFake{claimErr: errors.New("store is out")})
 		_, err := r.Call(t.Context(), ServiceRequest{ID: "id", Caller: customerOf(v, "gold"), Service: c.service, Call: "confirm", IdempotencyKey: c.key, Deadline: time.Now().Add(time.Minute)})
 		var f *Failure
 		if errors.As(err, &f) != (c.code != "") || f != nil && (f.Code != c.code || f.Outcome != outcome.NotRun) || len(b.ran) != c.ran {
@@ -227,7 +227,7 @@
 // wakes up sends nothing.
 func TestNothingIsSentAfterTheDeadline(t *testing.T) {
 	b := &backendsFake{}
-	f := &rest{}
+	f := &portsFake{}
 	r, v := newTestRouter(t, b, f)
 	_, err := r.Call(t.Context(), ServiceRequest{ID: "id", Caller: customerOf(v, "gold"), Service: "desk", Call: "confirm", IdempotencyKey: "k", Deadline: time.Now().Add(-time.Second)})
 	if err == nil || len(b.ran) != 0 || failed(err).Outcome != outcome.NotRun {
@@ -249,7 +249,7 @@
 		{"cheap fails", 0.9, []outcome.Kind{outcome.Unknown, outcome.Unknown, outcome.Unknown, outcome.Ran}, "large", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, v := newTestRouter(t, &backendsFake{script: c.script}, &rest{rating: c.rating})
+			r, v := newTestRouter(t, &backendsFake{script: c.script}, &portsFake{rating: c.rating})
 			_, x, err := r.Chat(t.Context(), request(v, "gold", AutoModel))
 			if err != nil || x.Version.Model != c.want || x.BelowTarget != c.below {
 				t.Errorf("answered by %s, below target %t, %v; want %s, %t", x.Version, x.BelowTarget, err, c.want, c.below)
--- a/entry/service.go
+++ b/entry/service.go
@@ -45,19 +45,19 @@
 	c := claim.New(k, q.IdempotencyKey, uuid.NewString(), r.self, q.Deadline)
 	d, f, err := r.claims.Claim(ctx, c)
 	if err != nil {
-		return r.unclaimed(ctx, q, checked, err)
+		return r.callUnclaimed(ctx, q, checked, err)
 	}
 	if d != claim.Send {
-		return r.notMine(d, f)
+		return r.claimNotGranted(d, f)
 	}
 	a, err := r.callService(ctx, q)
-	r.endClaim(c, a, err)
+	r.finishClaim(c, a, err)
 	return a, err
 }
 
-// unclaimed is a request whose claim could not be had: it goes on only to a
+// callUnclaimed is a request whose claim could not be had: it goes on only to a
 // service that itself refuses a second call with the key.
-func (r *Router) unclaimed(ctx context.Context, q ServiceRequest, checked bool, err error) (ServiceResult, error) {
+func (r *Router) callUnclaimed(ctx context.Context, q ServiceRequest, checked bool, err error) (ServiceResult, error) {
 	if checked {
 		return r.callService(ctx, q)
 	}
@@ -67,7 +67,7 @@
 	return ServiceResult{}, f
 }
 
-func (r *Router) notMine(d claim.Verdict, f claim.Claim) (ServiceResult, error) {
+func (r *Router) claimNotGranted(d claim.Verdict, f claim.Claim) (ServiceResult, error) {
 	switch d {
 	case claim.Replay:
 		v := r.view.Get()
@@ -82,9 +82,9 @@
 
 const jsonType = "application/json"
 
-// endClaim records a result or a proof that there is none. An unknown
+// finishClaim records a result or a proof that there is none. An unknown
 // outcome leaves the claim held until it expires.
-func (r *Router) endClaim(c claim.Claim, a ServiceResult, err error) {
+func (r *Router) finishClaim(c claim.Claim, a ServiceResult, err error) {
 	x, cancel := context.WithTimeout(context.Background(), finishTimeout)
 	defer cancel()
 	switch {
@@ -96,7 +96,7 @@
 		return
 	}
 	if err != nil {
-		r.events.unrecorded(c, err)
+		r.hooks.claimNotRecorded(c, err)
 	}
 }
 
@@ -105,12 +105,12 @@
 // run it.
 func (r *Router) callService(ctx context.Context, q ServiceRequest) (ServiceResult, error) {
 	p := r.view.Get().byService[q.Service]
-	if f := r.admit(q.Service, q.Caller, p, q.Deadline); f != nil {
+	if f := r.enterLimiter(q.Service, q.Caller, p, q.Deadline); f != nil {
 		return ServiceResult{}, refused(f)
 	}
 	start := r.clock()
-	a, err := r.serviceTries(ctx, q)
-	r.leave(q.Service, q.Caller, start, q.Deadline, err)
+	a, err := r.tryServiceReplicas(ctx, q)
+	r.leaveLimiter(q.Service, q.Caller, start, q.Deadline, err)
 	if err != nil {
 		return ServiceResult{}, failed(err)
 	}
@@ -118,30 +118,30 @@
 	return ServiceResult{Answer: a, Revision: r.view.Get().Active.Revision()}, nil
 }
 
-func (r *Router) serviceTries(ctx context.Context, q ServiceRequest) (ServiceAnswer, error) {
+func (r *Router) tryServiceReplicas(ctx context.Context, q ServiceRequest) (ServiceAnswer, error) {
 	var tried []string
 	var last error
 	var retryAt time.Time
-	w := r.watchOf(q.content())
-	for range maxTries {
-		if w.allowed(ctx) != nil {
-			last = worse(last, w.quarantined())
+	w := r.newQuarantineCheck(q.content())
+	for range maxAttempts {
+		if w.check(ctx) != nil {
+			last = lessCertain(last, w.refusal())
 			break
 		}
 		var b *pool.Replica
-		if b, retryAt = r.takeFor(ctx, q.Service, r.view.Get().byService[q.Service], pool.Request{}, tried, 0); b == nil {
-			w.untried()
+		if b, retryAt = r.takeReplica(ctx, q.Service, r.view.Get().byService[q.Service], pool.Request{}, tried, 0); b == nil {
+			w.cancelTrial()
 			break
 		}
-		a, err := r.serviceTry(ctx, b, q)
-		w.report(r.cameOf(b, err), b.ID)
+		a, err := r.callReplica(ctx, b, q)
+		w.report(r.quarantineOutcomeOf(b, err), b.ID)
 		r.backends.done(b.ID, err, r.clock())
 		if err == nil {
 			return a, nil
 		}
-		r.events.attempt(FailedAttempt{Request: q.ID, Service: q.Service, Replica: b.ID, Err: err})
-		tried, last = append(tried, b.ID), worse(last, err)
-		if ctx.Err() != nil || !r.retry(err, q.Once) {
+		r.hooks.attemptFailed(FailedAttempt{Request: q.ID, Service: q.Service, Replica: b.ID, Err: err})
+		tried, last = append(tried, b.ID), lessCertain(last, err)
+		if ctx.Err() != nil || !r.takeRetry(err, q.Once) {
 			return a, last
 		}
 	}
@@ -151,9 +151,9 @@
 	return ServiceAnswer{}, last
 }
 
-// serviceTry makes one attempt. The deadline is looked at right before: a
+// callReplica makes one attempt. The deadline is looked at right before: a
 // process that was paused after its claim sends nothing.
-func (r *Router) serviceTry(ctx context.Context, b *pool.Replica, q ServiceRequest) (ServiceAnswer, error) {
+func (r *Router) callReplica(ctx context.Context, b *pool.Replica, q ServiceRequest) (ServiceAnswer, error) {
 	if !r.clock().Before(q.Deadline) {
 		return ServiceAnswer{}, outcome.New(outcome.NotRun, "deadline", b.ID, errors.New("the deadline passed before the request was sent"))
 	}
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -46,9 +46,9 @@
 		if err == nil {
 			n.best = true
 		}
-		c.held = keepBest(c.held, n)
+		c.bestStream = keepBest(c.bestStream, n)
 	}
-	return r.last(x, q, c, p[l], s)
+	return r.streamLastStep(x, q, c, p[l], s)
 }
 
 // collector gathers a stream that must be rated before the caller sees it.
@@ -80,7 +80,7 @@
 
 // replay hands a gathered answer to the caller.
 func (r *Router) replay(q Request, c *cascadeRun, s Sink, n *collector, below bool) error {
-	f := r.finish(q, c, c.by, below)
+	f := r.finish(q, c, c.version, below)
 	if err := s.Head(f); err != nil {
 		return callerGone(err)
 	}
@@ -92,43 +92,43 @@
 	return nil
 }
 
-// last runs the step whose chunks go to the caller as they come.
-func (r *Router) last(ctx context.Context, q Request, c *cascadeRun, y policy.Step, s Sink) error {
+// streamLastStep runs the step whose chunks go to the caller as they come.
+func (r *Router) streamLastStep(ctx context.Context, q Request, c *cascadeRun, y policy.Step, s Sink) error {
 	started := false
 	head := func(f Result) error {
 		started = true
 		return s.Head(f)
 	}
 	a, err := r.streamStep(ctx, q, c, y, head, s.Chunk)
-	if err != nil && !started && c.held != nil {
-		return r.replay(q, c, s, c.held, true)
+	if err != nil && !started && c.bestStream != nil {
+		return r.replay(q, c, s, c.bestStream, true)
 	}
 	if err != nil {
-		r.billCut(q, c)
+		r.billEarlierSteps(q, c)
 		return r.streamFailure(c, err, started)
 	}
-	r.weigh(r.view.Get(), q, c, []byte(a.Text))
-	r.finish(q, c, c.by, false)
+	r.recordUnratedAnswer(r.view.Get(), q, c, []byte(a.Text))
+	r.finish(q, c, c.version, false)
 	return nil
 }
 
-// billCut bills the earlier steps of a request whose last one failed.
-func (r *Router) billCut(q Request, c *cascadeRun) {
+// billEarlierSteps bills the earlier steps of a request whose last one failed.
+func (r *Router) billEarlierSteps(q Request, c *cascadeRun) {
 	if c.spent != (bill.Amount{}) {
-		r.bill(r.view.Get(), q, c.by, c.spent)
+		r.bill(r.view.Get(), q, c.version, c.spent)
 	}
 }
 
 func (r *Router) streamFailure(c *cascadeRun, err error, started bool) error {
 	f := *failed(err)
-	if c.unknown || started {
+	if c.mayHaveRun || started {
 		f.Outcome = outcome.Unknown
 	}
 	return &f
 }
 
 func callerGone(err error) error {
-	return outcome.New(outcome.Unknown, "caller", "caller", errors.Mark(err, errCaller))
+	return outcome.New(outcome.Unknown, "caller", "caller", errors.Mark(err, errCallerGone))
 }
 
 // streamStep streams one step from replica after replica: one that breaks in
@@ -146,13 +146,13 @@
 
 func (r *Router) streamOnce(ctx context.Context, q Request, c *cascadeRun, y policy.Step, head func(Result) error, chunk func([]byte) error, sent *int) (Answer, error) {
 	v := r.view.Get()
-	x, n, moved, err := r.pick(v, q, c.session, y.Model)
+	x, n, moved, err := r.pickVersion(v, q, c.session, y.Model)
 	if err != nil {
 		return Answer{}, err
 	}
 	sink := func(b []byte) error {
 		if *sent == 0 {
-			f := Result{RequestID: q.ID, Version: x, Revision: v.Active.Revision(), Session: n, SessionMoved: c.moved || moved}
+			f := Result{RequestID: q.ID, Version: x, Revision: v.Active.Revision(), Session: n, SessionMoved: c.sessionMoved || moved}
 			if err := head(f); err != nil {
 				return callerGone(err)
 			}
@@ -165,7 +165,7 @@
 	}
 	var a Answer
 	var began time.Time
-	err = r.attempts(ctx, q, x, func(b *pool.Replica) (err error) {
+	err = r.runOnVersion(ctx, q, x, func(b *pool.Replica) (err error) {
 		began = r.clock()
 		t := newAttempt(q, x)
 		t.ResumeChunks = *sent
@@ -173,11 +173,11 @@
 		return err
 	})
 	if err != nil {
-		c.unknown = c.unknown || outcome.Of(err) == outcome.Unknown && !isFailure(err)
+		c.mayHaveRun = c.mayHaveRun || outcome.Of(err) == outcome.Unknown && !isFailure(err)
 		return a, err
 	}
 	c.slow = r.answerIsSlow(v, q.Caller, x, a, r.clock().Sub(began))
-	c.by, c.session, c.moved = x, n, c.moved || moved
+	c.version, c.session, c.sessionMoved = x, n, c.sessionMoved || moved
 	c.spent = c.spent.Plus(price(v, x, a))
 	return a, nil
 }
--- a/entry/pace_test.go
+++ b/entry/tokentime_test.go
@@ -19,18 +19,18 @@
 )
 
 // pacedEngines answer each version in its own time.
-type pacedEngines struct {
+type slowEngines struct {
 	backendsFake
 	rand *rand.Rand
 	// usual is how long an answer takes in the middle, of all versions; late is the part
 	// of the new one's answers that take five times as long.
-	usual time.Duration
-	late  float64
+	medianTime time.Duration
+	slowPart   float64
 }
 
-func (f *pacedEngines) Chat(ctx context.Context, r *pool.Replica, a Attempt) (Answer, error) {
-	d := time.Duration(float64(f.usual) * math.Exp(0.6*f.rand.NormFloat64()))
-	if a.Version == versions[2] && f.rand.Float64() < f.late {
+func (f *slowEngines) Chat(ctx context.Context, r *pool.Replica, a Attempt) (Answer, error) {
+	d := time.Duration(float64(f.medianTime) * math.Exp(0.6*f.rand.NormFloat64()))
+	if a.Version == versions[2] && f.rand.Float64() < f.slowPart {
 		d *= 5
 	}
 	time.Sleep(d)
@@ -72,13 +72,13 @@
 		{"sound, and all slower", 0, 4, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			f := &pacedEngines{rand: rand.New(rand.NewPCG(5, 5)), usual: 100 * time.Millisecond, late: c.late}
-			r, v := newTestRouter(t, &f.backendsFake, &rest{rating: 1})
+			f := &slowEngines{rand: rand.New(rand.NewPCG(5, 5)), medianTime: 100 * time.Millisecond, slowPart: c.late}
+			r, v := newTestRouter(t, &f.backendsFake, &portsFake{rating: 1})
 			r.engines = f
 			withRollout(t, v)
 			for i := range 600 {
 				if i == 300 {
-					f.usual = time.Duration(c.slower * float64(f.usual))
+					f.medianTime = time.Duration(c.slower * float64(f.medianTime))
 				}
 				q := request(v, "bronze", AutoModel)
 				q.ID = fmt.Sprint("q", i)
@@ -98,9 +98,9 @@
 }
 
 func Example_paces() {
-	p := newPaces()
-	for range leastPaced {
-		p.saw(version.New("small", "1"), 10*time.Millisecond)
+	p := newTokenTimes()
+	for range minSamples {
+		p.observe(version.New("small", "1"), 10*time.Millisecond)
 	}
 	fmt.Println(p.isSlow(39*time.Millisecond, version.New("small", "1")), p.isSlow(41*time.Millisecond, version.New("small", "1")))
 	// Output: false true
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -35,17 +35,17 @@
 	// answer is how a replica answers: how long it takes, and with what status.
 	answer func(r *pool.Replica, busy int, u *rand.Rand) (time.Duration, int)
 	// mu guards what follows.
-	mu   sync.Mutex
-	rand *rand.Rand
-	busy map[string]int
-	most map[string]int
+	mu      sync.Mutex
+	rand    *rand.Rand
+	busy    map[string]int
+	maxBusy map[string]int
 	// got is how many requests each release got.
-	got map[string]int
-	sum sync.WaitGroup
+	received map[string]int
+	requests sync.WaitGroup
 }
 
 func newTrialFleet(t *testing.T, instances int) *trialFleet {
-	f := &trialFleet{t: t, view: NewCurrentView(), rand: rand.New(rand.NewPCG(7, 7)), busy: map[string]int{}, most: map[string]int{}, got: map[string]int{}}
+	f := &trialFleet{t: t, view: NewCurrentView(), rand: rand.New(rand.NewPCG(7, 7)), busy: map[string]int{}, maxBusy: map[string]int{}, received: map[string]int{}}
 	for i := range instances {
 		f.routers = append(f.routers, f.router(i))
 	}
@@ -60,7 +60,7 @@
 }
 
 // phase puts the release in force.
-func (f *trialFleet) phase(rel rollout.Release) {
+func (f *trialFleet) putRelease(rel rollout.Release) {
 	var l []pool.Replica
 	for i := range trialReplicas {
 		for _, v := range []string{"v1", "v2"} {
@@ -75,8 +75,8 @@
 func (f *trialFleet) Send(ctx context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
 	f.mu.Lock()
 	f.busy[r.ID]++
-	f.most[r.ID] = max(f.most[r.ID], f.busy[r.ID])
-	f.got[r.Release]++
+	f.maxBusy[r.ID] = max(f.maxBusy[r.ID], f.busy[r.ID])
+	f.received[r.Release]++
 	d, status := f.answer(r, f.busy[r.ID], f.rand)
 	f.mu.Unlock()
 	defer time.AfterFunc(d, func() {
@@ -86,16 +86,16 @@
 	})
 	select {
 	case <-time.After(d):
-		return &scriptReply{ctx: ctx, p: scriptedReply{status: status, events: []string{"body"}}}, nil
+		return &replyFake{ctx: ctx, p: scriptedReply{status: status, events: []string{"body"}}}, nil
 	case <-ctx.Done():
 		return nil, context.Cause(ctx)
 	}
 }
 
 // request sends one to an instance; its client leaves after the patience.
-func (f *trialFleet) request(id string, r *route.Route, patience time.Duration) {
+func (f *trialFleet) send(id string, r *route.Route, patience time.Duration) {
 	n := f.routers[f.rand.IntN(len(f.routers))]
-	f.sum.Go(func() {
+	f.requests.Go(func() {
 		ctx, cancel := context.WithTimeoutCause(f.t.Context(), patience, context.Canceled)
 		defer cancel()
 		x, leave := context.WithCancel(ctx)
@@ -123,18 +123,18 @@
 	end := time.Now().Add(d)
 	tell := time.Now()
 	for n := 0; time.Now().Before(end); n++ {
-		f.request(fmt.Sprint(name, n), a[f.rand.IntN(len(a))], patience)
+		f.send(fmt.Sprint(name, n), a[f.rand.IntN(len(a))], patience)
 		time.Sleep(time.Second / time.Duration(rate))
 		if time.Since(tell) < 400*time.Millisecond {
 			continue
 		}
 		tell = time.Now()
-		f.tell()
+		f.exchangeTallies()
 	}
 }
 
 // tell passes what each instance saw to all others.
-func (f *trialFleet) tell() {
+func (f *trialFleet) exchangeTallies() {
 	for i, r := range f.routers {
 		for _, t := range r.CollectTallies() {
 			for j, o := range f.routers {
@@ -148,17 +148,17 @@
 
 // release plays a whole release of a service that gets so many requests a second,
 // by its phases, until it is found bad or its length is over.
-func (f *trialFleet) release(rel rollout.Release, a []*route.Route, rate int, patience time.Duration) {
+func (f *trialFleet) runRelease(rel rollout.Release, a []*route.Route, rate int, patience time.Duration) {
 	start := time.Now()
 	since := start
 	for step := 0; rel.State == rollout.Running && time.Since(start) < 2*rel.Length && !f.found(); step++ {
 		if rel.State == rollout.Running && rel.IsNextPhaseDue(time.Since(start), time.Since(since), f.standing(rel)) {
 			rel, since = rel.WithNextPhase(), time.Now()
 			rel.TrialShare = rel.ComputeTrialShare(rollout.ExposureLimit{Fraction: 0.15, Slack: 30}, float64(rate))
-			f.phase(rel)
+			f.putRelease(rel)
 		}
 		f.run(fmt.Sprint("s", step, "-"), a, rate, 100*time.Millisecond, patience)
-		f.tell()
+		f.exchangeTallies()
 	}
 }
 
@@ -180,7 +180,7 @@
 }
 
 // allowed is how many requests a bad release of 20 s may get: 15 in 100 and 30.
-func allowed(rate int) int { return 20*rate*15/100 + 30 }
+func maxBadRequests(rate int) int { return 20*rate*15/100 + 30 }
 
 // A bad release went on to get requests for as long as it was ordered, and 1,842
 // after it should have been taken back. It did not fail: its answers came several
@@ -203,11 +203,11 @@
 			return d, http.StatusOK
 		}
 		const rate = 40
-		f.release(rollout.NewRelease("s", "v2", 1, 20*time.Second), trialRoutes(9), rate, 2500*time.Millisecond)
-		if n := f.got["v2"]; !f.found() || n > allowed(rate) {
-			t.Errorf("a release whose answers take three to nine times as long got %d requests, want at most %d; found: %t", n, allowed(rate), f.found())
+		f.runRelease(rollout.NewRelease("s", "v2", 1, 20*time.Second), trialRoutes(9), rate, 2500*time.Millisecond)
+		if n := f.received["v2"]; !f.found() || n > maxBadRequests(rate) {
+			t.Errorf("a release whose answers take three to nine times as long got %d requests, want at most %d; found: %t", n, maxBadRequests(rate), f.found())
 		}
-		f.sum.Wait()
+		f.requests.Wait()
 	})
 }
 
@@ -228,7 +228,7 @@
 		}
 		rel := rollout.NewRelease("s", "v2", 1, 20*time.Second).WithNextPhase().WithNextPhase()
 		rel.TrialShare = 3000
-		f.phase(rel)
+		f.putRelease(rel)
 		judge := f.routers[0]
 		seen := f.routers[1:]
 		f.routers = seen
@@ -249,7 +249,7 @@
 		if len(judge.BadReleases()) == 0 {
 			t.Error("an instance that was restarted saw a release fail half of its requests for 3 s, and it was not heard")
 		}
-		f.sum.Wait()
+		f.requests.Wait()
 	})
 }
 
@@ -261,13 +261,13 @@
 func TestAReleaseThatFailsUnderLoadStaysWithinItsBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTrialFleet(t, 7)
-		f.answer = failsFrom(trialSlots / 2)
+		f.answer = failsWhenBusy(trialSlots / 2)
 		const rate = 70
-		f.release(rollout.NewRelease("s", "v2", 1, 20*time.Second), trialRoutes(3), rate, time.Minute)
-		if n := f.got["v2"]; n > allowed(rate) {
-			t.Errorf("a release that fails under load got %d requests, want at most %d", n, allowed(rate))
+		f.runRelease(rollout.NewRelease("s", "v2", 1, 20*time.Second), trialRoutes(3), rate, time.Minute)
+		if n := f.received["v2"]; n > maxBadRequests(rate) {
+			t.Errorf("a release that fails under load got %d requests, want at most %d", n, maxBadRequests(rate))
 		}
-		f.sum.Wait()
+		f.requests.Wait()
 	})
 }
 
@@ -276,19 +276,19 @@
 func TestAReleaseThatFailsUnderTheUsualLoadIsFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTrialFleet(t, 7)
-		f.answer = failsFrom(4)
+		f.answer = failsWhenBusy(4)
 		const rate = 70
-		f.release(rollout.NewRelease("s", "v2", 1, 20*time.Second), trialRoutes(3), rate, time.Minute)
-		if n := f.got["v2"]; !f.found() || n > allowed(rate) {
-			t.Errorf("a release that fails under the usual load got %d requests, want at most %d; found: %t", n, allowed(rate), f.found())
+		f.runRelease(rollout.NewRelease("s", "v2", 1, 20*time.Second), trialRoutes(3), rate, time.Minute)
+		if n := f.received["v2"]; !f.found() || n > maxBadRequests(rate) {
+			t.Errorf("a release that fails under the usual load got %d requests, want at most %d; found: %t", n, maxBadRequests(rate), f.found())
 		}
-		f.sum.Wait()
+		f.requests.Wait()
 	})
 }
 
 // failsFrom has half of the new release's answers fail at replicas that have so many
 // requests.
-func failsFrom(busyFrom int) func(*pool.Replica, int, *rand.Rand) (time.Duration, int) {
+func failsWhenBusy(busyFrom int) func(*pool.Replica, int, *rand.Rand) (time.Duration, int) {
 	return func(r *pool.Replica, busy int, u *rand.Rand) (time.Duration, int) {
 		d := time.Duration((200 + u.ExpFloat64()*600) * float64(time.Millisecond))
 		if r.Release == "v2" && busy >= busyFrom && u.Float64() < 0.5 {
@@ -311,14 +311,14 @@
 			f := newTrialFleet(t, 6)
 			f.rand = rand.New(rand.NewPCG(7, 7+seed))
 			f.slowInAThird()
-			f.release(rollout.NewRelease("s", "v2", 1, 14*time.Second), trialRoutes(9), 30, time.Minute)
+			f.runRelease(rollout.NewRelease("s", "v2", 1, 14*time.Second), trialRoutes(9), 30, time.Minute)
 			if f.found() {
 				found++
 			}
 			if f.view.Get().Releases["s"].State == rollout.Done {
 				done++
 			}
-			f.sum.Wait()
+			f.requests.Wait()
 		})
 	}
 	// Before, none of them was found and all were done.
@@ -346,14 +346,14 @@
 func TestAJudgeThatHearsFewIsInDoubtByItself(t *testing.T) {
 	f := newTrialFleet(t, 5)
 	rel := rollout.NewRelease("s", "v2", 1, 6*time.Second).WithNextPhase().WithNextPhase()
-	f.phase(rel)
+	f.putRelease(rel)
 	r := f.routers[0]
 	for range 60 {
-		w := &wait{release: "v1", since: time.Now(), ends: rollout.IntervalEnds(time.Second)}
-		r.releases.await(rel, w)
-		r.releases.answered(rel, w, true, w.since)
+		w := &headWait{release: "v1", startedAt: time.Now(), intervalEnds: rollout.IntervalEnds(time.Second)}
+		r.releases.startHeadWait(rel, w)
+		r.releases.endHeadWait(rel, w, true, w.startedAt)
 	}
-	r.releases.weigh(rel, saw{release: "v1", outcome: showsGood}, time.Now(), r.events)
+	r.releases.record(rel, observation{release: "v1", verdict: verdictGood}, time.Now(), r.hooks)
 	if s := r.Standing(rel, false); s.Inconclusive {
 		t.Error("one that leaves it to others is in doubt")
 	}
--- a/entry/verdict.go
+++ b/entry/verdict.go
@@ -6,36 +6,36 @@
 )
 
 // verdicts name what attempts show, for the metrics.
-var verdicts = map[outcomeOf]string{showsGood: "good", showsFailed: "failed", showsBroken: "broken", showsNothing: "nothing"}
+var verdictNames = map[verdict]string{verdictGood: "good", verdictFailed: "failed", verdictBroken: "broken", verdictNone: "nothing"}
 
 // judge counts what the attempt shows of its release, if one is under way.
-func (a *attempt) judge(bad bool, came quarantine.Outcome) {
+func (a *attempt) judgeRelease(bad bool, came quarantine.Outcome) {
 	r := a.w.r
-	o := a.shows(bad)
-	if o == showsBroken && came == quarantine.ReplicaCrashed && !r.releases.firstEnd(a.replica.ID) {
+	o := a.releaseVerdict(bad)
+	if o == verdictBroken && came == quarantine.ReplicaCrashed && !r.releases.isFirstCrash(a.replica.ID) {
 		// All that was at a replica as it ended is one finding: up to 60 requests of a
 		// good release broke off there at once, and a request that brings replicas down
 		// would have had it taken back.
-		o = showsNothing
+		o = verdictNone
 	}
-	r.events.judged(a.w.f.Service, a.replica.Release, verdicts[o])
-	rel, ok := r.view.Get().Releases[a.w.f.Service]
-	if !ok || rel.State != rollout.Running || o == showsNothing {
+	r.hooks.attemptJudged(a.w.result.Service, a.replica.Release, verdictNames[o])
+	rel, ok := r.view.Get().Releases[a.w.result.Service]
+	if !ok || rel.State != rollout.Running || o == verdictNone {
 		return
 	}
-	v := saw{release: a.replica.Release, kind: rollout.KindOf(a.pace()), outcome: o}
-	r.releases.weigh(rel, v, r.clock(), r.events)
+	v := observation{release: a.replica.Release, kind: rollout.KindOf(a.requestKind()), verdict: o}
+	r.releases.record(rel, v, r.clock(), r.hooks)
 }
 
 // shows is what the attempt's end says of its replica's release.
-func (a *attempt) shows(bad bool) outcomeOf {
+func (a *attempt) releaseVerdict(bad bool) verdict {
 	switch {
-	case bad && a.failed:
-		return showsFailed
+	case bad && a.serverError:
+		return verdictFailed
 	case bad:
-		return showsBroken
-	case a.served:
-		return showsGood
+		return verdictBroken
+	case a.succeeded:
+		return verdictGood
 	}
-	return showsNothing
+	return verdictNone
 }
