--- a/entry/active.go
+++ b/entry/active.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// activeForwards are the requests whose time-outs run. The timers behind them stand still while
-// the machine is suspended.
+// activeForwards are the opaque requests in progress with the functions that cancel them. Their
+// timeout timers stop while the machine is suspended.
 type activeForwards struct {
 	mu sync.Mutex
 	m  map[*forwarding]context.CancelFunc
@@ -29,8 +29,8 @@
 	delete(u.m, w)
 }
 
-// AfterSuspension is to be called after the machine was suspended: requests whose time ran out
-// meanwhile end now, the others when it is over.
+// AfterSuspension has to be called after the machine was suspended. It ends requests whose
+// deadline passed meanwhile, and sets new timers for the others.
 func (r *Router) AfterSuspension() {
 	now := r.clock()
 	r.activeForwards.mu.Lock()
--- a/entry/assign.go
+++ b/entry/assign.go
@@ -9,22 +9,21 @@
 	"fieldvale/quota"
 )
 
-// assignment is a replica that was chosen, and what is known of the choice.
+// assignment is the choice of a replica for an attempt.
 type assignment struct {
 	replica *pool.Replica
 	ticket  placement.Ticket
-	// costMs is the estimate of the replica's time for the prompt, in
-	// milliseconds, and open says that it still counts there.
+	// costMs is the estimated time for reading the prompt, in milliseconds; promptPending is set
+	// while it counts as pending work of the replica.
 	costMs        float64
 	promptPending bool
-	// idle says that nothing else waited there, so that the time to the
-	// first event shows how fast the prompt is read.
+	// idle is set if no other prompt was waiting there, so that the time to the first event
+	// measures the prompt reading speed.
 	idle   bool
 	tokens float64
-	// permit is the place there, if the replica is bounded.
+	// permit is the quota's permit, if the replica is bounded.
 	permit quota.Ticket
-	// firstEventMs is the estimate of the time to the first event, in milliseconds;
-	// 0 if there is none.
+	// firstEventMs is the estimated time to the first event, in milliseconds; 0 if there is none.
 	firstEventMs float64
 }
 
@@ -37,7 +36,8 @@
 	return w.assignBounded(ctx, l, free, bounded)
 }
 
-// assignIgnoringQuota chooses one of the replicas c; allowed are all that the release allows.
+// assignIgnoringQuota chooses one of the replicas c without asking the quota. allowed are all
+// replicas that the release allows.
 func (w *forwarding) assignIgnoringQuota(ctx context.Context, allowed, c []*pool.Replica) *assignment {
 	if w.q.Prompt.IsNone() {
 		return w.assignLocally(c, "", 1)
@@ -61,8 +61,8 @@
 	return w.r.backends.candidates(l, w.tried, w.r.clock())
 }
 
-// assignByPlacer chooses a replica with the knowledge of the fleet; it fails if that can't be
-// had. allowed are all replicas that the release allows.
+// assignByPlacer chooses a replica by the fleet-wide state; ok is false if that is unavailable.
+// allowed are all replicas that the release allows.
 func (w *forwarding) assignByPlacer(ctx context.Context, allowed, c []*pool.Replica, e promptEstimate) (p *assignment, ok bool) {
 	if w.r.placer == nil {
 		return nil, false
@@ -81,7 +81,7 @@
 	return p, true
 }
 
-// placementRequest returns the question which of the replicas the prompt should go to.
+// placementRequest builds the request for one of the replicas.
 func (w *forwarding) placementRequest(e promptEstimate, c []*pool.Replica) placement.Request {
 	return placement.Request{
 		Replicas: ids(c), RemoteBits: w.r.remoteBits(c), RemotePenaltyMs: w.remotePenaltyMs(),
@@ -90,8 +90,8 @@
 	}
 }
 
-// timeToTargetMs is the time left to the route's target, in milliseconds, and at least
-// one where there is a target; 0 where there is none.
+// timeToTargetMs is the time left to the route's target, in milliseconds and at least 1; 0 if the
+// route has no target.
 func (w *forwarding) timeToTargetMs() float64 {
 	if w.q.Route.Target <= 0 {
 		return 0
@@ -100,7 +100,7 @@
 	return max(1, left.Seconds()*1000)
 }
 
-// assignLocally chooses by this instance's own work.
+// assignLocally chooses a replica by this instance's own load figures.
 func (w *forwarding) assignLocally(l []*pool.Replica, key string, cost float64) *assignment {
 	q := localRequest{affinityKey: key, costMs: cost, remotePenaltyMs: w.remotePenaltyMs(), dataCentre: w.r.dataCentre}
 	b := w.r.backends.takeOpaque(l, q, w.tried, w.r.clock())
@@ -110,7 +110,7 @@
 	return &assignment{replica: b, costMs: cost, promptPending: true}
 }
 
-// recordPromptRead notes that the replica has recordPromptRead the prompt.
+// recordPromptRead records that the replica has read the prompt, and how long that took.
 func (w *forwarding) recordPromptRead(p *assignment, sent time.Time) {
 	if p.idle && p.tokens > 0 {
 		w.r.prefillTimes.Observe(w.prefillKey(), w.r.clock().Sub(sent), p.tokens)
@@ -121,15 +121,15 @@
 	}
 }
 
-// abandonPrompt takes a prompt that came to nothing off its replica's pending work.
-func (w *forwarding) abandonPrompt(p *assignment, why placement.Fault) {
+// abandonPrompt removes a prompt that was not read from its replica's pending work.
+func (w *forwarding) abandonPrompt(p *assignment, fault placement.Fault) {
 	if w.closePrompt(p) {
-		w.r.placer.Lost(p.ticket, why)
+		w.r.placer.Lost(p.ticket, fault)
 	}
 }
 
-// closePrompt takes the prompt off its replica's pending work, once, and reports
-// whether a keeper is to be told.
+// closePrompt removes the prompt from its replica's pending work, once, and reports whether the
+// placer has to be informed.
 func (w *forwarding) closePrompt(p *assignment) bool {
 	if !p.promptPending {
 		return false
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -12,9 +12,9 @@
 	"fieldvale/route"
 )
 
-// errRetryGranted marks failures after which the next attempt has its place in the
-// budget already, or was chosen in favour of a larger model's answer.
-var errRetryGranted = errors.New("the next attempt is paid for")
+// errRetryGranted marks errors after which the next attempt was already taken from the retry
+// budget, or was chosen to replace the answer by a larger model's.
+var errRetryGranted = errors.New("a further attempt was already granted")
 
 // attempt is one dispatch of an opaque request.
 type attempt struct {
@@ -22,37 +22,38 @@
 	assignment *assignment
 	replica    *pool.Replica
 	sentAt     time.Time
-	// slotTimeKey is what the run's time is learnt by.
+	// slotTimeKey is the key under which the time for which the run holds its slot is averaged.
 	slotTimeKey string
-	// promptRead says that the replica has promptRead the prompt, at readAt.
+	// promptRead is set once the replica has read the prompt, at promptReadAt.
 	promptRead   bool
 	promptReadAt time.Time
-	// succeeded says that the answer was whole and a success.
+	// succeeded is set if the answer was complete and a success.
 	succeeded bool
-	// escalated says that its answer was dropped for a larger model's.
+	// escalated is set if the answer was dropped for a larger model's.
 	escalated bool
-	// events is how many were passed on, and bytes what they had.
+	// events is the number of events relayed, bytes their total size.
 	events int
 	bytes  int
-	// clientLeft says that the client clientLeft meanwhile: what broke off then was no
-	// fault of the replica.
+	// clientLeft is set if the client disconnected during the attempt; a broken connection is
+	// then not the replica's fault.
 	clientLeft bool
-	// mayHaveRun says that the replica worked on the request, and began that its answer's head
-	// came: an engine sends it as the run begins, a plain service at its end.
+	// mayHaveRun is set unless the replica is known not to have run the request. headReceived is
+	// set once the answer's head arrived: an engine sends it when the run starts, a plain service
+	// at its end.
 	mayHaveRun   bool
 	headReceived bool
-	// serverError says that the replica answered with a failure, refusedWhole that this came
-	// whole.
+	// serverError is set if the replica answered with a status of 500 or above, failureComplete
+	// if an error response of any status arrived completely.
 	serverError     bool
 	failureComplete bool
-	// headWait is counted where two releases are compared; nil elsewhere and once the
-	// answer's head is there.
+	// headWait measures the wait for the answer's head where two releases are compared; nil
+	// otherwise and once the head arrived.
 	headWait *headWait
 }
 
-// exchange sends and passes the answer on.
+// exchange sends the request and relays the answer.
 func (a *attempt) exchange(ctx context.Context, d Dispatch) error {
-	x, heard, end := a.withHangTimeout(ctx)
+	x, responded, end := a.withHangTimeout(ctx)
 	defer end()
 	reply, err := a.w.r.upstream.Send(x, a.replica, d)
 	if err != nil {
@@ -75,13 +76,13 @@
 		return err
 	}
 	if a.w.q.Route.Kind == route.Stream {
-		return a.relayEvents(reply, heard)
+		return a.relayEvents(reply, responded)
 	}
 	return a.relayBody(reply)
 }
 
-// recordUnanswered keeps when a refusing replica wants to be asked again, unless that is one of its
-// notices, and counts a run of which no word came.
+// recordUnanswered counts an attempt that ran without an answer. It also keeps the retry time
+// given by a refusing replica, unless the replica's requested backoff already covers it.
 func (a *attempt) recordUnanswered(err error) {
 	if a.mayHaveRun {
 		a.w.result.Runs++
@@ -91,8 +92,8 @@
 	}
 }
 
-// done gives the replica back and counts the outcome for its breaker and for
-// its release.
+// done releases the replica and records the outcome for its breaker, its release and the
+// quarantine.
 func (a *attempt) done(err error) {
 	w := a.w
 	r := w.r
@@ -115,12 +116,13 @@
 			AnswerStarted: a.headReceived, Events: a.events, Err: errorOrStatus(err, w.result.Status),
 		})
 	}
-	came := a.quarantineOutcome(err)
-	a.judgeRelease(bad, came)
-	w.quarantineCheck.report(came, a.replica.ID)
+	observed := a.quarantineOutcome(err)
+	a.judgeRelease(bad, observed)
+	w.quarantineCheck.report(observed, a.replica.ID)
 }
 
-// placementFault is what the attempt shows of its replica, if its prompt was not read.
+// placementFault is the fault reported to the placer if the attempt failed before its prompt was
+// read.
 func (a *attempt) placementFault(err error, bad bool) placement.Fault {
 	o, ok := asOutcome(err)
 	switch {
@@ -136,7 +138,7 @@
 	return placement.NoFault
 }
 
-// recordSlotTime learns how long the run recordSlotTime its slot after its prompt was read.
+// recordSlotTime records how long the run held its slot after its prompt was read.
 func (a *attempt) recordSlotTime() {
 	switch {
 	case a.escalated:
@@ -150,5 +152,5 @@
 	if err != nil {
 		return err
 	}
-	return errors.Newf("status %d", status)
+	return errors.Newf("the replica answered with status %d", status)
 }
--- a/entry/backends.go
+++ b/entry/backends.go
@@ -12,34 +12,34 @@
 	"fieldvale/pool"
 )
 
-// sessionPolicy is the rule by which replicas are chosen (docs/MEASURES.md).
+// sessionPolicy is the policy for choosing replicas (docs/MEASURES.md).
 type sessionPolicy = pool.BoundedAffinity[pool.TwoChoices]
 
-// sessionLoadFactor is how far above the mean load a session's replica may be.
+// sessionLoadFactor is the multiple of the mean load that a session's replica may have.
 const sessionLoadFactor = 1.5
 
-// backends keeps what this entry knows of each replica from its own calls.
+// backends holds this instance's own state for each replica.
 type backends struct {
 	mu             sync.Mutex
 	state          map[string]*backend
 	sessionChooser *pool.Chooser[sessionPolicy]
 	prefixChooser  *pool.Chooser[pool.PrefixAffinity]
 	scratch        []pool.Candidate
-	// notices is what replicas said of themselves: no choice goes against it.
+	// notices holds the drain and backoff notices of replicas, which every choice obeys.
 	notices *notice.Tracker
 }
 
 type backend struct {
 	running int
-	// pendingMs is the estimated milliseconds of prompts sent and not yet read.
+	// pendingMs is the estimated time for the prompts sent and not read yet, in milliseconds.
 	pendingMs float64
 	breaker   admission.Breaker
-	// service is the plain service of the replica, empty for others.
+	// service is the replica's plain service; empty for engines.
 	service string
 }
 
-// serviceFailureRate is the rate of failures of the service's replicas: the middle one of
-// all, so that one bad replica does not excuse itself.
+// serviceFailureRate is the median failure rate of the service's other replicas. It excludes x so
+// that one bad replica can't raise its own threshold.
 func (b *backends) serviceFailureRate(x *backend) float64 {
 	var l []float64
 	for _, s := range b.state {
@@ -72,7 +72,7 @@
 	return x
 }
 
-// take chooses a replica and counts the request on it; nil if none is left.
+// take chooses a replica and counts the request there; nil if none is left.
 func (b *backends) take(r []*pool.Replica, a pool.Request, tried []string, now time.Time) *pool.Replica {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -93,8 +93,8 @@
 	return c
 }
 
-// done gives the replica back and learns from the result. A refusal is the
-// replica's sound answer and does not count against it.
+// done ends a request at the replica and records its outcome in the breaker. A refusal is a
+// correct answer and does not count as a failure.
 func (b *backends) done(id string, err error, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -112,7 +112,7 @@
 	return ok && o.Kind == outcome.NotRun && o.Status != 0
 }
 
-// queuedPerSlot is the work waiting at the replicas, by slot.
+// queuedPerSlot is the number of waiting requests per slot of the replicas.
 func (b *backends) queuedPerSlot(r []*pool.Replica) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -128,7 +128,7 @@
 	return float64(w) / float64(n)
 }
 
-// running returns this entry's requests on each replica.
+// running returns this instance's requests in flight by replica.
 func (b *backends) running() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -141,8 +141,8 @@
 	return r
 }
 
-// maxStates is how many replicas are known before those are forgotten that
-// have nothing running: replicas come and go for as long as the process runs.
+// maxStates is the number of states above which idle ones are deleted, as replicas are replaced
+// as long as the process runs.
 const maxStates = 2000
 
 func (b *backends) forgetIdle() {
--- a/entry/candidates.go
+++ b/entry/candidates.go
@@ -8,24 +8,23 @@
 	"fieldvale/pool"
 )
 
-// affinitySlackMs is how many milliseconds of this instance's pending work a home
-// may have above the least busy replica before the next choice takes over.
+// affinitySlackMs is by how many milliseconds the pending work of a key's preferred replica may
+// exceed that of the least busy replica before the key's next replica is used.
 const affinitySlackMs = 150
 
-// localRequest is an opaque request that is placed by this instance's own work.
+// localRequest is an opaque request placed by this instance's own load figures.
 type localRequest struct {
-	// affinityKey ties it to a home; empty for none.
+	// affinityKey ties the request to its preferred replicas; empty for none.
 	affinityKey string
-	// costMs is its time at the replica, in milliseconds.
+	// costMs is the estimated time at the replica, in milliseconds.
 	costMs float64
-	// remotePenaltyMs is what another data centre than this one counts for, in
-	// milliseconds.
+	// remotePenaltyMs is the cost added to replicas in other data centres, in milliseconds.
 	remotePenaltyMs float64
 	dataCentre      string
 }
 
-// takeOpaque chooses a replica for an opaque request and counts it there; nil
-// if none is left. Breakers have no say when they leave none.
+// takeOpaque chooses a replica for an opaque request and counts the request there; nil if none is
+// left. Breakers are ignored if they would leave no replica.
 func (b *backends) takeOpaque(r []*pool.Replica, q localRequest, tried []string, now time.Time) *pool.Replica {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -45,17 +44,17 @@
 }
 
 // countRequest counts a request at the replica.
-func (b *backends) countRequest(r *pool.Replica, cost float64, now time.Time) {
+func (b *backends) countRequest(r *pool.Replica, costMs float64, now time.Time) {
 	b.forgetIdle()
 	s := b.stateOf(r.ID)
 	s.service = r.Service
 	s.running++
-	s.pendingMs += cost
+	s.pendingMs += costMs
 	s.breaker.Tried(now)
 }
 
-// candidates returns the replicas that may be chosen now. Breakers have no
-// say when they leave none.
+// candidates returns the replicas that may be chosen now. Breakers are ignored if they would
+// leave no replica.
 func (b *backends) candidates(r []*pool.Replica, tried []string, now time.Time) []*pool.Replica {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -67,15 +66,15 @@
 	return l
 }
 
-// assign counts a request at a replica that was chosen elsewhere.
-func (b *backends) assign(r *pool.Replica, cost float64, now time.Time) {
+// assign counts a request at a replica chosen by the placer.
+func (b *backends) assign(r *pool.Replica, costMs float64, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.countRequest(r, cost, now)
+	b.countRequest(r, costMs, now)
 }
 
-// gatherHealthy makes the candidates anew of those whose breakers allow it, or
-// of all if they leave none; of those that leave if there is no other.
+// gatherHealthy collects the replicas whose breakers allow a request; if there is none, all that
+// are available; if there is none either, those that are draining but still serve.
 func (b *backends) gatherHealthy(r []*pool.Replica, tried []string, now time.Time) {
 	b.gather(r, tried, now, func(x *backend, v notice.Availability) bool { return v == notice.Available && x.breaker.Allows(now) })
 	for _, v := range []notice.Availability{notice.Available, notice.LastResort} {
@@ -85,15 +84,14 @@
 	}
 }
 
-// unusedBackend is the state of a replica that was not used yet.
+// unusedBackend is the state of a replica that this instance has not used yet.
 var unusedBackend backend
 
-// gather makes the candidates anew. Every road to a replica comes by here.
+// gather collects candidates in b.scratch. Every choice of a replica goes through it.
 func (b *backends) gather(r []*pool.Replica, tried []string, now time.Time, allowed func(*backend, notice.Availability) bool) {
 	b.scratch = b.scratch[:0]
 	for _, x := range r {
-		// Nothing is kept of replicas that were never used: there may be
-		// thousands.
+		// No state is kept for replicas that were never used, as there may be thousands.
 		s := b.state[x.ID]
 		if s == nil {
 			s = &unusedBackend
@@ -104,20 +102,20 @@
 	}
 }
 
-// promptRead takes a prompt's cost off once the replica has promptRead it.
-func (b *backends) promptRead(id string, cost float64) {
+// promptRead subtracts a prompt's cost once the replica has read the prompt.
+func (b *backends) promptRead(id string, costMs float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.stateOf(id).pendingMs -= cost
+	b.stateOf(id).pendingMs -= costMs
 }
 
-// doneOpaque gives the replica back and learns from the result.
-func (b *backends) doneOpaque(id string, bad, unreached bool, now time.Time) {
+// doneOpaque ends a request at the replica and records its outcome in the breaker.
+func (b *backends) doneOpaque(id string, bad, unreachable bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.stateOf(id)
 	s.running--
-	if unreached {
+	if unreachable {
 		s.breaker.Open(now)
 		return
 	}
@@ -128,7 +126,7 @@
 	s.breaker.Succeeded()
 }
 
-// release takes back a choice that nothing came of.
+// release undoes the choice of a replica for a request that was not sent.
 func (b *backends) release(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -14,27 +14,27 @@
 	"fieldvale/version"
 )
 
-// cascadeRun is a chat request on its way through the steps of its plan.
+// cascadeRun is the state of a chat request while the steps of its plan run.
 type cascadeRun struct {
 	session      session.Session
 	sessionMoved bool
 	spent        bill.Amount
-	// best is the last whole answer that was rated too low.
+	// best is the last complete answer that was rated below the step's threshold.
 	best    *Answer
 	version version.ID
-	// slow says that the last answer speaks against its version by its time.
+	// slow is set if the last answer's latency counts against its version.
 	slow bool
-	// bestStream is that answer's chunks, if the request is streamed.
+	// bestStream holds the chunks of best if the request is streamed.
 	bestStream *collector
-	// mayHaveRun is set by a step of which it is not known that it did not run.
+	// mayHaveRun is set if a step failed that may have run.
 	mayHaveRun bool
 }
 
-// maxRepicks bounds how often one step picks anew because its version was
-// withdrawn under way.
+// maxRepicks bounds how often a step picks another version because its version was withdrawn
+// meanwhile.
 const maxRepicks = 3
 
-// Chat answers a request whole.
+// Chat answers a request with one complete answer.
 func (r *Router) Chat(ctx context.Context, q Request) (Answer, Result, error) {
 	v := r.view.Get()
 	if v.Active == nil {
@@ -59,8 +59,8 @@
 	return r.finishWithBest(q, c, nil)
 }
 
-// finishWithBest ends a cascade whose last step gave no answer: with the best
-// answer that an earlier step gave, else with the failure.
+// finishWithBest ends a cascade whose last step gave no answer. It returns the best answer of the
+// earlier steps, or the failure if there is none.
 func (r *Router) finishWithBest(q Request, c *cascadeRun, err error) (Answer, Result, error) {
 	if c.best != nil {
 		return *c.best, r.finish(q, c, c.version, true), nil
@@ -75,14 +75,14 @@
 	return Answer{}, Result{}, &f
 }
 
-// finish bills the request and says what the caller gets beside the answer.
+// finish bills the request and returns the metadata of its answer.
 func (r *Router) finish(q Request, c *cascadeRun, x version.ID, below bool) Result {
 	v := r.view.Get()
 	r.bill(v, q, x, c.spent)
 	return Result{RequestID: q.ID, Version: x, Revision: v.Active.Revision(), Session: c.session, SessionMoved: c.sessionMoved, BelowTarget: below}
 }
 
-// step runs one step of the plan. ok says that its answer is good enough.
+// step runs one step of the plan. ok reports that its answer may be returned.
 func (r *Router) step(ctx context.Context, q Request, c *cascadeRun, s policy.Step) (a Answer, ok bool, err error) {
 	for range maxRepicks {
 		a, err = r.stepOnce(ctx, q, c, s)
@@ -124,8 +124,8 @@
 	return a, nil
 }
 
-// accept decides whether the answer reaches the step's quality. Without a
-// rating the next step is tried: quality goes before cost.
+// accept decides whether the answer reaches the step's quality. If the rating fails, the next
+// step is run, as quality has priority over cost.
 func (r *Router) accept(ctx context.Context, q Request, c *cascadeRun, s policy.Step, a Answer) bool {
 	if s.Accept == 0 {
 		r.recordUnratedAnswer(r.view.Get(), q, c, a.Body)
--- a/entry/escalate.go
+++ b/entry/escalate.go
@@ -6,27 +6,25 @@
 )
 
 const (
-	// certainlyWrongConfidence is the confidence, out of 100, below which a model's answer
-	// is wrong as a rule; between it and what is accepted the chance falls
-	// evenly.
+	// certainlyWrongConfidence is the confidence, from 0 to 100, below which a model's answer is
+	// almost always wrong. Between it and the accepted confidence the chance of a wrong answer
+	// falls linearly.
 	certainlyWrongConfidence = 30
-	// wrongTimePart and doubtfulPart of the time left to the route's target are
-	// how late a larger model's first event may be for an answer that is
-	// surely wrong and for one just below what is accepted. When replicas are
-	// short, those who gain most are served by the larger model in time,
-	// instead of all too late.
+	// wrongTimePart and borderlineTimePart are the parts of the time left to the route's target
+	// within which a larger model's first event has to arrive, for a certainly wrong answer and
+	// for one just below the accepted confidence. If replicas are short, the requests that gain
+	// most get a timely answer from the larger model; otherwise all of them would be late.
 	wrongTimePart      = 0.9
 	borderlineTimePart = 0.45
-	// escalationReserve is the part of the allowed repeats that larger models
-	// leave for requests that failed. An answer that is wrong is worth little
-	// more than none, so it is small.
+	// escalationReserve is the part of the retry budget that escalations leave for retries of
+	// failed requests. It is small, as a wrong answer is worth little more than none.
 	escalationReserve = 0.1
-	// nextModelAcceptConfidence is the confidence from which the next model's answer is passed
-	// on.
+	// nextModelAcceptConfidence is the confidence from which the answer of a model after the
+	// smallest is passed on.
 	nextModelAcceptConfidence = evenOdds
 )
 
-// What became of an answer that its model doubts, for the log.
+// Results of an escalation decision, for the log.
 const (
 	escalated      = "asked a larger model"
 	keptNoAttempts = "kept: attempts used"
@@ -35,8 +33,8 @@
 	keptOnTrial    = "kept: sent on trial"
 )
 
-// maybeEscalate drops the answer of a small model that does not trust it itself, as
-// long as a larger one may be asked and would answer in time.
+// maybeEscalate drops the answer of a small model with a low confidence, provided that a larger
+// model may be used and would answer in time.
 func (a *attempt) maybeEscalate(ctx context.Context, reply Reply) error {
 	w := a.w
 	c, ok := reply.Confidence()
@@ -49,7 +47,8 @@
 		return nil
 	}
 	if w.quarantineCheck.onTrial {
-		// An answer that is cut says nothing of what the content does to replicas.
+		// Cutting the answer off would prevent the trial from showing whether the content crashes
+		// replicas.
 		w.result.Escalation = keptOnTrial
 		return nil
 	}
@@ -62,7 +61,7 @@
 	return errRetryGranted
 }
 
-// acceptConfidence is the confidence from which the model's answer is passed on.
+// acceptConfidence is the confidence from which the current model's answer is passed on.
 func (w *forwarding) acceptConfidence() float64 {
 	if w.modelIndex > 0 {
 		return min(nextModelAcceptConfidence, w.r.acceptConfidence)
@@ -70,24 +69,24 @@
 	return w.r.acceptConfidence
 }
 
-// escalate moves the request to a larger model, if one can answer in time and
-// the budget allows the repeat. It places the request there, and says what
-// became of it.
+// escalate moves the request to a larger model if one can answer in time and the budget allows
+// the retry. It assigns the request to a replica of that model and returns the result for the
+// log.
 func (w *forwarding) escalate(ctx context.Context, confidence float64) string {
 	if w.result.Runs >= w.q.Route.MaxAttempts {
 		return keptNoAttempts
 	}
-	why := keptTooLate
+	result := keptTooLate
 	for _, m := range w.largerModels(confidence) {
-		if why = w.escalateTo(ctx, m, confidence); why != keptTooLate {
-			return why
+		if result = w.escalateTo(ctx, m, confidence); result != keptTooLate {
+			return result
 		}
 	}
-	return why
+	return result
 }
 
-// largerModels returns the models to ask for an answer of that confidence, the
-// preferred first.
+// largerModels returns the models to try after an answer of that confidence, in order of
+// preference.
 func (w *forwarding) largerModels(confidence float64) []int {
 	m := w.q.Route.Models
 	next, last := w.modelIndex+1, len(m)-1
@@ -104,13 +103,13 @@
 	return []int{last, next}
 }
 
-// gainKey names the model whose lead over the next smaller one is learnt.
+// gainKey is the key of the model's confidence gain over the next smaller model.
 func (w *forwarding) gainKey(model int) string {
 	return w.result.Service + "/" + w.q.Route.Models[model]
 }
 
-// learnGain learns from an answer that comes after the next smaller model's,
-// once.
+// learnGain records the confidence gain of an answer that followed the next smaller model's, once
+// per answer.
 func (w *forwarding) learnGain(confidence float64) {
 	if w.modelIndex > 0 && w.escalatedFrom == w.modelIndex-1 {
 		w.r.confidenceGains.observe(w.gainKey(w.modelIndex), w.result.Confidence, confidence)
@@ -118,28 +117,28 @@
 	w.escalatedFrom = -1
 }
 
-// escalateTo places the request with the model, if it will answer in time.
+// escalateTo assigns the request to a replica of the model if it will answer in time.
 func (w *forwarding) escalateTo(ctx context.Context, model int, confidence float64) string {
 	from, tried := w.modelIndex, w.tried
 	w.modelIndex, w.tried = model, nil
 	p := w.assignReplica(ctx)
-	why := keptTooLate
+	result := keptTooLate
 	if p != nil && w.answersInTime(p, confidence) {
 		if w.r.takeOpaqueRetry(w.result.Service, escalationReserve) {
 			w.nextAssignment, w.escalatedFrom = p, from
 			return escalated
 		}
-		why = keptNoBudget
+		result = keptNoBudget
 	}
 	if p != nil {
 		w.releaseAssignment(p)
 	}
 	w.modelIndex, w.tried = from, tried
-	return why
+	return result
 }
 
-// answersInTime reports whether the first event will come soon enough for what there
-// is to gain.
+// answersInTime reports whether the first event is expected early enough for the gain that the
+// larger model promises.
 func (w *forwarding) answersInTime(p *assignment, confidence float64) bool {
 	if p.firstEventMs == 0 || w.q.Route.Target <= 0 {
 		return true
--- a/entry/estimate.go
+++ b/entry/estimate.go
@@ -2,19 +2,20 @@
 
 import "fieldvale/placement"
 
-// estimate is what the request's prompt takes to read, in milliseconds.
+// promptEstimate is the estimated time for reading a prompt, in milliseconds.
 type promptEstimate struct {
-	// key names all that is shared; empty for nothing.
+	// affinityKey identifies the whole shared prefix; empty if nothing is shared.
 	affinityKey string
-	// own is the time for what nobody shares, shared for the rest by part.
+	// unsharedMs is the time for the part that no other request shares; shared has the times of
+	// the other parts.
 	unsharedMs float64
 	shared     []placement.PrefixPart
-	// speed is the time for a token.
+	// msPerToken is the time for reading one token.
 	msPerToken float64
 }
 
-// estimate returns the prompt's times at the model's speed. Parts are kept by
-// model.
+// estimatePrompt estimates the prompt's reading times at the model's speed. Part keys include the
+// model, as each model has its own prefix cache.
 func (w *forwarding) estimatePrompt() promptEstimate {
 	p := w.q.Prompt
 	s := w.r.prefillTimes.MsPerToken(w.prefillKey(), max(0, w.modelIndex))
@@ -26,8 +27,8 @@
 	return e
 }
 
-// speedKey names what reads at one speed.
+// prefillKey is the key under which the prompt reading speed is averaged.
 func (w *forwarding) prefillKey() string { return w.result.Service + "/" + w.modelName() }
 
-// holdKey names what holds its slot for one time on average.
+// slotTimeKey is the key under which the time for which a run holds its slot is averaged.
 func (w *forwarding) slotTimeKey() string { return w.q.Route.Name + "/" + w.modelName() }
--- a/entry/evidence.go
+++ b/entry/evidence.go
@@ -10,17 +10,17 @@
 	"fieldvale/version"
 )
 
-// ratingFloor is the rating below which an answer is evidence against its
-// version, whatever quality the policy asks for.
+// ratingFloor is the rating below which an answer counts against its version, whatever quality
+// the policy demands.
 const ratingFloor = 0.3
 
-// maxRatings bounds the answers waiting to be rated.
+// maxRatings bounds the queue of answers to be rated.
 const maxRatings = 256
 
 const ratingTimeout = 2 * time.Second
 
-// evidence counts good and bad outcomes by version. An answer counts as good
-// or bad once: by its rating where there is one, else by having come whole.
+// evidence counts good and bad answers by version. Each answer counts once: by its rating if it
+// has one, otherwise as good if it arrived completely.
 type evidence struct {
 	mu       sync.Mutex
 	outcomes map[version.ID]rollout.Outcomes
@@ -58,15 +58,15 @@
 	e.good(v)
 }
 
-// later has an answer rated after the caller got it. One that finds no room
-// counts as good, as an unrated answer does.
+// queueRating queues an answer for rating after it was delivered. If the queue is full it counts
+// as good, like an unrated answer.
 func (e *evidence) queueRating(v version.ID, request, answer []byte) {
 	if !e.queue.Offer(ratingJob{v, request, answer}) {
 		e.good(v)
 	}
 }
 
-// run is the duty that rates.
+// run rates queued answers until ctx ends.
 func (e *evidence) run(ctx context.Context) error {
 	for {
 		j, err := e.queue.Take(ctx)
@@ -84,7 +84,7 @@
 	}
 }
 
-// all returns the counts.
+// all returns a copy of the counts.
 func (e *evidence) all() map[version.ID]rollout.Outcomes {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -10,10 +10,9 @@
 	"fieldvale/outcome"
 )
 
-// Code names a failure to callers.
+// Code identifies a failure to callers.
 type Code string
 
-// The codes of failures.
 const (
 	NotReady               Code = "not_ready"
 	ModelNotAllowed        Code = "model_not_allowed"
@@ -29,7 +28,8 @@
 	Quarantined            Code = "quarantined"
 )
 
-// Failure is the final word on a request that got no answer.
+// Failure is the final error of a request without an answer. Outcome states whether it may have
+// run.
 type Failure struct {
 	Code    Code
 	Outcome outcome.Kind
@@ -38,7 +38,6 @@
 	Cause   error
 }
 
-// Error returns the message and the cause.
 func (f *Failure) Error() string {
 	if f.Cause == nil {
 		return f.Message
@@ -46,7 +45,6 @@
 	return f.Message + ": " + f.Cause.Error()
 }
 
-// Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
 func notRun(c Code, message string) *Failure {
@@ -57,7 +55,7 @@
 	return &Failure{Code: Refused, Outcome: outcome.NotRun, RetryAt: r.RetryAt, Message: "refused: " + string(r.Reason)}
 }
 
-// failed turns an attempt's error into the caller's failure.
+// failed converts an attempt's error to the failure returned to the caller.
 func failed(err error) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maxRefusals bounds how many replicas may turn a request away before the
-	// client is told to come back.
+	// maxRefusals bounds how many replicas may refuse a request before the client is asked to
+	// retry later.
 	maxRefusals = 3
-	// maxUnreachable bounds how many replicas that can't be connected to are
-	// tried; those reset at once or take a dial's time.
+	// maxUnreachable bounds the attempts at replicas that can't be connected to. Each of them
+	// resets at once or takes one dial timeout.
 	maxUnreachable = 8
-	// refusalRetryDelay is when a client should come back that no replica took.
+	// refusalRetryDelay is the delay after which a client refused by all replicas should retry.
 	refusalRetryDelay = 250 * time.Millisecond
 )
 
-// forwarding is one opaque request on its way.
+// forwarding is the state of one opaque request being forwarded.
 type forwarding struct {
 	r      *Router
 	q      *OpaqueRequest
@@ -31,33 +31,32 @@
 
 	tried    []string
 	refusals int
-	// unreachable counts replicas that could not be connected to.
+	// unreachable counts the replicas that could not be connected to.
 	unreachable int
-	// nextAssignment is the replica for the nextAssignment attempt, if it is chosen already.
+	// nextAssignment is the replica for the next attempt, if it was chosen already.
 	nextAssignment *assignment
-	// modelIndex is an index into the route's models; below 0 the client's stays.
+	// modelIndex is an index into the route's models; if negative, the client's model is kept.
 	modelIndex int
-	// escalatedFrom is the model whose answer was dropped for this one's; below 0
-	// there was none.
+	// escalatedFrom is the index of the model whose answer was dropped for this one's; negative
+	// if there is none.
 	escalatedFrom int
-	// answerStarted says that the client has some of the answer.
+	// answerStarted is set once a part of the answer was written to the client.
 	answerStarted bool
-	// lastEventID is the last event that the client has.
+	// lastEventID is the id of the last event written to the client.
 	lastEventID     string
 	quarantineCheck quarantineCheck
-	// startReported says that it was told that the request began to run.
+	// startReported is set once the RequestStarted hook was called.
 	startReported bool
-	// mayHaveRun says that some attempt may have run without an answer.
+	// mayHaveRun is set if an attempt may have run without an answer.
 	mayHaveRun bool
 	retryAt    time.Time
 	cause      error
-	// failureAnswer is a whole answer of failureAnswer that a replica gave.
+	// failureAnswer is the last complete error response of a replica.
 	failureAnswer *failureAnswer
 }
 
-// Forward routes a request to a replica of its service and passes the answer
-// on. The error is a *Failure; if the sink had its head by then, the answer
-// must be broken off.
+// Forward routes a request to a replica of its service and relays the answer to out. The error is
+// a *Failure; if out had received its head by then, the caller must abort the answer.
 func (r *Router) Forward(ctx context.Context, q *OpaqueRequest, out ForwardSink) (*ForwardResult, error) {
 	x, cancel := context.WithTimeout(ctx, q.effectiveDeadline().Sub(r.clock()))
 	defer cancel()
@@ -79,10 +78,10 @@
 	return w.result, f
 }
 
-// errNoAttemptLeft says that no further attempt may be made.
+// errNoAttemptLeft reports that no replica was left for another attempt.
 var errNoAttemptLeft = errors.New("no further attempt may be made")
 
-// run makes one attempt after another until the request is over.
+// run makes attempts until the request is answered or no further attempt is allowed.
 func (w *forwarding) run(ctx context.Context) error {
 	for {
 		err := w.attempt(ctx)
@@ -92,7 +91,7 @@
 	}
 }
 
-// isOver decides whether the request ends with err or goes to another replica.
+// isOver decides whether the request ends with err or is sent to another replica.
 func (w *forwarding) isOver(ctx context.Context, err error) bool {
 	if errors.Is(err, errRetryGranted) {
 		return false
@@ -131,7 +130,7 @@
 	return w.stopIf(w.unreachable >= maxUnreachable, "replicas out of reach")
 }
 
-// isOverRefused counts a replica that turned the request away.
+// isOverRefused counts a replica that refused the request.
 func (w *forwarding) isOverRefused() bool {
 	w.refusals++
 	return w.stopIf(w.refusals >= maxRefusals, "replicas refused") || w.stopIf(!w.takeRetry(), "no budget")
@@ -147,27 +146,27 @@
 		w.stopIf(!w.takeRetry(), "no budget")
 }
 
-// stopIf notes why no further attempt is made, if that is so.
-func (w *forwarding) stopIf(over bool, why string) bool {
+// stopIf records why no further attempt is made if over is set, and returns over.
+func (w *forwarding) stopIf(over bool, reason string) bool {
 	if over {
-		w.result.StopReason = why
+		w.result.StopReason = reason
 	}
 	return over
 }
 
-// isUnreachable reports whether the replica was not connected to: nothing
-// arrived there, so that no repeat is counted.
+// isUnreachable reports whether no connection to the replica was made. The request did not arrive
+// there, so the attempt does not use up the retry budget.
 func isUnreachable(err error) bool {
 	o, ok := asOutcome(err)
 	return ok && o.Kind == outcome.NotRun && o.Status == 0
 }
 
-// takeRetry takes a repeat after a failure.
+// takeRetry takes one retry after a failure from the service's budget.
 func (w *forwarding) takeRetry() bool {
 	return w.r.takeOpaqueRetry(w.result.Service, 0)
 }
 
-// attempt sends the request to one replica and passes its answer on.
+// attempt sends the request to one replica and relays its answer.
 func (w *forwarding) attempt(ctx context.Context) error {
 	p := w.nextAssignment
 	w.nextAssignment = nil
@@ -203,7 +202,7 @@
 	return err
 }
 
-// assignReplica chooses a replica among those that the release allows.
+// assignReplica chooses a replica among those that the service's release allows.
 func (w *forwarding) assignReplica(ctx context.Context) *assignment {
 	v := w.r.view.Get()
 	l := w.inAllowedRegions(v.byService[w.result.Service])
@@ -212,15 +211,15 @@
 	if !ok {
 		return w.assignAmong(ctx, l)
 	}
-	passed := len(w.result.Skipped)
+	skipped := len(w.result.Skipped)
 	p := w.assignAmong(ctx, w.replicasByRelease(l, rel))
-	if p == nil && (len(w.result.Skipped) > passed || w.result.Excluded != "") && w.mayUseOldRelease(rel) {
+	if p == nil && (len(w.result.Skipped) > skipped || w.result.Excluded != "") && w.mayUseOldRelease(rel) {
 		return w.assignAmong(ctx, oldReplicas(l, rel))
 	}
 	return p
 }
 
-// modelName is the model that the request goes to.
+// modelName is the model that the request is sent to.
 func (w *forwarding) modelName() string {
 	if w.modelIndex >= 0 {
 		return w.q.Route.Models[w.modelIndex]
@@ -228,7 +227,7 @@
 	return w.q.Prompt.Model
 }
 
-// failure is the last word on the request.
+// failure is the final error of the request.
 func (w *forwarding) failure(ctx context.Context, err error) *Failure {
 	f := &Failure{Code: Refused, Outcome: outcome.NotRun, RetryAt: w.retryAt, Message: "no replica took the request", Cause: err}
 	if w.cause != nil {
--- a/entry/gains.go
+++ b/entry/gains.go
@@ -8,64 +8,65 @@
 )
 
 const (
-	// evenOdds is the confidence, out of 100, at which an answer is as likely
-	// right as wrong: it is the model's own estimate of that chance.
+	// evenOdds is the confidence, from 0 to 100, at which an answer is as likely right as wrong:
+	// a model reports its own estimate of that chance.
 	evenOdds = 50
-	// initialGain is by how much a model is taken to be more confident than the
-	// next smaller one before any was seen to be, and leadPrior how many
-	// requests that counts as; leadWeight is of one request later on. Requests
-	// that two models answered come every few seconds only.
+	// initialGain is the assumed confidence gain of a model over the next smaller one before any
+	// observation. gainPriorWeight is the number of requests that the assumption counts as, and
+	// gainWeight the weight of each later request. Requests answered by two models occur only
+	// every few seconds.
 	initialGain     = 15.0
 	gainPriorWeight = 3.0
 	gainWeight      = 0.05
-	// logOddsScale is by how much confidence the odds of a right answer grow e-fold
+	// logOddsScale is the increase in confidence that multiplies the odds of a right answer by e
 	// (docs/DECIDING.md).
 	logOddsScale = 6.0
-	// secondAttemptMargin is what is added to the confidence from which the next model
-	// is asked before the largest: if it is wrong too, the largest comes later still.
+	// secondAttemptMargin is added to the confidence from which the next model is tried before
+	// the largest, because a wrong answer of the next model delays the largest one's further.
 	secondAttemptMargin = 9.0
-	// belowEvenMargin below even odds the next model is right in some 15 of 100, which
-	// is better than an answer that is surely wrong.
+	// belowEvenMargin is how far below even odds the next model is still tried. At that margin it
+	// is right in about 15 of 100 requests, which is better than a certainly wrong answer.
 	belowEvenMargin = 10.0
-	// defaultCostShare is the cost of the next model as a part of the largest one's
-	// where the configuration states none, and leastShare bounds it either way.
+	// defaultCostShare is the cost of the next model relative to the largest one's where the
+	// configuration has none. minCostShare bounds the share at both ends.
 	defaultCostShare = 0.5
 	minCostShare     = 0.05
 )
 
-// confidenceGains learns by how much models are more confident than the next smaller one
-// of the same request, out of 100: what is known of how much more they can do.
+// confidenceGains averages, by model, how much its confidence exceeds that of the next smaller
+// model for the same request. The gain estimates how much more the model can do.
 type confidenceGains struct{ means *means.Means }
 
 func newConfidenceGains() *confidenceGains {
 	return &confidenceGains{means: means.NewQuick(gainWeight, gainPriorWeight)}
 }
 
-// of returns the lead of the model over the next smaller one.
+// of returns the model's confidence gain over the next smaller one.
 func (l *confidenceGains) of(model string) float64 { return l.means.Of(model, initialGain) }
 
-// observe learns from a request that both have answered.
+// observe records a request that both models answered.
 func (l *confidenceGains) observe(model string, smaller, larger float64) {
 	l.means.Learn(model, initialGain, func(float64) float64 { return larger - smaller })
 }
 
-// nextModelBounds are the confidences from which the next larger model is asked
-// before the largest, and from which it is asked where the largest has no time.
+// nextModelBounds are confidences of an answer: from askFirst on, the next larger model is tried
+// before the largest; from askAtAll on, it is tried if the largest can't answer in time.
 type nextModelBounds struct {
 	askFirst, askAtAll float64
 }
 
-// nextModelBoundsFor weighs the next model's chance, by its lead, against its cost as a part
-// of the largest one's: it comes first where the chance is above that part, so that a
-// middle model that can do nearly as much as the largest is asked (docs/DECIDING.md).
-func nextModelBoundsFor(lead, share float64) nextModelBounds {
+// nextModelBoundsFor compares the next model's chance of a right answer, estimated from its gain,
+// with its cost relative to the largest model's. The next model is tried first where its chance
+// exceeds its cost share, so that a middle model nearly as capable as the largest is used
+// (docs/DECIDING.md).
+func nextModelBoundsFor(gain, share float64) nextModelBounds {
 	share = min(1-minCostShare, max(minCostShare, share))
 	odds := logOddsScale * math.Log(share/(1-share))
-	even := evenOdds - lead
+	even := evenOdds - gain
 	return nextModelBounds{askFirst: even + odds + secondAttemptMargin, askAtAll: even - belowEvenMargin}
 }
 
-// costShare is the cost of a model as a part of another's.
+// costShare is the cost of a model relative to another's.
 func costShare(s route.Service, model, of string) float64 {
 	a, b := s.Cost(model), s.Cost(of)
 	if a <= 0 || b <= 0 {
--- a/entry/group.go
+++ b/entry/group.go
@@ -8,11 +8,11 @@
 	"fieldvale/pool"
 )
 
-// maxCandidates bounds the replicas among which a keeper chooses.
+// maxCandidates bounds the replicas among which a group's owner chooses.
 const maxCandidates = 12
 
-// group returns the group that the key belongs to among the allowed replicas, and its best
-// candidates: the key's preferred ones first.
+// placementGroup returns the key's group among the allowed replicas, and its best candidates in
+// the key's order of preference.
 func (w *forwarding) placementGroup(key string, allowed, c []*pool.Replica) (group string, best []*pool.Replica) {
 	if key == "" {
 		key = w.q.ID
@@ -25,7 +25,7 @@
 	return w.result.Service + "/" + strconv.Itoa(k), firstCandidates(key, c)
 }
 
-// preferred returns the key's preferred replicas in their order.
+// firstCandidates returns the first replicas in the key's order of preference.
 func firstCandidates(key string, l []*pool.Replica) []*pool.Replica {
 	if len(l) == 0 {
 		return nil
@@ -52,7 +52,7 @@
 	return slices.AppendSeq(make([]string, 0, len(c)), pool.IDs(c))
 }
 
-// far returns the bits of the replicas in other data centres.
+// remoteBits returns a bit mask of the replicas in other data centres.
 func (r *Router) remoteBits(c []*pool.Replica) uint64 {
 	var m uint64
 	for i, x := range c {
--- a/entry/hang.go
+++ b/entry/hang.go
@@ -8,23 +8,22 @@
 )
 
 const (
-	// hangTargetFactor times the route's target is how long a request that may be
-	// repeated waits for a replica's first word before another is asked.
+	// hangTargetFactor times the route's target is how long a repeatable request waits for a
+	// replica's response before another is tried.
 	hangTargetFactor = 2
-	// hangDelayFactor times the expected time to a prompt's first event, and
-	// minPatience at least, is how long a replica may be silent; the slowest
-	// of a hundred sound ones take four times as long as expected.
+	// hangDelayFactor times the expected time to the first event, and at least minHangTimeout, is
+	// how long a replica may stay silent. The slowest of a hundred healthy replicas take four
+	// times the expected time.
 	hangDelayFactor = 6
 	minHangTimeout  = 1500 * time.Millisecond
 )
 
-// errHung marks a replica that gave no word in the time in which another can
-// still be asked.
-var errHung = errors.New("the replica gave no word")
+// errHung marks an attempt whose replica did not respond within the hang timeout.
+var errHung = errors.New("no response from the replica within the hang timeout")
 
-// withHangTimeout bounds the wait for the replica's first word where another replica
-// can still be asked. heard ends the bound; end ends the attempt's context.
-func (a *attempt) withHangTimeout(ctx context.Context) (x context.Context, heard, end func()) {
+// withHangTimeout bounds the wait for the replica's response if another replica can still be
+// tried. responded stops the timeout; end cancels the attempt's context.
+func (a *attempt) withHangTimeout(ctx context.Context) (x context.Context, responded, end func()) {
 	x, cancel := context.WithCancelCause(ctx)
 	q := a.w.q
 	if !q.Route.Repeats() || a.w.result.Runs+1 >= q.Route.MaxAttempts || q.Route.Target <= 0 {
@@ -37,13 +36,13 @@
 	}
 }
 
-// hangTimeout is how long the replica may take to its first word: several times
-// what its work before the prompt says, where that is known.
+// hangTimeout is how long the replica may take to respond: a multiple of its expected delay where
+// that is known, and never more than a multiple of the route's target.
 func (a *attempt) hangTimeout() time.Duration {
-	most := hangTargetFactor * a.w.q.Route.Target
+	longest := hangTargetFactor * a.w.q.Route.Target
 	if a.assignment == nil || a.assignment.firstEventMs == 0 {
-		return most
+		return longest
 	}
 	e := a.w.r.firstEventDelays.Expect(a.w.result.Service, a.assignment.firstEventMs)
-	return min(most, max(minHangTimeout, hangDelayFactor*e))
+	return min(longest, max(minHangTimeout, hangDelayFactor*e))
 }
--- a/entry/headwait.go
+++ b/entry/headwait.go
@@ -7,29 +7,28 @@
 	"fieldvale/route"
 )
 
-// wait is one attempt's wait for the head of its answer, for the comparison of two
-// releases.
+// headWait is an attempt's wait for the head of its answer, for the comparison of two releases.
 type headWait struct {
 	release      string
 	kind         int
 	startedAt    time.Time
 	intervalEnds [rollout.IntervalCount]time.Duration
-	// passed is how many spans are counted as waited to their ends.
+	// passedIntervals is the number of intervals counted as waited to their ends.
 	passedIntervals int
 }
 
-// usualTarget is in which time answers should come on routes that say nothing.
+// defaultTarget is the expected time to an answer on routes without a target.
 const defaultTarget = time.Second
 
-// readSpans times the estimate of a prompt's reading is the wait that is counted at
-// most, and leastRead is what the shortest prompt counts for: a step or two of the
-// streams that run there.
+// prefillWaitFactor times the estimated time for reading the prompt is the longest wait that is
+// distinguished. minPrefill is added to the estimate, for one or two steps of the streams running
+// at the replica.
 const (
 	prefillWaitFactor = 32
 	minPrefill        = 20 * time.Millisecond
 )
 
-// await begins to count the wait for the attempt's answer, if both releases of its
+// startHeadWait starts measuring the wait for the attempt's answer if both releases of its
 // service get requests.
 func (a *attempt) startHeadWait() {
 	r := a.w.r
@@ -41,9 +40,9 @@
 	r.releases.startHeadWait(rel, a.headWait)
 }
 
-// span is what the wait is measured by: the route's target, or many times what the
-// replica needs to read the prompt, where that is known. A replica that has just
-// started reads again what others keep: a good release must not be taken back for it.
+// waitUnit is the unit in which the wait is measured: the route's target, or a multiple of the
+// estimated time for reading the prompt. A replica that has just started has to read prompts that
+// others have cached; a good release must not be rolled back for that.
 func (a *attempt) waitUnit() time.Duration {
 	t := a.w.q.Route.Target
 	if a.assignment.firstEventMs > 0 {
@@ -55,8 +54,9 @@
 	return t
 }
 
-// waitKind names what the attempt's wait compares with: where it is measured by the
-// prompt's reading, only by the model, as a trial of 30 requests has few of each route.
+// waitKind names the kind of requests that the wait is compared within. Where the wait is
+// measured by the prompt's reading time, this is only the model, as a trial of 30 requests has
+// too few of each route.
 func (a *attempt) waitKind() string {
 	if a.assignment.firstEventMs > 0 {
 		return a.w.modelName()
@@ -64,19 +64,19 @@
 	return a.requestKind()
 }
 
-// answered counts the end of the wait; came says that it was an answer's head.
-func (a *attempt) endHeadWait(came bool) {
+// endHeadWait ends the wait; arrived reports that the answer's head arrived.
+func (a *attempt) endHeadWait(arrived bool) {
 	if a.headWait == nil {
 		return
 	}
 	r := a.w.r
 	if rel, ok := r.view.Get().Releases[a.w.result.Service]; ok {
-		r.releases.endHeadWait(rel, a.headWait, came, r.clock())
+		r.releases.endHeadWait(rel, a.headWait, arrived, r.clock())
 	}
 	a.headWait = nil
 }
 
-// pace names what the attempt's time compares with.
+// requestKind names the kind of requests that the attempt is compared within.
 func (a *attempt) requestKind() string {
 	if a.w.q.Route.Kind != route.Stream {
 		return a.w.q.Route.Name
@@ -92,7 +92,7 @@
 	}
 }
 
-func (s *releases) endHeadWait(rel rollout.Release, w *headWait, came bool, now time.Time) {
+func (s *releases) endHeadWait(rel rollout.Release, w *headWait, arrived bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.trialOf(rel)
@@ -101,25 +101,25 @@
 	}
 	delete(t.headWaits, w)
 	t.passIntervals(w, now)
-	if came && w.passedIntervals < rollout.IntervalCount {
+	if arrived && w.passedIntervals < rollout.IntervalCount {
 		t.updateCounts(w, func(c rollout.Counts) rollout.Counts { return c.WithAnswered(w.passedIntervals) })
 	}
 }
 
-// look counts the spans that the waits under way have passed, and reports whether
-// the release shows to be bad by them.
-func (t *trialState) countPassed(now time.Time, life int64) bool {
+// countPassed counts the intervals that the current waits have passed, and reports whether the
+// release is now found bad.
+func (t *trialState) countPassed(now time.Time, incarnation int64) bool {
 	for w := range t.headWaits {
 		t.passIntervals(w, now)
 	}
 	if !t.changed {
 		return false
 	}
-	t.ownTally.Incarnation = life
+	t.ownTally.Incarnation = incarnation
 	return t.judge.Report(localOrigin, t.ownTally, now)
 }
 
-// pass counts the spans that the wait has passed.
+// passIntervals counts the intervals that the wait has passed.
 func (t *trialState) passIntervals(w *headWait, now time.Time) {
 	for w.passedIntervals < rollout.IntervalCount && now.Sub(w.startedAt) >= w.intervalEnds[w.passedIntervals] {
 		t.updateCounts(w, func(c rollout.Counts) rollout.Counts { return c.WithOutlasted(w.passedIntervals) })
@@ -127,7 +127,7 @@
 	}
 }
 
-// count changes the counts that the wait belongs to.
+// updateCounts applies f to the counts of the wait's release and kind.
 func (t *trialState) updateCounts(w *headWait, f func(rollout.Counts) rollout.Counts) {
 	c := &t.ownTally.Old[w.kind]
 	if w.release == t.rel.Target {
--- a/entry/hooks.go
+++ b/entry/hooks.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// FailedAttempt is an attempt of a request that came to nothing.
+// FailedAttempt describes an attempt that failed.
 type FailedAttempt struct {
 	Request string
 	Service string
 	Replica string
-	// Fingerprint is the same for requests that ask the same, empty where that is not known.
+	// Fingerprint is equal for requests with the same content; empty where it was not computed.
 	Fingerprint string
-	// AnswerStarted says that the replica had begun to answer, after which Events were passed on.
+	// AnswerStarted reports that the answer's head had arrived; Events is the number of events
+	// relayed after it.
 	AnswerStarted bool
 	Events        int
 	Err           error
 }
 
-// Hooks is told of what an operator may want to see. Its functions may be
-// nil and must not block.
+// Hooks are callbacks for logs and metrics. Each may be nil, and none may block.
 type Hooks struct {
-	// AttemptFailed is a failed attempt of a request at a backend server.
+	// AttemptFailed is called for a failed attempt at a backend server.
 	AttemptFailed func(FailedAttempt)
-	// RatingFailed is an answer that the rating service did not rate.
+	// RatingFailed is called if the rating service did not rate an answer.
 	RatingFailed func(request string, err error)
-	// ClaimNotRecorded is a claim whose end was not recorded: a caller who asks
-	// again is told that the request may have run.
+	// ClaimNotRecorded is called if the end of a claim was not recorded. A caller who repeats the
+	// request is then informed that it may have run.
 	ClaimNotRecorded func(c claim.Claim, err error)
-	// BadReleaseFound is a release that this instance found to be bad, with what
-	// it and those that report to it saw.
+	// BadReleaseFound is called if this instance found a release bad, with the tally of this
+	// instance and of those that report to it.
 	BadReleaseFound func(r rollout.Release, seen rollout.Tally, f rollout.Finding)
-	// RequestStarted is a request of the customer that began to run.
+	// RequestStarted is called when a request of the customer has started to run.
 	RequestStarted func(customer string, at time.Time)
-	// AttemptJudged is what an attempt counts as for its service's release.
+	// AttemptJudged is called with the verdict of an attempt on its service's release.
 	AttemptJudged func(service, release, verdict string)
 }
 
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -8,12 +8,13 @@
 	"fieldvale/pool"
 )
 
-// backoffSpread spreads the clients that come back when replicas have rested: the first to come
-// is a trial, and those after it find what it found.
+// backoffSpread spreads the retries of clients after replicas' backoffs end: the first request is
+// a trial whose result the later ones can use.
 const backoffSpread = 500 * time.Millisecond
 
-// acquireReplica returns the choice, or another one, whose replica may be sent to in this moment; nil if
-// none may. What a replica says of itself after it was chosen counts as well.
+// acquireReplica returns the assignment, or another one, whose replica may be sent to at this
+// moment; nil if there is none. This check covers notices that a replica sent after it was
+// chosen.
 func (w *forwarding) acquireReplica(ctx context.Context, p *assignment) *assignment {
 	for {
 		if p == nil {
@@ -32,8 +33,8 @@
 	}
 }
 
-// backoffEndsAt is when a client should come back for whom all of the replicas rest; zero if that is
-// not so.
+// backoffEndsAt is when a client should retry if all of the replicas are backing off; zero if
+// they are not.
 func (r *Router) backoffEndsAt(l []*pool.Replica) time.Time {
 	t := r.notices.BackoffEndsAt(pool.IDs(l), r.clock())
 	if t.IsZero() {
@@ -42,8 +43,8 @@
 	return t.Add(rand.N(backoffSpread))
 }
 
-// drainedInOrder reports whether the replica had said for long enough that it leaves: its end is
-// no fault.
+// drainedInOrder reports whether the replica had announced its draining long enough ago, so that
+// its exit is not a crash.
 func (r *Router) drainedInOrder(id string) bool {
 	x := r.notices.States()[id]
 	return x.IsDraining() && r.clock().Sub(x.DrainingSince) >= drainGrace
--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -12,37 +12,36 @@
 	"fieldvale/route"
 )
 
-// OpaqueRequest is a request whose body only its backend service understands. It is
-// routed by the operator's table and passed on unchanged.
+// OpaqueRequest is a request whose body is interpreted by the backend service only. It is routed
+// by the operator's table and forwarded unchanged.
 type OpaqueRequest struct {
-	// ID is the client's own id of this attempt; it is passed on.
+	// ID is the client's id of this attempt; it is forwarded.
 	ID       string
 	Table    *route.Table
 	Route    *route.Route
 	Customer route.Customer
 	Method   string
-	// Target is the request line's path and query, as it came.
+	// Target is the path and query of the request line, unmodified.
 	Target string
-	// Header is what is passed on of the client's header.
+	// Header holds the client's headers that are forwarded.
 	Header http.Header
 	Body   []byte
 	Prompt prompt.Prompt
-	// Session is empty if the client gave none.
+	// Session is empty if the client sent none.
 	Session string
-	// LastEventID is the last event that the client has of a stream it resumes.
+	// LastEventID is the id of the last event that the client received of the stream it resumes.
 	LastEventID string
 	ArrivedAt   time.Time
 	Deadline    time.Time
-	// TimeoutAt is when the route's time ends; the earlier of it and
-	// Deadline binds.
+	// TimeoutAt is when the route's timeout expires; the earlier of it and Deadline applies.
 	TimeoutAt time.Time
 
-	// fingerprint is of the content; zero as long as nobody asked for it.
+	// fingerprint caches Fingerprint; the zero value means that it was not computed yet.
 	fingerprint quarantine.Fingerprint
 }
 
-// Fingerprint names the content, whatever the attempt's id. It is worked out when it is
-// first asked for: most requests need none. It is not safe for concurrent use.
+// Fingerprint identifies the request content, whatever the attempt's id. It is computed on first
+// use, as most requests need none. It is not safe for concurrent use.
 func (q *OpaqueRequest) Fingerprint() quarantine.Fingerprint {
 	if q.fingerprint == (quarantine.Fingerprint{}) {
 		q.fingerprint = quarantine.RequestContent{Caller: q.Customer.Name, Method: q.Method, Host: q.Route.Host, Target: q.Target, Body: q.Body}.Fingerprint()
@@ -50,7 +49,7 @@
 	return q.fingerprint
 }
 
-// effectiveDeadline is when the request has to be answered.
+// effectiveDeadline is the time by which the request has to be answered.
 func (q *OpaqueRequest) effectiveDeadline() time.Time {
 	if q.TimeoutAt.Before(q.Deadline) {
 		return q.TimeoutAt
@@ -58,8 +57,7 @@
 	return q.Deadline
 }
 
-// sessionKey is what ties the request to others: its session, or nothing but
-// itself.
+// sessionKey is the session, or the request's id if it has none.
 func (q *OpaqueRequest) sessionKey() string {
 	if q.Session != "" {
 		return q.Session
@@ -67,7 +65,7 @@
 	return q.ID
 }
 
-// priority is the customer's rank if it has one, else the route's.
+// priority is the customer's priority if it has one, else the route's.
 func (q *OpaqueRequest) priority() int {
 	if q.Customer.Ranked {
 		return q.Customer.Priority
@@ -75,52 +73,53 @@
 	return q.Route.Priority
 }
 
-// DroppedAnswer is an answer that was not passed on.
+// DroppedAnswer is an answer discarded in favour of a larger model's.
 type DroppedAnswer struct {
 	Model      string
 	Confidence float64
 }
 
-// String returns the model and its confidence, for the log.
+// String formats the model and its confidence for the log.
 func (d DroppedAnswer) String() string { return fmt.Sprintf("%s:%.0f", d.Model, d.Confidence) }
 
-// SkippedReplica is a replica that had no place for the request.
+// SkippedReplica is a replica for which the quota granted no permit.
 type SkippedReplica struct {
 	Replica string
 	Reason  quota.Reason
-	// DecidedBy is the instance that said so.
+	// DecidedBy is the instance that refused the permit.
 	DecidedBy string
 }
 
-// String returns the replica with the reason, for the log.
+// String formats the replica, the reason and the deciding instance for the log.
 func (p SkippedReplica) String() string {
 	return fmt.Sprintf("%s:%s:%s", p.Replica, p.Reason, p.DecidedBy)
 }
 
-// ForwardResult is what became of an opaque request, for logs and metrics.
+// ForwardResult describes the handling of an opaque request, for logs and metrics.
 type ForwardResult struct {
 	Request *OpaqueRequest
 	Service string
 	Replica string
 	Release string
 	Model   string
-	// Confidence is of the last answer; below 0 there was none.
+	// Confidence is that of the last answer; negative if there was none.
 	Confidence float64
-	// Dropped are the answers that gave way to a larger model's.
+	// Dropped are the answers discarded in favour of a larger model's.
 	Dropped []DroppedAnswer
-	// Escalation says what became of the last answer that its model doubted.
+	// Escalation states whether the last answer with a low confidence was replaced, and why not.
 	Escalation string
-	// SkippedCount is how often a replica was left out because it names a limit or is cold, or may
-	// be, and gets no more now; PassedOver are the best of them.
+	// SkippedCount is how often a replica was skipped because it advertises a limit, or is or may
+	// be cold, and had no permit left. Skipped holds the preferred replica of each refused permit
+	// request.
 	SkippedCount int
 	Skipped      []SkippedReplica
-	// Fingerprint is the request's fingerprint if an attempt failed or something is known
-	// against it, else empty; Verdict is the last word on whether it may be sent.
+	// Fingerprint is set if an attempt failed or the content is suspected of crashing replicas.
+	// Verdict is the last decision on whether it may be sent.
 	Fingerprint string
 	Verdict     quarantine.Verdict
-	// Tried are the replicas that it was sent to, in order.
+	// Tried are the replicas that the request was sent to, in order.
 	Tried []string
-	// Excluded counts the replicas that had said that they leave or rest at the last choice.
+	// Excluded counts the replicas that were draining or backing off at the last choice.
 	Excluded string
 	Sends    int
 	Runs     int
@@ -129,7 +128,7 @@
 	Outcome  outcome.Kind
 	Code     Code
 	Cause    error
-	// StopReason says why no further attempt was made after a failed one.
+	// StopReason states why no further attempt was made after a failed one.
 	StopReason  string
 	FirstByteAt time.Time
 	EndedAt     time.Time
--- a/entry/ports.go
+++ b/entry/ports.go
@@ -12,17 +12,17 @@
 
 // Attempt is one dispatch of a chat request to a model engine.
 type Attempt struct {
-	// ID is new for each attempt; the engine echoes it.
+	// ID is unique to the attempt; the engine echoes it.
 	ID       string
 	Version  version.ID
 	Body     []byte
 	Deadline time.Time
 	Priority int
-	// ResumeChunks is how many chunks of a stream the caller has already.
+	// ResumeChunks is the number of the stream's chunks that the caller already has.
 	ResumeChunks int
 }
 
-// Answer is a whole answer of a model engine.
+// Answer is the complete answer of a model engine.
 type Answer struct {
 	Body      []byte
 	Text      string
@@ -30,11 +30,11 @@
 	TokensOut uint64
 }
 
-// Engines calls model engines. Failures are *outcome.Error.
+// Engines calls model engines. Errors are *outcome.Error.
 type Engines interface {
 	Chat(ctx context.Context, r *pool.Replica, a Attempt) (Answer, error)
-	// Stream hands each chunk to sink as it comes. It succeeds only if the
-	// stream came to its proper end; an error of sink ends it.
+	// Stream passes each chunk to sink on arrival. It succeeds only if the stream ended properly;
+	// an error from sink aborts it.
 	Stream(ctx context.Context, r *pool.Replica, a Attempt, sink func(chunk []byte) error) (Answer, error)
 }
 
@@ -45,55 +45,56 @@
 	ContentType    string
 	IdempotencyKey string
 	Deadline       time.Time
-	// Once asks for a connection on which nothing can be left unknown that
-	// need not be.
+	// Once asks for a connection that avoids unknown outcomes where possible, as the call may not
+	// be repeated.
 	Once bool
 }
 
-// ServiceAnswer is a plain service's answer.
+// ServiceAnswer is the answer of a plain service.
 type ServiceAnswer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Services calls plain services. Failures are *outcome.Error.
+// Services calls plain services. Errors are *outcome.Error.
 type Services interface {
 	Call(ctx context.Context, r *pool.Replica, c ServiceCall) (ServiceAnswer, error)
 }
 
-// Claims asks for the right to send what may not be repeated.
+// Claims grants the right to send a request that may run only once.
 type Claims interface {
-	// Claim returns the verdict and, to replay, the claim that was found. An
-	// error means that nothing was claimed that may be relied on.
+	// Claim returns the verdict and, for a replay, the existing claim. After an error no claim
+	// may be relied on.
 	Claim(ctx context.Context, c claim.Claim) (claim.Verdict, claim.Claim, error)
-	// Finish records a claim that ran or is free.
+	// Finish records the answer of a claim that ran, or frees a claim that did not run.
 	Finish(ctx context.Context, c claim.Claim) error
 }
 
-// Rater asks the platform's rating service how good an answer is, from 0 to 1.
+// Rater asks the platform's rating service for the quality of an answer, from 0 to 1.
 type Rater interface {
 	Rate(ctx context.Context, request, answer []byte) (float64, error)
 }
 
-// Clock tells the time.
+// Clock returns the current time.
 type Clock func() time.Time
 
-// Placer chooses replicas for prompts with the knowledge of the fleet. It
-// fails if that can't be had now; that none may be used is an answer.
+// Placer chooses replicas for prompts from fleet-wide load and prefix cache state. ok is false if
+// that state is unavailable; that none of the replicas may be used is a valid choice.
 type Placer interface {
 	Choose(ctx context.Context, group string, a placement.Request) (placement.Choice, placement.Ticket, bool)
-	// Read says that the prompt was read, Lost that it came to nothing.
+	// Read reports that the replica has read the prompt, Lost that the attempt failed before
+	// that.
 	Read(t placement.Ticket)
 	Lost(t placement.Ticket, why placement.Fault)
 }
 
-// ForwardSink takes an answer for the client.
+// ForwardSink writes an answer to the client.
 type ForwardSink interface {
-	// Head is called once, before the rest.
+	// Head is called once, before Event and Body.
 	Head(h Head) error
-	// Event passes an event on at once.
+	// Event writes one event of a stream and flushes it.
 	Event(b []byte) error
-	// Body passes a whole body on.
+	// Body writes a complete body.
 	Body(b []byte) error
 }
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -11,44 +11,41 @@
 	"fieldvale/quarantine"
 )
 
-// Quarantine knows which contents bring down the replicas that run them, whatever the
-// attempt and the instance.
+// Quarantine tracks request contents that crash the replicas that run them, across attempts and
+// instances.
 type Quarantine interface {
-	// IsQuiet reports whether nothing is known of any content.
+	// IsQuiet reports whether no content is suspected.
 	IsQuiet() bool
-	// Ask decides whether the content may be sent once more.
+	// Ask decides whether a request with the content may be sent once more.
 	Ask(ctx context.Context, f quarantine.Fingerprint) quarantine.Verdict
-	// Tell says what came of an attempt.
+	// Tell reports the result of an attempt.
 	Tell(f quarantine.Fingerprint, e quarantine.AttemptResult)
 }
 
-// Prober looks whether a replica that closed a connection has ended.
+// Prober checks whether a replica that closed a connection is down.
 type Prober interface {
-	// HasEnded reports whether the replica takes no connections. It is false where that
-	// can't be told.
+	// HasEnded reports whether the replica refuses connections; false if that is uncertain.
 	HasEnded(ctx context.Context, r *pool.Replica) bool
 }
 
-// errQuarantined says that the request's content may not be sent now.
+// errQuarantined reports that requests with this content may not be sent now.
 var errQuarantined = errors.New("requests with this content bring down the backend servers that run them")
 
-// probeTimeout bounds the look whether a replica has ended; a dead port answers within a
-// round trip.
+// probeTimeout bounds the probe of a replica; a closed port answers within one round trip.
 const probeTimeout = 150 * time.Millisecond
 
-// quarantineCheck is what one request has to do with the quarantine. Its zero value has nothing to
-// do with any.
+// quarantineCheck handles the quarantine for one request. Its zero value allows everything.
 type quarantineCheck struct {
 	quarantine  Quarantine
 	fingerprint func() quarantine.Fingerprint
-	// verdict is the last word on whether it may be sent.
+	// verdict is the last decision on whether the request may be sent.
 	verdict quarantine.Verdict
-	// suspected says that something is known against the content, onTrial that the attempt
-	// was allowed as a trial only.
+	// suspected is set if the content is suspected, onTrial if the current attempt is only
+	// allowed as a trial.
 	suspected, onTrial bool
 }
 
-// check asks whether the request may be sent to one more replica.
+// check decides whether the request may be sent to one more replica.
 func (w *quarantineCheck) check(ctx context.Context) error {
 	w.onTrial = false
 	if w.quarantine == nil || w.quarantine.IsQuiet() {
@@ -65,15 +62,14 @@
 	return errQuarantined
 }
 
-// cancelTrial takes a trial back that could not begin.
+// cancelTrial gives up a trial whose attempt was not sent.
 func (w *quarantineCheck) cancelTrial() {
 	if w.onTrial {
 		w.send(quarantine.AttemptResult{Outcome: quarantine.NotRun})
 	}
 }
 
-// report tells what an attempt came to, where that matters: its replica ended, or the
-// content is watched.
+// report reports an attempt's outcome if its replica crashed or the content is suspected.
 func (w *quarantineCheck) report(came quarantine.Outcome, replica string) {
 	if w.quarantine == nil {
 		return
@@ -90,7 +86,7 @@
 	w.quarantine.Tell(w.fingerprint(), e)
 }
 
-// checkQuarantine asks whether the opaque request may be sent to one more replica.
+// checkQuarantine decides whether the opaque request may be sent to one more replica.
 func (w *forwarding) checkQuarantine(ctx context.Context) error {
 	err := w.quarantineCheck.check(ctx)
 	if w.quarantineCheck.suspected {
@@ -102,7 +98,7 @@
 	return err
 }
 
-// quarantineOutcome says what the attempt shows of the content.
+// quarantineOutcome is what the attempt shows about the content.
 func (a *attempt) quarantineOutcome(err error) quarantine.Outcome {
 	switch {
 	case a.succeeded && !a.escalated || a.failureComplete:
@@ -115,22 +111,22 @@
 	return quarantine.Inconclusive
 }
 
-// drainGrace is for how long a replica that leaves in order serves at least what it still got:
-// half of the shortest time that replicas drain for.
+// drainGrace is how long a draining replica still serves the requests that reach it, at least:
+// half of the shortest drain time of replicas.
 const drainGrace = time.Second
 
-// replicaCrashed reports whether the attempt's replica ended without having said that it
-// would: one that closes a connection or breaks an answer off lives on, and one that left
-// the list ends as it should. But where the list lost it just before, it has ended all the
-// same if it got the request a moment ago: on a busy machine one end of five was heard of
-// by the list first, and one replica more was lost.
+// replicaCrashed reports whether the attempt's replica crashed. A replica that merely closes a
+// connection or breaks off an answer keeps running, and one that left the replica list has
+// normally shut down as planned. A replica that got the request shortly before it left the list
+// counts as crashed, though: on a busy machine the list reported one crash in five before the
+// broken connection did, and ignoring these cost one more replica.
 func (a *attempt) replicaCrashed() bool {
 	r := a.w.r
 	serves := r.view.Get().takesNewRequests(a.w.result.Service, a.replica.ID) || r.clock().Sub(a.sentAt) < drainGrace
 	return serves && r.isDown(a.replica)
 }
 
-// isDown reports whether the replica, which closed a connection, takes none any more.
+// isDown reports whether the replica, which closed a connection, refuses new ones.
 func (r *Router) isDown(b *pool.Replica) bool {
 	if r.prober == nil || r.drainedInOrder(b.ID) {
 		return false
@@ -140,8 +136,8 @@
 	return r.prober.HasEnded(x, b)
 }
 
-// quarantineOutcomeOf says what an attempt at a backend server of the product's own interfaces shows of
-// its content.
+// quarantineOutcomeOf is what an attempt at a backend server of the product's own interfaces
+// shows about its content.
 func (r *Router) quarantineOutcomeOf(b *pool.Replica, err error) quarantine.Outcome {
 	switch {
 	case err == nil:
@@ -154,12 +150,12 @@
 	return quarantine.Inconclusive
 }
 
-// refusal is the refusal of a request before it is sent.
+// refusal is the error for a quarantined request that was not sent.
 func (w *quarantineCheck) refusal() error {
 	return &Failure{Code: Quarantined, Outcome: outcome.NotRun, RetryAt: w.verdict.RetryAt, Message: errQuarantined.Error(), Cause: errQuarantined}
 }
 
-// newQuarantineCheck returns a request's dealings with the quarantine by what it asks.
+// newQuarantineCheck returns the check for a request with the content.
 func (r *Router) newQuarantineCheck(c quarantine.RequestContent) *quarantineCheck {
 	return &quarantineCheck{quarantine: r.quarantine, fingerprint: c.Fingerprint}
 }
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -11,26 +11,26 @@
 	"fieldvale/quota"
 )
 
-// Quota knows what replicas may get from the whole fleet: those that name a limit, and those
-// that are cold, or may be. It is the one place that decides whether such a replica may get
-// one more request now, whatever road the request comes by.
+// Quota enforces fleet-wide limits on replicas that advertise a limit, are cold, or may be cold.
+// Every request to such a replica needs its permit, whatever path it takes.
 type Quota interface {
-	// IsQuiet reports whether no replica names a limit or may be cold.
+	// IsQuiet reports whether no replica advertises a limit or may be cold.
 	IsQuiet() bool
-	// Bound returns what the replica may get. coldPerSecond is what it bears while it is cold, 0
-	// for any number, and isCold whether it says that it is.
+	// Bound returns the replica's bound. coldPerSecond is the rate that it bears while cold, 0
+	// for any, and isCold whether it reports to be cold.
 	Bound(replica string, coldPerSecond float64, isCold bool) quota.Bound
-	// IsResting reports whether the replica gets nothing now, as far as is known here.
+	// IsResting reports whether the replica currently gets no permits, according to this
+	// instance's last permit request.
 	IsResting(replica string) bool
-	// Take asks for the right to send the request to one of its candidates.
+	// Take requests a permit to send the request to one of its candidates.
 	Take(ctx context.Context, a quota.PermitRequest) quota.PermitResult
-	// Return gives a right back that came to nothing.
+	// Return returns an unused permit.
 	Return(t quota.Ticket)
-	// Unreached says that a replica that may be cold again could not be connected to.
+	// Unreached reports that a replica could not be connected to, so that it may be cold again.
 	Unreached(service, replica string)
 }
 
-// unbounded has no replica bounded.
+// noQuota is a Quota without limits.
 type noQuota struct{}
 
 func (noQuota) IsQuiet() bool                           { return true }
@@ -42,12 +42,12 @@
 func (noQuota) Return(quota.Ticket)      {}
 func (noQuota) Unreached(string, string) {}
 
-// mostAsked bounds the replicas that one question for a place names. Each question names other
-// ones: at 100 questions a second before 112 limited replicas a place is found after some 0.1 s.
+// maxPermitCandidates bounds the replicas in one permit request. Each request names different
+// ones: with 100 requests a second and 112 limited replicas, a free permit is found after about
+// 0.1 s.
 const maxPermitCandidates = 12
 
-// coldPerSecond is how many requests one of the service's replicas may get in any second
-// while it is cold; 0 where they bear all at once.
+// coldPerSecond is the rate of requests that a cold replica of the service may get; 0 for any.
 func (w *forwarding) coldPerSecond() float64 {
 	if n := w.q.Table.Service(w.result.Service).ColdPerSecond; n > 0 {
 		return w.r.coldBound.PerOwner(n)
@@ -55,7 +55,7 @@
 	return 0
 }
 
-// byBound parts the replicas that may get any number of requests from those that may not.
+// splitByBound separates the unlimited replicas from the bounded ones.
 func (w *forwarding) splitByBound(l []*pool.Replica) (free, bounded []*pool.Replica) {
 	cold := w.coldPerSecond()
 	if cold <= 0 && w.r.quota.IsQuiet() {
@@ -79,9 +79,9 @@
 	return free, bounded
 }
 
-// worthAsking returns the bounded replicas for which a place is worth asking beside free
-// ones: not those that were said to have none now. A request without a prompt has nothing
-// to find at a cold one, which is slow.
+// withPossiblePermit returns the bounded replicas worth a permit request while unlimited ones are
+// left: not those that recently had no permit left, and for a request without a prompt not the
+// cold ones, which are slow and offer it no cached prefix.
 func (w *forwarding) withPossiblePermit(bounded []*pool.Replica) []*pool.Replica {
 	now := w.r.clock()
 	return slices.DeleteFunc(slices.Clone(bounded), func(r *pool.Replica) bool {
@@ -89,12 +89,12 @@
 	})
 }
 
-// placeBounded chooses a replica where some are bounded: one of those only if the fleet has a
-// place there for this request. Where all that are left are bounded, any of them will do.
+// assignBounded chooses a replica where some are bounded. A bounded replica is used only with a
+// permit; if only bounded ones are left, any of them will do.
 func (w *forwarding) assignBounded(ctx context.Context, allowed, free, bounded []*pool.Replica) *assignment {
-	isLast := len(w.candidates(free)) == 0
+	onlyBounded := len(w.candidates(free)) == 0
 	open := bounded
-	if !isLast {
+	if !onlyBounded {
 		open = w.withPossiblePermit(bounded)
 	}
 	p := w.assignIgnoringQuota(ctx, allowed, slices.Concat(free, open))
@@ -102,10 +102,10 @@
 		return p
 	}
 	c := []*pool.Replica{p.replica}
-	if isLast {
+	if onlyBounded {
 		c = w.addCandidates(c, bounded)
 	}
-	v := w.r.quota.Take(ctx, w.permitRequest(c, isLast))
+	v := w.r.quota.Take(ctx, w.permitRequest(c, onlyBounded))
 	if v.Index == 0 {
 		p.permit = v.Ticket
 		return p
@@ -115,13 +115,13 @@
 		return w.assignWithPermit(ctx, allowed, c[v.Index], v.Ticket)
 	}
 	w.recordSkipped(c, v)
-	if isLast {
+	if onlyBounded {
 		return nil
 	}
 	return w.assignIgnoringQuota(ctx, allowed, free)
 }
 
-// placeWithRight places the request at the replica where it has a place.
+// assignWithPermit assigns the request to the replica for which a permit was granted.
 func (w *forwarding) assignWithPermit(ctx context.Context, allowed []*pool.Replica, r *pool.Replica, t quota.Ticket) *assignment {
 	p := w.assignIgnoringQuota(ctx, allowed, []*pool.Replica{r})
 	if p == nil {
@@ -132,7 +132,7 @@
 	return p
 }
 
-// others adds other candidates among the bounded replicas, from any of them on.
+// addCandidates adds other bounded replicas, starting from a random one.
 func (w *forwarding) addCandidates(c, bounded []*pool.Replica) []*pool.Replica {
 	l := w.candidates(bounded)
 	if len(l) == 0 {
@@ -148,14 +148,14 @@
 	return c
 }
 
-// askFor returns the question for a place at one of the replicas.
-func (w *forwarding) permitRequest(l []*pool.Replica, isLast bool) quota.PermitRequest {
-	return w.r.permitRequest(w.result.Service, l, w.coldPerSecond(), w.q.priority(), isLast)
+// permitRequest builds the request for a permit at one of the replicas.
+func (w *forwarding) permitRequest(l []*pool.Replica, onlyBounded bool) quota.PermitRequest {
+	return w.r.permitRequest(w.result.Service, l, w.coldPerSecond(), w.q.priority(), onlyBounded)
 }
 
-func (r *Router) permitRequest(service string, l []*pool.Replica, coldPerSecond float64, rank int, isLast bool) quota.PermitRequest {
+func (r *Router) permitRequest(service string, l []*pool.Replica, coldPerSecond float64, rank int, onlyBounded bool) quota.PermitRequest {
 	now := r.clock()
-	a := quota.PermitRequest{Service: service, Priority: rank, OnlyBounded: isLast}
+	a := quota.PermitRequest{Service: service, Priority: rank, OnlyBounded: onlyBounded}
 	for _, x := range l {
 		isCold := coldPerSecond > 0 && x.IsCold(now)
 		a.Candidates = append(a.Candidates, quota.Candidate{Replica: x.ID, Bound: r.quota.Bound(x.ID, coldPerSecond, isCold), ReportsCold: isCold})
@@ -163,8 +163,8 @@
 	return a
 }
 
-// passOver notes the replicas that had no place, and has the client come back when there is
-// one, or when the first of them is warm.
+// recordSkipped records the replicas without a free permit. The client is asked to retry when
+// there will be one, or when the first of the cold replicas is warm.
 func (w *forwarding) recordSkipped(l []*pool.Replica, v quota.PermitResult) {
 	w.result.SkippedCount += len(l)
 	w.result.Skipped = append(w.result.Skipped, SkippedReplica{Replica: l[0].ID, Reason: v.Reason, DecidedBy: v.DecidedBy})
@@ -177,13 +177,14 @@
 	}
 }
 
-// retryBy has the client come back at that moment, or earlier.
+// retryNoLaterThan sets the client's retry time to t unless it is earlier already.
 func (w *forwarding) retryNoLaterThan(t time.Time) {
 	w.retryAt = earliest(w.retryAt, t)
 }
 
-// takeReplica chooses a replica for a request of the product's own interfaces and counts it
-// there; nil if none may get it, with when to come back. It is taken off with backends.done.
+// takeReplica chooses a replica for a request of the product's own interfaces and counts the
+// request there; the caller ends it with backends.done. If no replica may be used it returns nil
+// and the time to retry.
 func (r *Router) takeReplica(ctx context.Context, service string, l []*pool.Replica, a pool.Request, tried []string, rank int) (*pool.Replica, time.Time) {
 	var retryAt time.Time
 	for {
@@ -205,7 +206,7 @@
 	}
 }
 
-// earlier returns the earlier moment of those that are known.
+// earliest returns the earlier of two times, ignoring zero ones.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -213,8 +214,8 @@
 	return a
 }
 
-// noReplica is the refusal of a request for which there is none; retryAt is when there
-// will be one, zero if that is not known.
+// noReplica is the refusal of a request without a usable replica. retryAt is the time to retry;
+// zero if it is unknown.
 func (r *Router) noReplica(retryAt time.Time) error {
 	if retryAt.IsZero() {
 		retryAt = r.clock().Add(time.Second)
--- a/entry/regions.go
+++ b/entry/regions.go
@@ -6,8 +6,8 @@
 	"fieldvale/pool"
 )
 
-// inRegions returns the replicas in whose region both the route and the customer let
-// the request run. A data centre of which no region is known lies in none.
+// inAllowedRegions returns the replicas in regions that both the route and the customer allow. A
+// data centre without a configured region belongs to none.
 func (w *forwarding) inAllowedRegions(l []*pool.Replica) []*pool.Replica {
 	route, customer := w.q.Route.Regions, w.q.Customer.Regions
 	if len(route)+len(customer) == 0 {
@@ -23,7 +23,7 @@
 	return n
 }
 
-// allows reports whether the regions, none of which allow all, have this one.
+// allowsRegion reports whether the list contains the region. An empty list allows all.
 func allowsRegion(regions []string, region string) bool {
 	return len(regions) == 0 || slices.Contains(regions, region)
 }
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -9,14 +9,14 @@
 	"fieldvale/outcome"
 )
 
-// failureAnswer is a whole answer of failure that a replica gave.
+// failureAnswer is a complete error response of a replica.
 type failureAnswer struct {
 	head Head
 	body []byte
 }
 
-// handleFailureAnswer reads a replica's own answer of failure. It is passed on unless
-// another replica may be asked.
+// handleFailureAnswer reads a replica's error response. It is relayed to the client unless
+// another replica may be tried.
 func (a *attempt) handleFailureAnswer(reply Reply) error {
 	b, err := reply.Body()
 	h := reply.Head()
@@ -29,22 +29,22 @@
 	w.failureAnswer = &failureAnswer{head: h, body: b}
 	w.reportStarted(a.sentAt)
 	if w.answerStarted {
-		return outcome.New(outcome.Unknown, stepAnswer, a.replica.ID, errors.Newf("status %d for a stream that is resumed", h.Status)).WithStatus(h.Status)
+		return outcome.New(outcome.Unknown, stepAnswer, a.replica.ID, errors.Newf("the replica answered with status %d instead of resuming the stream", h.Status)).WithStatus(h.Status)
 	}
 	if w.q.Route.Repeats() && w.result.Runs < w.q.Route.MaxAttempts && h.Status >= 500 && w.takeRetry() {
 		w.mayHaveRun = true
-		return w.markRetryGranted(outcome.New(outcome.Unknown, stepAnswer, a.replica.ID, errors.Newf("status %d", h.Status)).WithStatus(h.Status))
+		return w.markRetryGranted(outcome.New(outcome.Unknown, stepAnswer, a.replica.ID, errors.Newf("the replica answered with status %d", h.Status)).WithStatus(h.Status))
 	}
 	return a.sendFailure()
 }
 
-// markRetryGranted marks an error after which the next attempt is paid for already.
+// markRetryGranted marks an error after which the next attempt was already taken from the budget.
 func (w *forwarding) markRetryGranted(err error) error {
 	w.cause = err
 	return errors.Mark(err, errRetryGranted)
 }
 
-// sendFailure hands the replica's failure to the client.
+// sendFailure writes the replica's error response to the client.
 func (a *attempt) sendFailure() error {
 	k := a.w.failureAnswer
 	if err := a.w.out.Head(k.head); err != nil {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// relayBody passes an answer on that must be had relayBody first.
+// relayBody relays an answer after reading it completely.
 func (a *attempt) relayBody(reply Reply) error {
 	b, err := reply.Body()
 	if err != nil {
@@ -79,15 +79,15 @@
 	return nil
 }
 
-// relayEvents passes events on as they come.
-func (a *attempt) relayEvents(reply Reply, heard func()) error {
+// relayEvents relays the events of a stream on arrival. It calls responded on the first one.
+func (a *attempt) relayEvents(reply Reply, responded func()) error {
 	for {
 		e, err := reply.Next()
 		if err != nil && !isStreamEnd(err) {
 			return outcome.New(outcome.Unknown, "read", a.replica.ID, err)
 		}
 		if !a.promptRead {
-			heard()
+			responded()
 			a.recordFirstEvent()
 		}
 		if isStreamEnd(err) {
@@ -101,7 +101,7 @@
 	}
 }
 
-// recordFirstEvent notes that the prompt is read: the replica's time for it is over.
+// recordFirstEvent records that the replica has read the prompt.
 func (a *attempt) recordFirstEvent() {
 	a.promptRead, a.promptReadAt = true, a.w.r.clock()
 	a.w.reportStarted(a.promptReadAt)
@@ -111,7 +111,7 @@
 	a.w.recordPromptRead(a.assignment, a.sentAt)
 }
 
-// reportStarted tells once that the request reportStarted to run.
+// reportStarted calls the RequestStarted hook once.
 func (w *forwarding) reportStarted(at time.Time) {
 	if f := w.r.hooks.RequestStarted; f != nil && !w.startReported {
 		w.startReported = true
@@ -119,7 +119,7 @@
 	}
 }
 
-// sendHead hands the head on once.
+// sendHead writes the answer's head to the client once.
 func (a *attempt) sendHead(reply Reply) error {
 	w := a.w
 	if w.answerStarted {
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// sendEvent passes one event on.
+// sendEvent writes one event to the client.
 func (a *attempt) sendEvent(reply Reply, e Event) error {
 	if err := a.sendHead(reply); err != nil {
 		return err
@@ -150,5 +150,5 @@
 	return nil
 }
 
-// isStreamEnd reports whether a stream ended as it should.
+// isStreamEnd reports whether a stream ended properly.
 func isStreamEnd(err error) bool { return errors.Is(err, io.EOF) }
--- a/entry/releasefilter.go
+++ b/entry/releasefilter.go
@@ -5,16 +5,16 @@
 	"fieldvale/rollout"
 )
 
-// replicasByRelease returns the replicas that the request may go to while its service
-// changes its release.
+// replicasByRelease returns the replicas that the request may be sent to while its service is
+// being rolled out.
 func (w *forwarding) replicasByRelease(l []*pool.Replica, rel rollout.Release) []*pool.Replica {
-	takes := rel.RoutesToTarget(w.q.sessionKey()) && (w.q.Session == "" || rel.IncludesSessions())
+	toTarget := rel.RoutesToTarget(w.q.sessionKey()) && (w.q.Session == "" || rel.IncludesSessions())
 	if rel.State == rollout.Running && w.r.isFoundBad(rel) {
-		takes = false
+		toTarget = false
 	}
 	var n []*pool.Replica
 	for _, b := range l {
-		if (b.Release == rel.Target) == takes && rel.Allows(b.Release) {
+		if (b.Release == rel.Target) == toTarget && rel.Allows(b.Release) {
 			n = append(n, b)
 		}
 	}
@@ -24,15 +24,15 @@
 	return n
 }
 
-// mayUseOldRelease reports whether a request that is meant for the new release may go to the old one
-// if the new one's replicas take no more: it has no session that must not change its release, and
-// the old replicas stay for some time. The other way would give a release that may be bad
-// more than its share.
+// mayUseOldRelease reports whether a request meant for the new release may be sent to the old one
+// if no replica of the new one is usable. It must have no session, which must not change its
+// release, and the old replicas must remain for some time. The reverse is not allowed, as it
+// would send more than its share to a release that may be bad.
 func (w *forwarding) mayUseOldRelease(rel rollout.Release) bool {
 	return w.q.Session == "" && rel.State == rollout.Running && rel.SplitsTraffic() && rel.RoutesToTarget(w.q.sessionKey()) && !w.r.isFoundBad(rel)
 }
 
-// oldReplicas returns the replicas of other releases than the new one that may be used.
+// oldReplicas returns the usable replicas of other releases than the new one.
 func oldReplicas(l []*pool.Replica, rel rollout.Release) []*pool.Replica {
 	var n []*pool.Replica
 	for _, b := range l {
@@ -43,8 +43,8 @@
 	return n
 }
 
-// isFoundBad reports whether this instance found the release bad; it stops
-// sending to it before the others know.
+// isFoundBad reports whether this instance found the release bad. It then stops sending to the
+// release before other instances are informed.
 func (r *Router) isFoundBad(rel rollout.Release) bool {
 	return r.releases.isBad(rel)
 }
--- a/entry/releases.go
+++ b/entry/releases.go
@@ -7,63 +7,65 @@
 	"fieldvale/rollout"
 )
 
-// releases judges services' new releases by this instance's own answers, and
-// by what other instances tell it of theirs.
+// releases judges new releases of services by this instance's own answers and by the tallies of
+// other instances.
 type releases struct {
 	mu     sync.Mutex
 	trials map[string]*trialState
-	// life tells this run of the instance from others.
+	// incarnation distinguishes this run of the instance from earlier ones.
 	incarnation int64
-	// ended are lives of replicas whose end was counted.
+	// crashed holds the ids of replicas whose crash was counted. An id is unique to one
+	// incarnation of a replica.
 	crashed map[string]bool
 }
 
-// mostEnded bounds the lives that are remembered; beyond it an end may count twice.
+// maxCrashed bounds the ids kept; beyond it a crash may be counted twice.
 const maxCrashed = 2000
 
-// firstEnd reports whether the end of the replica's life was not counted yet.
-func (s *releases) isFirstCrash(life string) bool {
+// isFirstCrash reports whether the replica's crash was not counted yet.
+func (s *releases) isFirstCrash(replica string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.crashed[life] {
+	if s.crashed[replica] {
 		return false
 	}
 	if len(s.crashed) >= maxCrashed {
 		clear(s.crashed)
 	}
-	s.crashed[life] = true
+	s.crashed[replica] = true
 	return true
 }
 
-// trial is one release's.
+// trialState is the state of one release's trial.
 type trialState struct {
 	rel   rollout.Release
 	judge *rollout.Judge
-	// own is what this instance saw, changed since it was last told.
+	// ownTally is what this instance observed; changed is set if it changed since it was last
+	// collected.
 	ownTally rollout.Tally
 	changed  bool
-	// urgent says that a bad answer of the new release is among what changed.
+	// urgent is set if the changes include a bad answer of the new release.
 	urgent bool
-	// told says that another instance found the release bad.
+	// badAtPeer is set if another instance found the release bad.
 	badAtPeer bool
-	// doubted is when another instance last said that it is in doubt.
+	// peerDoubtAt is when another instance last reported doubt about the release.
 	peerDoubtAt time.Time
-	// waits are the attempts whose answers are waited for.
+	// headWaits are the attempts still waiting for the head of their answer.
 	headWaits map[*headWait]bool
 }
 
-// isBad reports whether the release was found bad, here or elsewhere.
+// isBad reports whether the release was found bad here or by another instance.
 func (t *trialState) isBad() bool { return t.badAtPeer || t.judge.IsBad() }
 
-// ownOrigin names this instance's tally in its judge.
+// localOrigin identifies this instance's tally in its own judge.
 const localOrigin = ""
 
 func newReleases(start time.Time) *releases {
 	return &releases{trials: map[string]*trialState{}, crashed: map[string]bool{}, incarnation: start.UnixNano()}
 }
 
-// of returns the trial of the release; a later order starts anew, and an
-// earlier one has none.
+// trialOf returns the trial of the release. A later order starts a new trial; for an earlier
+// order there is none.
 func (s *releases) trialOf(rel rollout.Release) *trialState {
 	t, ok := s.trials[rel.Service]
 	if !ok || t.rel.Order < rel.Order {
@@ -83,14 +85,14 @@
 	return t != nil && t.isBad()
 }
 
-// saw is what came of one attempt.
+// observation is the result of one attempt.
 type observation struct {
 	release string
 	kind    int
 	verdict verdict
 }
 
-// outcomeOf is what an attempt shows of its release.
+// verdict is what an attempt shows about its replica's release.
 type verdict int
 
 const (
@@ -100,7 +102,7 @@
 	verdictBroken
 )
 
-// plus returns the counts with the attempt.
+// addTo returns the counts with the attempt added.
 func (v observation) addTo(c rollout.Counts) rollout.Counts {
 	switch v.verdict {
 	case verdictGood:
@@ -113,7 +115,7 @@
 	return c
 }
 
-// in returns the tally with the attempt counted.
+// addToTally returns the tally with the attempt added.
 func (v observation) addToTally(t rollout.Tally, target string) rollout.Tally {
 	if v.release == target {
 		t.New[v.kind] = v.addTo(t.New[v.kind])
@@ -123,9 +125,9 @@
 	return t
 }
 
-// weigh counts one answer.
-func (s *releases) record(rel rollout.Release, v observation, now time.Time, on *Hooks) {
-	s.update(rel, on, func(t *trialState) bool {
+// record counts one attempt.
+func (s *releases) record(rel rollout.Release, v observation, now time.Time, hooks *Hooks) {
+	s.update(rel, hooks, func(t *trialState) bool {
 		t.ownTally = v.addToTally(t.ownTally, rel.Target)
 		t.ownTally.Incarnation = s.incarnation
 		t.changed = true
@@ -134,14 +136,14 @@
 	})
 }
 
-// report takes another instance's tally in.
-func (s *releases) recordPeerTally(rel rollout.Release, origin string, t rollout.Tally, now time.Time, on *Hooks) {
-	s.update(rel, on, func(x *trialState) bool { return x.judge.Report(origin, t, now) })
+// recordPeerTally replaces another instance's tally.
+func (s *releases) recordPeerTally(rel rollout.Release, origin string, t rollout.Tally, now time.Time, hooks *Hooks) {
+	s.update(rel, hooks, func(x *trialState) bool { return x.judge.Report(origin, t, now) })
 }
 
-// update changes the release's trial and tells on if the release shows to be
-// bad by it, which f reports.
-func (s *releases) update(rel rollout.Release, on *Hooks, f func(*trialState) bool) {
+// update applies f to the release's trial. It calls the BadReleaseFound hook if f reports that
+// the release is now found bad.
+func (s *releases) update(rel rollout.Release, hooks *Hooks, f func(*trialState) bool) {
 	s.mu.Lock()
 	t := s.trialOf(rel)
 	if t == nil {
@@ -152,24 +154,23 @@
 	total, finding := t.judge.Total(), t.judge.Finding()
 	s.mu.Unlock()
 	if found {
-		on.badReleaseFound(rel, total, finding)
+		hooks.badReleaseFound(rel, total, finding)
 	}
 }
 
-// ReleaseTally is what this instance saw of a release under way.
+// ReleaseTally is what this instance observed of a release during its roll-out.
 type ReleaseTally struct {
 	Service string
 	Order   int64
 	Tally   rollout.Tally
 }
 
-// CollectTallies returns what this instance saw of releases that has changed since it
-// was last asked.
+// CollectTallies returns the tallies of releases that changed since they were last collected.
 func (r *Router) CollectTallies() []ReleaseTally {
 	return r.collectTallies(func(t *trialState) bool { return t.changed })
 }
 
-// CollectUrgentTallies is like Tallies for releases of which bad answers came since.
+// CollectUrgentTallies is like CollectTallies, but only for releases with new bad answers.
 func (r *Router) CollectUrgentTallies() []ReleaseTally {
 	return r.collectTallies(func(t *trialState) bool { return t.urgent })
 }
@@ -192,7 +193,7 @@
 	return l
 }
 
-// BadReleases returns the releases under way that were found bad.
+// BadReleases returns the running releases that were found bad.
 func (r *Router) BadReleases() []rollout.Release {
 	var l []rollout.Release
 	for _, rel := range r.view.Get().Releases {
@@ -203,19 +204,19 @@
 	return l
 }
 
-// RecordPeerBadRelease takes in that another instance found a release under way to be bad.
-// It reports whether that is news here.
+// RecordPeerBadRelease records that another instance found a running release bad. It reports
+// whether this instance had not found it bad before.
 func (r *Router) RecordPeerBadRelease(service string, order int64) bool {
 	return r.updateTrial(service, order, func(t *trialState) { t.badAtPeer = true })
 }
 
-// sendsPerRequest is how often a request is sent, at most some: larger models are
-// asked after smaller ones, and failures are tried again.
+// attemptsPerRequest is an upper estimate of the attempts for each request, as larger models
+// follow smaller ones and failures are retried.
 const attemptsPerRequest = 1.5
 
-// SendRate estimates how many requests a second the service's replicas get, by what
-// instances told of a release that has run for so long; where few have, by this
-// instance's own requests, of which it may have few or many.
+// SendRate estimates how many requests a second the service's replicas get. It uses the tallies
+// of a release that has run for the given time if most instances report; otherwise it
+// extrapolates from this instance's own requests, which may be an unusual share.
 func (r *Router) SendRate(rel rollout.Release, ran time.Duration) float64 {
 	s := r.releases
 	s.mu.Lock()
@@ -231,13 +232,14 @@
 	return attemptsPerRequest * r.fleetRequestRate(rel.Service)
 }
 
-// doubtLasts is how long the word of another instance holds that a release is in
-// doubt: two of its words may be lost.
+// peerDoubtLasts is how long another instance's report of doubt is valid; two of its reports may
+// be lost.
 const peerDoubtLasts = 1300 * time.Millisecond
 
-// Standing returns what a release under way shows here, and in doubt also what
-// others told of it. One that is not to judge it has too few answers of its own to be
-// in doubt by; one that is has no others to rely on, also where it hears of few.
+// Standing returns the concerns about a running release by the answers counted here, and any
+// doubt reported by other instances. An instance that does not judge the release ignores its own
+// doubt unless most instances report to it, as its own answers are too few. A judging instance
+// uses its own doubt even if few report to it.
 func (r *Router) Standing(rel rollout.Release, judges bool) rollout.Concerns {
 	s := r.releases
 	s.mu.Lock()
@@ -251,19 +253,18 @@
 	return x
 }
 
-// hearsMost reports whether most of the fleet tell this instance what they see of the
-// release. One that hears few has too few answers to be in doubt by.
+// hasMostReports reports whether most of the fleet reports its tallies of the release to this
+// instance. With fewer reports it has too few answers to be in doubt.
 func (r *Router) hasMostReports(t *trialState) bool {
 	return 2*t.judge.Finding().Reporters > r.fleetSizeOrDefault()
 }
 
-// RecordPeerDoubt takes in that another instance, which judges the release, is in doubt
-// of it.
+// RecordPeerDoubt records that another instance, which judges the release, is in doubt about it.
 func (r *Router) RecordPeerDoubt(service string, order int64) {
 	r.updateTrial(service, order, func(t *trialState) { t.peerDoubtAt = r.clock() })
 }
 
-// told changes the trial of a release under way that is not found bad yet. It reports
+// updateTrial applies f to the trial of a running release that is not found bad yet, and reports
 // whether there is one.
 func (r *Router) updateTrial(service string, order int64, f func(*trialState)) bool {
 	rel, ok := r.view.Get().Releases[service]
@@ -281,8 +282,7 @@
 	return true
 }
 
-// DoubtfulReleases returns the releases under way that are in doubt by this
-// instance's own judgement.
+// DoubtfulReleases returns the running releases that this instance's own judgement doubts.
 func (r *Router) DoubtfulReleases() []rollout.Release {
 	var l []rollout.Release
 	s := r.releases
@@ -299,7 +299,7 @@
 	return l
 }
 
-// RecordPeerTally takes in what another instance saw of a release under way.
+// RecordPeerTally records the tally of another instance for a running release.
 func (r *Router) RecordPeerTally(origin string, t ReleaseTally) {
 	rel, ok := r.view.Get().Releases[t.Service]
 	if !ok || rel.Order != t.Order || rel.State != rollout.Running {
@@ -308,15 +308,15 @@
 	r.releases.recordPeerTally(rel, origin, t.Tally, r.clock(), r.hooks)
 }
 
-// ReleaseTrial is what this instance makes of a release under way, by its own answers
-// and those that others told it of.
+// ReleaseTrial is the state of a running release's trial, by the answers of this instance and of
+// those that report to it.
 type ReleaseTrial struct {
 	Release rollout.Release
 	Seen    rollout.Tally
 	Finding rollout.Finding
 }
 
-// ReleaseTrials returns the trials of the releases under way.
+// ReleaseTrials returns the trials of the running releases.
 func (r *Router) ReleaseTrials() []ReleaseTrial {
 	var l []ReleaseTrial
 	s := r.releases
--- a/entry/request.go
+++ b/entry/request.go
@@ -10,13 +10,13 @@
 	"fieldvale/version"
 )
 
-// Request is a caller's chat request after authentication.
+// Request is an authenticated chat request.
 type Request struct {
 	ID     string
 	Caller config.Caller
 	Task   string
 	Size   policy.Size
-	// Model is what the caller asked for: AutoModel, a model, or a version.
+	// Model is the model requested by the caller: AutoModel, a model, or a version.
 	Model    string
 	Body     []byte
 	Deadline time.Time
@@ -24,12 +24,12 @@
 	Priority int
 }
 
-// content is what the request asks, whatever its id.
+// content is the request content without its ids, for the fingerprint.
 func (q Request) content() quarantine.RequestContent {
 	return quarantine.RequestContent{Caller: q.Caller.Team + "/" + q.Caller.Customer.Name, Target: "chat", Body: q.Body}
 }
 
-// content is what the call asks, whatever its id.
+// content is the call's content without its ids, for the fingerprint.
 func (q ServiceRequest) content() quarantine.RequestContent {
 	return quarantine.RequestContent{Caller: q.Caller.Team + "/" + q.Caller.Customer.Name, Target: q.Service + "/" + q.Call, Body: q.Body}
 }
@@ -37,16 +37,16 @@
 // AutoModel leaves the choice of the model to the policy.
 const AutoModel = "auto"
 
-// Result is what the caller gets beside the answer.
+// Result is the metadata returned to the caller with an answer.
 type Result struct {
 	RequestID string
 	Version   version.ID
 	Revision  uint64
 	Session   session.Session
-	// SessionMoved says that the session's version was withdrawn and replaced.
+	// SessionMoved reports that the version pinned by the session was withdrawn and replaced.
 	SessionMoved bool
-	// BelowTarget says that no answer reached the policy's quality, and that
-	// this is the best one that was had in time.
+	// BelowTarget reports that no answer reached the quality demanded by the policy, and that
+	// this is the best one available in time.
 	BelowTarget bool
 }
 
@@ -63,10 +63,10 @@
 	Deadline       time.Time
 }
 
-// ServiceResult is a plain service's answer to a caller.
+// ServiceResult is the answer of a plain service with its metadata.
 type ServiceResult struct {
 	Answer ServiceAnswer
-	// Replayed says that the request ran before and this is its first answer.
+	// Replayed reports that the request ran before and that this is the stored answer.
 	Replayed bool
 	Revision uint64
 }
--- a/entry/retries.go
+++ b/entry/retries.go
@@ -2,15 +2,15 @@
 
 import "fieldvale/admission"
 
-// countRequest counts an opaque request for the bound on its service's repeats.
+// countRequest counts an opaque request towards its service's retry budget.
 func (r *Router) countRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.retryWindow(service).Request(r.clock())
 }
 
-// fleetRequestRate estimates how many requests a second the whole fleet gets for the
-// service, by this instance's own.
+// fleetRequestRate estimates the fleet's requests a second for the service from this instance's
+// own.
 func (r *Router) fleetRequestRate(service string) float64 {
 	n := r.fleetSizeOrDefault()
 	r.mu.Lock()
@@ -18,12 +18,12 @@
 	return float64(n) * r.retryWindow(service).Rate(r.clock())
 }
 
-// defaultFleetSize is how many instances there are taken to be as long as that is
-// not known; more than are usual where few of them are.
+// defaultFleetSize is the number of instances assumed while it is unknown. It is above the usual
+// size of a small fleet.
 const defaultFleetSize = 12
 
-// takeOpaqueRetry takes one repeat of a service's request if there is one left.
-// reserve is the part that is to be left for repeats after failures.
+// takeOpaqueRetry takes one retry from the service's budget if any is left. reserve is the part
+// of the budget kept for retries after failures.
 func (r *Router) takeOpaqueRetry(service string, reserve float64) bool {
 	n := r.fleetSizeOrDefault()
 	r.mu.Lock()
@@ -31,7 +31,7 @@
 	return r.retryWindow(service).Repeat(r.clock(), 1/float64(n), reserve)
 }
 
-// fleetSizeOrDefault is how many instances there are.
+// fleetSizeOrDefault is the number of instances, or defaultFleetSize if it is unknown.
 func (r *Router) fleetSizeOrDefault() int {
 	if r.fleetSize == nil {
 		return defaultFleetSize
@@ -42,7 +42,7 @@
 	return defaultFleetSize
 }
 
-// retryWindow counts the service's requests and repeats; r.mu is held.
+// retryWindow returns the service's window of requests and retries; r.mu is held.
 func (r *Router) retryWindow(service string) *admission.Window {
 	w, ok := r.retryWindows[service]
 	if !ok {
--- a/entry/router.go
+++ b/entry/router.go
@@ -26,13 +26,13 @@
 	"fieldvale/version"
 )
 
-// maxAttempts bounds the attempts at one step.
+// maxAttempts bounds the attempts at one step of a plan, or at one service call.
 const maxAttempts = 3
 
-// ratingWorkers is how many duties rate answers behind the callers' backs.
+// ratingWorkers is the number of goroutines that rate answers after they were delivered.
 const ratingWorkers = 4
 
-// Router decides and carries out each request.
+// Router decides where each request goes, dispatches it and returns the answer.
 type Router struct {
 	view     *CurrentView
 	engines  Engines
@@ -52,7 +52,7 @@
 	hooks          *Hooks
 
 	dataCentre string
-	// regions are the data centres' regions.
+	// regions maps each data centre to its region.
 	regions map[string]string
 
 	upstream         Upstream
@@ -67,20 +67,20 @@
 	firstEventDelays *timing.FirstEventDelays
 	tokenTimes       *tokenTimes
 	releases         *releases
-	// retryWindows bound the repeats of opaque requests by service.
+	// retryWindows bound the retries of opaque requests, by service.
 	retryWindows map[string]*admission.Window
 	fleetSize    func() int
 	retries      admission.Repeats
 	quota        Quota
 	notices      *notice.Tracker
-	// coldBound is how many requests a cold replica may get.
+	// coldBound is the fleet-wide bound on the requests to a cold replica.
 	coldBound quota.ColdBound
-	// acceptConfidence is a smaller model's opinion of its own answer, out of
-	// 100, from which the answer is passed on.
+	// acceptConfidence is the confidence, from 0 to 100, that a smaller model must report in its
+	// own answer for the answer to be passed on.
 	acceptConfidence float64
 }
 
-// Ports are what a router works through.
+// Ports are the dependencies and settings of a Router.
 type Ports struct {
 	View     *CurrentView
 	Engines  Engines
@@ -89,34 +89,32 @@
 	Rater    Rater
 	Biller   *biller.Biller
 	Clock    Clock
-	// Placer may be nil; then prompts are placed by this instance's own work.
+	// Placer may be nil; prompts are then placed by this instance's own load figures.
 	Placer Placer
-	// Upstream sends opaque requests; Repeats bounds how often they go to
-	// another replica.
+	// Upstream sends opaque requests; Retries bounds how often they are sent to another replica.
 	Upstream Upstream
 	Retries  admission.Repeats
-	// Quarantine and Prober may be nil; then nothing is known of contents that bring
-	// replicas down.
+	// Quarantine and Prober may be nil; requests that crash replicas are then not detected.
 	Quarantine Quarantine
 	Prober     Prober
-	// FleetSize is how many instances there are, 0 if that is not known; what
-	// the fleet may repeat on top is shared by it. It may be nil.
+	// FleetSize returns the number of instances, or 0 if it is unknown. The fleet's retry budget
+	// is divided by it. It may be nil.
 	FleetSize func() int
-	// Quota may be nil; then no replica is bounded.
+	// Quota may be nil; no replica is then limited.
 	Quota Quota
-	// Notices may be nil; then replicas say nothing of themselves.
+	// Notices may be nil; drain and backoff notices of replicas are then ignored.
 	Notices *notice.Tracker
-	// ColdBound is how many requests a cold replica may get from all instances.
+	// ColdBound is the bound on the requests to a cold replica from all instances.
 	ColdBound quota.ColdBound
-	// AcceptConfidence is a smaller model's opinion of its own answer, out of
-	// 100, from which the answer is passed on.
+	// AcceptConfidence is the confidence, from 0 to 100, that a smaller model must report in its
+	// own answer for the answer to be passed on.
 	AcceptConfidence float64
-	// Self is the instance's id.
+	// Self is this instance's id.
 	Self string
-	// DataCentre is where this instance is; requests that share little with
-	// others stay there where replicas are alike.
+	// DataCentre is the data centre of this instance. Among equivalent replicas, local ones are
+	// preferred for requests that share little with others.
 	DataCentre string
-	// Regions are the data centres' regions by their names.
+	// Regions maps each data centre to its region.
 	Regions map[string]string
 	// Rand seeds the choice of replicas.
 	Rand rand.Source
@@ -124,7 +122,6 @@
 	Hooks *Hooks
 }
 
-// NewRouter returns a router.
 func NewRouter(p Ports) *Router {
 	e := p.Hooks
 	if e == nil {
@@ -145,7 +142,7 @@
 	}
 }
 
-// Run is the router's duties; it returns when ctx ends.
+// Run rates and bills answers in the background until ctx ends.
 func (r *Router) Run(ctx context.Context) error {
 	g, x := errgroup.WithContext(ctx)
 	for range ratingWorkers {
@@ -155,13 +152,13 @@
 	return g.Wait()
 }
 
-// Evidence returns the counts of good and bad outcomes by version.
+// Evidence returns the counts of good and bad answers by version.
 func (r *Router) Evidence() map[version.ID]rollout.Outcomes { return r.evidence.all() }
 
-// InFlight returns this entry's requests by replica.
+// InFlight returns the number of this instance's requests in flight by replica.
 func (r *Router) InFlight() map[string]int { return r.backends.running() }
 
-// ConcurrencyLimits returns the limits in force by version or service.
+// ConcurrencyLimits returns the current concurrency limits by version or service.
 func (r *Router) ConcurrencyLimits() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,7 +169,7 @@
 	return m
 }
 
-// plan returns the steps for a request: the policy's, or the one model that
+// plan returns the steps for a request: those of the policy, or a single step with the model that
 // the caller names.
 func (r *Router) plan(v *View, q Request) (policy.Plan, error) {
 	if q.Model == AutoModel || q.Model == "" {
@@ -194,7 +191,8 @@
 	return nil, notRun(ModelNotFound, "model "+q.Model+" does not exist or may not be used")
 }
 
-// withoutWastedStep leaves out a cheap first step that ratings show to be wasted.
+// withoutWastedStep drops the cheap first step where past ratings show that its answers are
+// rejected too often to save money.
 func (r *Router) withoutWastedStep(v *View, q Request, p policy.Plan) policy.Plan {
 	if len(p) < 2 {
 		return p
@@ -211,7 +209,7 @@
 	return cascade.Key{Team: q.Caller.Team, Task: q.Task, Size: q.Size, Model: s.Model}
 }
 
-// pricePerToken is a model's price for the comparison of steps.
+// pricePerToken is the price by which the steps' models are compared.
 func pricePerToken(v *View, q Request, model string) float64 {
 	x, ok := v.Active.Document().Part(q.Caller.Team).ActiveVersion(model)
 	if !ok {
@@ -221,7 +219,8 @@
 	return float64(c.CostIn + c.CostOut)
 }
 
-// pickVersion returns the version for a step and the session that keeps it.
+// pickVersion returns the version for a step, the session pinned to it, and whether that moved
+// the session from another version.
 func (r *Router) pickVersion(v *View, q Request, s session.Session, model string) (version.ID, session.Session, bool, error) {
 	if x, err := version.Parse(q.Model); err == nil {
 		if !v.mayRun(q.Caller, x) {
@@ -237,7 +236,7 @@
 	return x, s.WithPin(x), had && o != x, nil
 }
 
-// limiter returns the bound of a version or service.
+// limiter returns the limiter of a version or service; r.mu is held.
 func (r *Router) limiter(name string) *admission.Limiter {
 	l, ok := r.limiters[name]
 	if !ok {
@@ -267,8 +266,8 @@
 	r.limiter(name).Done(c.Customer.Name, t, n.After(deadline) || isOverload(err), n)
 }
 
-// isOverload reports whether the error is a backend server's word that it
-// has too much to do.
+// isOverload reports whether the error shows an overloaded backend server: status 429 or an
+// exceeded deadline.
 func isOverload(err error) bool {
 	o, ok := asOutcome(err)
 	return ok && (o.Status == statusTooMany || errors.Is(o.Cause, context.DeadlineExceeded))
@@ -282,7 +281,8 @@
 	return o, ok
 }
 
-// takeRetry reports whether another attempt may be made after err.
+// takeRetry reports whether the request may be sent again after err, and takes the retry from the
+// budget.
 func (r *Router) takeRetry(err error, once bool) bool {
 	if !outcome.MayRepeat(err, once) {
 		return false
@@ -292,9 +292,8 @@
 	return r.retryBudget.Retry()
 }
 
-// runOnVersion dispatches a step to replicas of the version until one answers.
-// Whether the version may still run is asked anew before each dispatch. call
-// makes one attempt.
+// runOnVersion dispatches a step to replicas of the version until one answers. call makes one
+// attempt. Whether the version may still run is checked again before each dispatch.
 func (r *Router) runOnVersion(ctx context.Context, q Request, x version.ID, call func(*pool.Replica) error) error {
 	p := r.view.Get().byVersion[x]
 	if len(p) == 0 {
@@ -346,11 +345,11 @@
 	return last
 }
 
-// errWithdrawn says that the version was withdrawn while the request was on
-// its way; another version is picked.
-var errWithdrawn = errors.New("version was withdrawn")
+// errWithdrawn reports that the version was withdrawn while the request was under way, so that
+// another version is picked.
+var errWithdrawn = errors.New("the version was withdrawn while the request was under way")
 
-// lessCertain keeps the error of which less is known, so that "not run" is told
+// lessCertain keeps the error whose outcome is less certain, so that the caller gets "not run"
 // only if no attempt may have run.
 func lessCertain(a, b error) error {
 	if a != nil && outcome.Of(a) == outcome.Unknown {
@@ -359,8 +358,8 @@
 	return b
 }
 
-// countVersionFailure counts a failed attempt against the version if it may be its fault.
-// Good answers are counted where they are rated.
+// countVersionFailure counts a failed attempt against the version if the version may have caused
+// it. Successful answers are counted where they are rated.
 func (r *Router) countVersionFailure(x version.ID, err error) {
 	o, ok := asOutcome(err)
 	if !ok || o.Kind == outcome.NotRun || errors.Is(o.Cause, errCallerGone) {
@@ -371,22 +370,21 @@
 	}
 }
 
-// stepAnswer is the step of errors that the answer itself shows: a server
-// error, a wrong or broken answer. A lost connection is the replica's fault,
-// not the version's.
+// stepAnswer is the step of errors in the answer itself: a server error, or a wrong or malformed
+// answer. These are attributed to the version, a lost connection to the replica.
 const stepAnswer = "answer"
 
-// errCallerGone marks failures of the caller's side of a stream.
-var errCallerGone = errors.New("the caller is gone")
+// errCallerGone marks failures on the caller's side of a stream.
+var errCallerGone = errors.New("the caller disconnected")
 
-// isRollingOut reports whether a roll-out to the version is under way, so that its
-// answers must be rated.
+// isRollingOut reports whether a roll-out to the version is running, so that its answers have to
+// be rated.
 func isRollingOut(v *View, c config.Caller, x version.ID) bool {
 	o, ok := v.Active.Document().Part(c.Team).Rollout(x.Model)
 	return ok && o.To == x && o.State == rollout.Running
 }
 
-// recordUnratedAnswer counts an answer that the policy does not rate.
+// recordUnratedAnswer counts an answer for which the policy asks no rating.
 func (r *Router) recordUnratedAnswer(v *View, q Request, c *cascadeRun, answer []byte) {
 	switch {
 	case c.slow:
@@ -398,7 +396,8 @@
 	}
 }
 
-// recordRating counts an answer by its rating, and as bad whatever that is if it is slow.
+// recordRating counts an answer by its rating; a slow answer counts as bad whatever its rating
+// is.
 func (r *Router) recordRating(c *cascadeRun, rating float64) {
 	if c.slow {
 		r.evidence.bad(c.version)
@@ -412,7 +411,7 @@
 	r.biller.Bill(q.ID, bill.Line{Team: q.Caller.Team, Customer: q.Caller.Customer.Name, Version: x}, a)
 }
 
-// price is the amount of one step's answer.
+// price is the amount billed for one step's answer.
 func price(v *View, x version.ID, a Answer) bill.Amount {
 	c := v.Active.Cost(x).Cost(int64(a.TokensIn), int64(a.TokensOut))
 	return bill.Amount{TokensIn: a.TokensIn, TokensOut: a.TokensOut, Cost: uint64(c)}
--- a/entry/service.go
+++ b/entry/service.go
@@ -14,7 +14,7 @@
 	"fieldvale/version"
 )
 
-// finishTimeout bounds how long a claim's end may take to record.
+// finishTimeout bounds the time for recording the end of a claim.
 const finishTimeout = 3 * time.Second
 
 // Call answers a call of a plain service.
@@ -39,13 +39,13 @@
 	return r.callOnce(x, q, s.ChecksKey)
 }
 
-// callOnce claims the key, sends once and records what became of it.
-func (r *Router) callOnce(ctx context.Context, q ServiceRequest, checked bool) (ServiceResult, error) {
+// callOnce claims the idempotency key, sends the call once and records the result.
+func (r *Router) callOnce(ctx context.Context, q ServiceRequest, checksKey bool) (ServiceResult, error) {
 	k := q.Caller.Team + "/" + q.Caller.Customer.Name
 	c := claim.New(k, q.IdempotencyKey, uuid.NewString(), r.self, q.Deadline)
 	d, f, err := r.claims.Claim(ctx, c)
 	if err != nil {
-		return r.callUnclaimed(ctx, q, checked, err)
+		return r.callUnclaimed(ctx, q, checksKey, err)
 	}
 	if d != claim.Send {
 		return r.claimNotGranted(d, f)
@@ -55,10 +55,10 @@
 	return a, err
 }
 
-// callUnclaimed is a request whose claim could not be had: it goes on only to a
-// service that itself refuses a second call with the key.
-func (r *Router) callUnclaimed(ctx context.Context, q ServiceRequest, checked bool, err error) (ServiceResult, error) {
-	if checked {
+// callUnclaimed handles a call for which no claim was granted because of an error. It is sent
+// only to a service that itself rejects a second call with the same key.
+func (r *Router) callUnclaimed(ctx context.Context, q ServiceRequest, checksKey bool, err error) (ServiceResult, error) {
+	if checksKey {
 		return r.callService(ctx, q)
 	}
 	f := notRun(ClaimsUnavailable, "the right to run this once can't be had now")
@@ -82,8 +82,8 @@
 
 const jsonType = "application/json"
 
-// finishClaim records a result or a proof that there is none. An unknown
-// outcome leaves the claim held until it expires.
+// finishClaim records the answer, or frees the claim if the call is known not to have run. With
+// an unknown outcome the claim stays until it expires.
 func (r *Router) finishClaim(c claim.Claim, a ServiceResult, err error) {
 	x, cancel := context.WithTimeout(context.Background(), finishTimeout)
 	defer cancel()
@@ -100,9 +100,8 @@
 	}
 }
 
-// callService sends to replica after replica until one answers. A request
-// that may not be repeated goes on only from replicas that surely did not
-// run it.
+// callService tries replicas in turn until one answers. A call that may not be repeated is
+// retried only if the replica is known not to have run it.
 func (r *Router) callService(ctx context.Context, q ServiceRequest) (ServiceResult, error) {
 	p := r.view.Get().byService[q.Service]
 	if f := r.enterLimiter(q.Service, q.Caller, p, q.Deadline); f != nil {
@@ -151,7 +150,7 @@
 	return ServiceAnswer{}, last
 }
 
-// callReplica makes one attempt. The deadline is looked at right before: a
+// callReplica makes one attempt. It checks the deadline immediately before sending, so that a
 // process that was paused after its claim sends nothing.
 func (r *Router) callReplica(ctx context.Context, b *pool.Replica, q ServiceRequest) (ServiceAnswer, error) {
 	if !r.clock().Before(q.Deadline) {
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -12,18 +12,17 @@
 	"fieldvale/pool"
 )
 
-// Sink takes a stream to the caller.
+// Sink writes a stream to the caller.
 type Sink interface {
 	// Head is called once, before the first chunk.
 	Head(Result) error
-	// Chunk takes one chunk; an error means that the caller is gone.
+	// Chunk writes one chunk. An error means that the caller disconnected.
 	Chunk(b []byte) error
 }
 
-// Stream answers a request in chunks. A plan of one step passes chunks on as
-// they come. Where a rating must come first, the rated steps are answered
-// whole and only an accepted answer or the last step reaches the caller. It
-// returns nil only if the whole answer was handed to the sink and billed.
+// Stream answers a request in chunks. The last step's chunks are relayed on arrival; a rated step
+// is collected first and reaches the caller only if it is accepted, or if the last step fails.
+// Stream returns nil only if the complete answer was written to the sink and billed.
 func (r *Router) Stream(ctx context.Context, q Request, s Sink) error {
 	v := r.view.Get()
 	if v.Active == nil {
@@ -51,7 +50,7 @@
 	return r.streamLastStep(x, q, c, p[l], s)
 }
 
-// collector gathers a stream that must be rated before the caller sees it.
+// collector buffers a stream that must be rated before the caller receives it.
 type collector struct {
 	chunks [][]byte
 	best   bool
@@ -78,7 +77,7 @@
 	return r.accept(ctx, q, c, y, a), nil
 }
 
-// replay hands a gathered answer to the caller.
+// replay writes a collected answer to the caller.
 func (r *Router) replay(q Request, c *cascadeRun, s Sink, n *collector, below bool) error {
 	f := r.finish(q, c, c.version, below)
 	if err := s.Head(f); err != nil {
@@ -92,7 +91,7 @@
 	return nil
 }
 
-// streamLastStep runs the step whose chunks go to the caller as they come.
+// streamLastStep runs the last step, whose chunks are relayed on arrival.
 func (r *Router) streamLastStep(ctx context.Context, q Request, c *cascadeRun, y policy.Step, s Sink) error {
 	started := false
 	head := func(f Result) error {
@@ -112,7 +111,7 @@
 	return nil
 }
 
-// billEarlierSteps bills the earlier steps of a request whose last one failed.
+// billEarlierSteps bills the earlier steps of a request whose last step failed.
 func (r *Router) billEarlierSteps(q Request, c *cascadeRun) {
 	if c.spent != (bill.Amount{}) {
 		r.bill(r.view.Get(), q, c.version, c.spent)
@@ -131,8 +130,8 @@
 	return outcome.New(outcome.Unknown, "caller", "caller", errors.Mark(err, errCallerGone))
 }
 
-// streamStep streams one step from replica after replica: one that breaks in
-// the middle is resumed on another from the chunk where it broke.
+// streamStep streams one step, trying replicas in turn. A stream that breaks off is resumed on
+// another replica from the next chunk.
 func (r *Router) streamStep(ctx context.Context, q Request, c *cascadeRun, y policy.Step, head func(Result) error, chunk func([]byte) error) (a Answer, err error) {
 	sent := 0
 	for range maxRepicks {
--- a/entry/tokentime.go
+++ b/entry/tokentime.go
@@ -10,28 +10,29 @@
 )
 
 const (
-	// inputTokenWeight is what a token read counts for beside one made, in the work of an
-	// answer: engines read some ten times as fast as they make. Chosen, not measured.
+	// inputTokenWeight is the work for an input token relative to an output token: engines read
+	// about ten times as fast as they generate.
 	inputTokenWeight = 0.1
-	// medianStep is by what part an answer moves the median of its version's pace. It
-	// follows load that doubles within some 15 answers.
+	// medianStep is the part by which one answer moves its version's median. At this step the
+	// median follows a doubled load within about 15 answers.
 	medianStep = 0.05
-	// minSamples is how many answers of the old version say what is usual.
+	// minSamples is the number of answers of the old version needed for a comparison.
 	minSamples = 20
-	// slowFactor the old version's median pace an answer counts as bad: of sound ones,
-	// whose times spread by e to the power of 0.6 or less, one in a hundred does; of a
-	// version with a third of its answers five times slower, one in five.
+	// slowFactor is the multiple of the old version's median from which an answer counts as bad.
+	// With healthy answers, whose times spread by a factor of e to the power of 0.6 or less, one
+	// in a hundred exceeds it; with a version whose answers take five times as long in a third of
+	// the cases, one in five does.
 	slowFactor = 4.0
 )
 
-// tokenTimes follow the median of how long answers take for their work, by version. They
-// are safe for concurrent use.
+// tokenTimes tracks the median time per token of each version's answers. It is safe for
+// concurrent use.
 type tokenTimes struct {
 	mu      sync.Mutex
 	medians map[version.ID]medianTime
 }
 
-// medianTime is the median time for a token's work and how many answers it was learnt from.
+// medianTime is an estimated median time per token and its number of samples.
 type medianTime struct {
 	median  time.Duration
 	samples int
@@ -39,7 +40,7 @@
 
 func newTokenTimes() *tokenTimes { return &tokenTimes{medians: map[version.ID]medianTime{}} }
 
-// with returns the pace with one more answer.
+// with returns the median updated by one more answer.
 func (p medianTime) with(d time.Duration) medianTime {
 	switch {
 	case p.samples == 0:
@@ -53,15 +54,15 @@
 	return p
 }
 
-// observe takes in how long a version's answer took for a token's work.
+// observe records the time per token of a version's answer.
 func (p *tokenTimes) observe(v version.ID, d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.medians[v] = p.medians[v].with(d)
 }
 
-// isSlow reports whether that is far beyond what is usual of the version now; false
-// where too few of its answers were seen.
+// isSlow reports whether d far exceeds the baseline version's current median; false while that
+// has too few samples.
 func (p *tokenTimes) isSlow(d time.Duration, beside version.ID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,15 +70,14 @@
 	return o.samples >= minSamples && float64(d) > slowFactor*float64(o.median)
 }
 
-// timePerToken is how long the answer took for a token's work.
+// timePerToken is the answer's time divided by its weighted number of tokens.
 func timePerToken(a Answer, took time.Duration) time.Duration {
 	return time.Duration(float64(took) / (1 + float64(a.TokensOut) + inputTokenWeight*float64(a.TokensIn)))
 }
 
-// answerIsSlow learns from an answer of the version, and reports whether it speaks
-// against a version under a roll-out: it is far slower than the answers of the version
-// that it replaces are now. A version whose answers all come whole and late was taken
-// for sound.
+// answerIsSlow records an answer's time, and reports whether it counts against a version being
+// rolled out because it is far slower than the current answers of the version being replaced.
+// Without this check a version whose answers are all complete but late would pass as good.
 func (r *Router) answerIsSlow(v *View, c config.Caller, x version.ID, a Answer, took time.Duration) bool {
 	p := timePerToken(a, took)
 	r.tokenTimes.observe(x, p)
--- a/entry/upstream.go
+++ b/entry/upstream.go
@@ -8,47 +8,47 @@
 	"fieldvale/pool"
 )
 
-// Dispatch is one attempt of an opaque request at a replica.
+// Dispatch is one attempt at sending an opaque request to a replica.
 type Dispatch struct {
 	Request *OpaqueRequest
-	// Model is the size chosen for it; empty leaves the client's.
+	// Model is the model chosen for the request; empty leaves the client's.
 	Model string
-	// LastEventID is the last event that the client has of the stream.
+	// LastEventID is the id of the last event that the client received of the stream.
 	LastEventID string
 	Deadline    time.Time
 	Priority    int
 }
 
-// Head is a backend server's answer up to its body.
+// Head is the status and headers of a backend server's answer.
 type Head struct {
 	Status int
 	Header http.Header
 }
 
-// IsSuccess reports whether the answer is one of success.
+// IsSuccess reports whether the status is 2xx.
 func (h Head) IsSuccess() bool { return h.Status >= 200 && h.Status < 300 }
 
-// Event is one whole event of a stream, with its end.
+// Event is one complete event of a stream, including the empty line that ends it.
 type Event struct {
 	ID   string
 	Data []byte
 }
 
-// Reply is a backend server's answer as it comes. Close must be called.
+// Reply is a backend server's answer while it arrives. It must be closed.
 type Reply interface {
 	Head() Head
-	// Confidence is the model's own opinion of its answer, from 0 to 100.
+	// Confidence is the confidence that the model reports in its own answer, from 0 to 100.
 	Confidence() (c float64, ok bool)
-	// Next returns the next whole event; io.EOF after the last one.
+	// Next returns the next complete event, or io.EOF after the last one.
 	Next() (Event, error)
-	// Body reads the whole body.
+	// Body reads the complete body.
 	Body() ([]byte, error)
-	// Close ends the answer. One that was not read to its end is cancelled.
+	// Close releases the answer. An answer not read to its end is cancelled.
 	Close()
 }
 
-// Upstream sends opaque requests to replicas. Failures are *outcome.Error;
-// an answer that says it did not run is one of them.
+// Upstream sends opaque requests to replicas. Errors are *outcome.Error, also for an answer that
+// states that the request did not run.
 type Upstream interface {
 	Send(ctx context.Context, r *pool.Replica, d Dispatch) (Reply, error)
 }
--- a/entry/verdict.go
+++ b/entry/verdict.go
@@ -5,17 +5,17 @@
 	"fieldvale/rollout"
 )
 
-// verdicts name what attempts show, for the metrics.
+// verdictNames are the verdicts' names in metrics.
 var verdictNames = map[verdict]string{verdictGood: "good", verdictFailed: "failed", verdictBroken: "broken", verdictNone: "nothing"}
 
-// judge counts what the attempt shows of its release, if one is under way.
-func (a *attempt) judgeRelease(bad bool, came quarantine.Outcome) {
+// judgeRelease counts the attempt's verdict towards its release if that is being rolled out.
+func (a *attempt) judgeRelease(bad bool, observed quarantine.Outcome) {
 	r := a.w.r
 	o := a.releaseVerdict(bad)
-	if o == verdictBroken && came == quarantine.ReplicaCrashed && !r.releases.isFirstCrash(a.replica.ID) {
-		// All that was at a replica as it ended is one finding: up to 60 requests of a
-		// good release broke off there at once, and a request that brings replicas down
-		// would have had it taken back.
+	if o == verdictBroken && observed == quarantine.ReplicaCrashed && !r.releases.isFirstCrash(a.replica.ID) {
+		// All requests at a replica that crashed count as one observation. Up to 60 requests of a
+		// good release broke off at one crash, and a request that crashes replicas would have
+		// caused its rollback.
 		o = verdictNone
 	}
 	r.hooks.attemptJudged(a.w.result.Service, a.replica.Release, verdictNames[o])
@@ -27,7 +27,7 @@
 	r.releases.record(rel, v, r.clock(), r.hooks)
 }
 
-// shows is what the attempt's end says of its replica's release.
+// releaseVerdict is what the attempt's result shows about its replica's release.
 func (a *attempt) releaseVerdict(bad bool) verdict {
 	switch {
 	case bad && a.serverError:
--- a/entry/view.go
+++ b/entry/view.go
@@ -1,7 +1,7 @@
-// Package entry answers callers' requests: it applies the policy in force,
-// picks version and replica, dispatches, rates, bills, and says truly what
-// became of a request that it could not answer. All that it needs from
-// outside comes through the ports in ports.go.
+// Package entry routes callers' requests to backend servers: it applies the policy in force,
+// picks a version and a replica, dispatches, rates the answer, bills it, and reports to the
+// caller whether a request without an answer may have run. Everything external is reached through
+// the interfaces in ports.go.
 package entry
 
 import (
@@ -15,14 +15,15 @@
 	"fieldvale/version"
 )
 
-// View is what an entry knows at one moment. It is immutable.
+// View is an immutable snapshot of the configuration, replicas and members used for routing
+// decisions.
 type View struct {
 	Active   *config.Active
 	Replicas []*pool.Replica
 	Members  []peer.Member
 	Tripped  map[version.ID]bool
-	// Table and Releases are the routing table and the roll-outs of backend
-	// services' releases, for requests that are routed as they are.
+	// Table and Releases hold the operator's routing table and the releases of backend services
+	// being rolled out. Both are used for opaque requests only.
 	Table    *route.Table
 	Releases map[string]rollout.Release
 
@@ -30,8 +31,8 @@
 	byService map[string][]*pool.Replica
 }
 
-// NewView returns a view with its indexes made. a may be nil: then nothing
-// can be served yet.
+// NewView builds a view and its indexes. a may be nil, in which case no request can be served
+// yet.
 func NewView(a *config.Active, r []pool.Replica, m []peer.Member, tripped []version.ID) *View {
 	l := make([]*pool.Replica, len(r))
 	for i := range r {
@@ -40,7 +41,7 @@
 	return NewViewOf(a, l, m, tripped)
 }
 
-// NewViewOf returns a view of replicas that it shares with others.
+// NewViewOf is like NewView but shares the replicas with the caller instead of copying the slice.
 func NewViewOf(a *config.Active, r []*pool.Replica, m []peer.Member, tripped []version.ID) *View {
 	v := &View{
 		Active:    a,
@@ -72,26 +73,26 @@
 	}
 }
 
-// WithActive returns v with another configuration.
+// WithActive returns a copy of v with another configuration.
 func (v *View) WithActive(a *config.Active) *View {
 	n := *v
 	n.Active = a
 	return &n
 }
 
-// WithRoutes returns v with another routing table and other releases.
+// WithRoutes returns a copy of v with another routing table and other releases.
 func (v *View) WithRoutes(t *route.Table, r map[string]rollout.Release) *View {
 	n := *v
 	n.Table, n.Releases = t, r
 	return &n
 }
 
-// IsTripped reports whether the version was found bad.
+// IsTripped reports whether the version was found bad during its roll-out.
 func (v *View) IsTripped(x version.ID) bool { return v.Tripped[x] }
 
-// IsReady reports whether requests can be answered: there is a configuration,
-// and a backend server, and of the engines at least half have said what they
-// have loaded.
+// IsReady reports whether requests can be served: a configuration is in force, there is at least
+// one backend server, and at least half of the engines have reported the versions they have
+// loaded.
 func (v *View) IsReady() bool {
 	engines, known := 0, 0
 	for _, r := range v.Replicas {
@@ -106,28 +107,27 @@
 	return v.Active != nil && len(v.Replicas) > 0 && 2*known >= engines
 }
 
-// mayRun reports whether new work of the caller may go to the version now.
+// mayRun reports whether new requests of the caller may be sent to the version now.
 func (v *View) mayRun(c config.Caller, x version.ID) bool {
 	return v.Active.MayRun(c, x) && !v.IsTripped(x)
 }
 
-// CurrentView is the view in force, replaced as a whole.
+// CurrentView holds the view in force and replaces it atomically.
 type CurrentView struct {
 	p atomic.Pointer[View]
 }
 
-// NewCurrentView returns an empty view in force.
+// NewCurrentView returns a holder of an empty view.
 func NewCurrentView() *CurrentView {
 	c := &CurrentView{}
 	c.p.Store(NewView(nil, nil, nil, nil))
 	return c
 }
 
-// Get returns the view in force.
 func (c *CurrentView) Get() *View { return c.p.Load() }
 
-// Put replaces the view. A configuration with a lower revision than the one
-// in force is not taken: the rest of v is, with the newer configuration.
+// Put replaces the view. The configuration never goes back to a lower revision: if v has an older
+// one, the rest of v is taken and the newer configuration kept.
 func (c *CurrentView) Put(v *View) {
 	for {
 		o := c.p.Load()
@@ -141,5 +141,5 @@
 	}
 }
 
-// Members returns the fleet's instances.
+// Members returns the instances of the fleet.
 func (c *CurrentView) Members() []peer.Member { return c.Get().Members }
