--- a/entry/active_test.go
+++ b/entry/active_test.go
@@ -16,7 +16,7 @@
 	"fieldvale/route"
 )
 
-// silentUpstream holds each request until it is called off.
+// hangingUntilCancelled holds each request until its context is cancelled.
 type hangingUntilCancelled struct{ sent chan struct{} }
 
 func (s hangingUntilCancelled) Send(ctx context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
@@ -25,10 +25,10 @@
 	return nil, outcome.New(outcome.Unknown, "read", r.ID, ctx.Err())
 }
 
-// A machine was suspended for a minute while a request waited for its replica. Its time-out
-// stood still: without a look after the suspension the client would wait for a minute more
-// than it asked for.
-func TestTimeoutsThatStoodStill(t *testing.T) {
+// The machine is suspended for two minutes while a request waits for its replica, so that the
+// timer of its timeout stops. Unless the timeout is checked after the suspension, the client
+// waits longer than it asked for.
+func TestTimeoutsAfterSuspension(t *testing.T) {
 	var suspended atomic.Int64
 	now := func() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }
 	v := NewCurrentView()
@@ -52,9 +52,9 @@
 	case err := <-done:
 		var e *Failure
 		if !errors.As(err, &e) || e.Code != DeadlineExceeded || f.StopReason != "out of time" {
-			t.Errorf("ended with %v, %q, want that the deadline passed", err, f.StopReason)
+			t.Errorf("ended with %v, stop reason %q, want code deadline_exceeded and \"out of time\"", err, f.StopReason)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("the request waits on although its time is over")
+		t.Fatal("the request still waits 20 s after its deadline passed")
 	}
 }
--- a/entry/backends_test.go
+++ b/entry/backends_test.go
@@ -9,8 +9,8 @@
 	"fieldvale/pool"
 )
 
-// A request that no keeper places stays in its data centre until this
-// instance's own work there counts for more than the way.
+// A request placed without the placer stays in its data centre until this instance's own load
+// there costs more than the penalty for another data centre.
 func TestRequestsStayInTheirDataCentre(t *testing.T) {
 	b := newBackends(rand.NewPCG(1, 1), nil)
 	l := []*pool.Replica{{ID: "far", DataCentre: "b", Slots: 4}, {ID: "near", DataCentre: "a", Slots: 4}}
@@ -21,16 +21,15 @@
 		near++
 	}
 	if near < 8 || near > 12 {
-		t.Errorf("%d requests stayed, want about 10", near)
+		t.Errorf("%d requests stayed in their data centre, want 8 to 12", near)
 	}
 	if c := b.takeOpaque(l, q, []string{"near"}, now); c.ID != "far" {
-		t.Errorf("a second try went to %s, want far", c.ID)
+		t.Errorf("the second attempt went to %s, want far", c.ID)
 	}
 }
 
-// Before thousands of replicas an instance keeps what it knows of those that it
-// uses, and nothing of the others.
-func TestBackendsKeepWhatIsUsed(t *testing.T) {
+// With thousands of replicas an instance keeps state only for those that it uses.
+func TestBackendsKeepStateOfUsedReplicasOnly(t *testing.T) {
 	b := newBackends(rand.NewPCG(1, 1), nil)
 	var l []*pool.Replica
 	for i := range 3 * maxStates {
@@ -48,6 +47,6 @@
 		b.assign(l[3], 1, now)
 	}
 	if n := len(b.state); n != 2 {
-		t.Errorf("%d replicas are remembered, want 2", n)
+		t.Errorf("%d replicas have state, want 2", n)
 	}
 }
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -8,7 +8,7 @@
 	"fieldvale/session"
 )
 
-// BenchmarkDecision is one whole decision: plan, version and replica.
+// BenchmarkDecision measures one complete decision: plan, version and replica.
 func BenchmarkDecision(b *testing.B) {
 	r, v := newTestRouter(b, &backendsFake{}, &portsFake{})
 	q := request(v, "gold", AutoModel)
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -15,7 +15,7 @@
 	"fieldvale/route"
 )
 
-// endedUpstream breaks each request off, as a replica does that ends.
+// crashedUpstream breaks off each request, like a crashing replica.
 type crashedUpstream struct{}
 
 func (crashedUpstream) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
@@ -25,9 +25,9 @@
 // HasEnded implements Prober.
 func (crashedUpstream) HasEnded(context.Context, *pool.Replica) bool { return true }
 
-// A request brings down a replica of a good release, and forty others break off there. To
-// the judges that was forty bad answers of the release, and it was taken back.
-func TestAReplicaThatEndsIsOneFinding(t *testing.T) {
+// A request crashes a replica of a good release, and forty others break off there. Counted as
+// forty bad answers of the release, they would cause its rollback.
+func TestCrashCountsOnceAgainstItsRelease(t *testing.T) {
 	v := NewCurrentView()
 	rel := rollout.NewRelease("s", "v2", 1, time.Minute)
 	rel.Phase = 2
@@ -38,7 +38,7 @@
 	for i := range 40 {
 		q := &OpaqueRequest{ID: fmt.Sprint("q", i), Table: v.Get().Table, Route: x, ArrivedAt: time.Now(), Deadline: time.Now().Add(time.Second), TimeoutAt: time.Now().Add(time.Second)}
 		if _, err := r.Forward(t.Context(), q, &clientSink{}); err == nil {
-			t.Fatal("a request was answered")
+			t.Fatalf("request %d was answered, want an error", i)
 		}
 		r.backends.stateOf("new.1").breaker = admission.Breaker{}
 	}
@@ -48,14 +48,14 @@
 		broken += n.Broken
 	}
 	if broken != 1 {
-		t.Errorf("%d findings, want one", broken)
+		t.Errorf("%d broken answers counted, want 1", broken)
 	}
 }
 
-// The list lost a replica a moment before the request that brought it down broke off: its
-// end was taken for a planned one. A request that a replica got long before it left the
-// list says nothing.
-func TestEndsThatTheListKnewFirst(t *testing.T) {
+// A replica list that removes a crashed replica just before its connections break off makes the
+// crash look like a planned shutdown. A request sent to the replica long before its removal is no
+// evidence of a crash.
+func TestCrashAfterRemovalFromReplicaList(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name   string
@@ -64,8 +64,8 @@
 		want   bool
 	}{
 		{"listed", true, now.Add(-time.Minute), true},
-		{"gone, sent just before", false, now.Add(-40 * time.Millisecond), true},
-		{"gone, sent long before", false, now.Add(-3 * time.Second), false},
+		{"removed, sent just before", false, now.Add(-40 * time.Millisecond), true},
+		{"removed, sent long before", false, now.Add(-3 * time.Second), false},
 	} {
 		v := NewCurrentView()
 		b := pool.Replica{ID: "r", Kind: pool.Service, Service: "s"}
@@ -75,7 +75,7 @@
 		r := NewRouter(Ports{View: v, Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Prober: crashedUpstream{}})
 		a := &attempt{w: &forwarding{r: r, result: &ForwardResult{Service: "s"}}, replica: &b, sentAt: c.sent}
 		if got := a.replicaCrashed(); got != c.want {
-			t.Errorf("%s: ended %t, want %t", c.name, got, c.want)
+			t.Errorf("%s: crashed %t, want %t", c.name, got, c.want)
 		}
 	}
 }
--- a/entry/distance_test.go
+++ b/entry/distance_test.go
@@ -9,40 +9,40 @@
 	"fieldvale/route"
 )
 
-// What crosses between data centres counts by its bytes: the body and what
-// answers of the route have had so far.
-func TestAwayCountsBytes(t *testing.T) {
+// The penalty for another data centre counts the bytes sent between them: the body and the mean
+// size of the route's answers.
+func TestRemotePenaltyCountsBytes(t *testing.T) {
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: time.Now, Rand: rand.NewPCG(1, 1)})
 	away := func(name string, body int) float64 {
 		return (&forwarding{r: r, q: &OpaqueRequest{Route: &route.Route{Name: name}, Body: make([]byte, body)}}).remotePenaltyMs()
 	}
 	small, large := away("a", 1_000), away("a", 18_000)
 	if d := large - small; d < 17*remoteMsPerKB-1 || d > 17*remoteMsPerKB+1 {
-		t.Errorf("17 kB more count for %.0f ms more, want %.0f", d, 17*remoteMsPerKB)
+		t.Errorf("17 kB more add %.0f ms, want %.0f", d, 17*remoteMsPerKB)
 	}
 	for range 200 {
 		r.answerSizes.observe("b", 12_000)
 	}
 	if d := away("b", 1_000) - small; d < 9*remoteMsPerKB || d > 11*remoteMsPerKB {
-		t.Errorf("answers of 12 kB count for %.0f ms more, want about %.0f", d, 10*remoteMsPerKB)
+		t.Errorf("answers of 12 kB add %.0f ms, want about %.0f", d, 10*remoteMsPerKB)
 	}
 }
 
-// Reading a shared part again has a price by its tokens, also where the model
-// reads it in no time.
-func TestReadingAgainCountsTokens(t *testing.T) {
+// Reading a shared part again has a price per token, even for a model that reads it in almost no
+// time.
+func TestReprefillPenaltyCountsTokens(t *testing.T) {
 	const tokens = 10_000
 	quick, slow := reprefillPenaltyMs(tokens, 0.008), reprefillPenaltyMs(tokens, 0.08)
 	if quick < tokens*reprefillMsPerToken {
-		t.Errorf("%.0f ms, want %.0f at least", quick, tokens*reprefillMsPerToken)
+		t.Errorf("penalty %.0f ms, want at least %.0f", quick, tokens*reprefillMsPerToken)
 	}
 	if d, want := slow-quick, reprefillFactor*720.0; d < want-1 || d > want+1 {
-		t.Errorf("720 ms of reading more count for %.0f ms more, want %.0f", d, want)
+		t.Errorf("720 ms more of reading add %.0f ms, want %.0f", d, want)
 	}
 }
 
-// Each shared part of the estimate is known by its model and its deepest id.
-func TestEstimateNamesParts(t *testing.T) {
+// Each shared part of the estimate is identified by the model and the part's last id.
+func TestEstimatePartKeys(t *testing.T) {
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: time.Now, Rand: rand.NewPCG(1, 1)})
 	q := &OpaqueRequest{Route: &route.Route{}, Prompt: prompt.Prompt{Model: "m", In: 350, Parts: []prompt.Part{{ID: "a", Tokens: 100}, {ID: "b", Tokens: 200}, {ID: "own", Tokens: 50}}}}
 	e := (&forwarding{r: r, q: q, result: &ForwardResult{Service: "s"}, modelIndex: -1}).estimatePrompt()
@@ -50,6 +50,6 @@
 		t.Errorf("key %q, parts %+v, want m/b of m/a and m/b", e.affinityKey, e.shared)
 	}
 	if want := 50 * e.msPerToken; e.unsharedMs < want-1e-9 || e.unsharedMs > want+1e-9 {
-		t.Errorf("%f ms for what nobody shares, want %f", e.unsharedMs, want)
+		t.Errorf("%f ms for the unshared part, want %f", e.unsharedMs, want)
 	}
 }
--- a/entry/forward_test.go
+++ b/entry/forward_test.go
@@ -26,16 +26,16 @@
 	"fieldvale/route"
 )
 
-// TestForwardScripts plays testdata/forward/*.txt: what replicas answer one
-// after another, and what the client and the replicas must see.
+// TestForwardScripts runs testdata/forward/*.txt: the replies of the replicas in order, and what the
+// client and the replicas must receive.
 //
-//	route KIND attempts=N [resumable] [models=a,b,c]
-//	budget N                  repeats allowed
+//	route KIND attempts=N [resumable] [models=a,b,c] [target=DURATION]
+//	budget N                  size of the retry budget
 //	reply STATUS [confidence=N] [e1 e2 ...] [cut|hang]
-//	refuse                    the replica says that it did not run it
+//	refuse                    the replica answers that the request did not run
 //	unreached                 the replica can't be connected to
-//	reset                     the connection is reset after the request
-//	busy MS                   the work that waits at the replicas
+//	reset                     the connection is reset after the request was sent
+//	busy MS                   work waiting at the replicas
 //	want sends=M1,M2 after=... client=... run=... [dropped=MODEL:CONFIDENCE]...
 func TestForwardScripts(t *testing.T) {
 	l, err := filepath.Glob("testdata/forward/*.txt")
@@ -54,7 +54,7 @@
 	busy    float64
 	replies []scriptedReply
 	want    string
-	// sends and after are what the replicas saw.
+	// sends and after are the models and last event ids of the attempts.
 	sends []string
 	after []string
 }
@@ -69,8 +69,8 @@
 
 func runForwardScript(t *testing.T, path string) { runForwardScriptWith(t, path, nil, nil) }
 
-// playForwardWith plays a script with replicas bounded as the quota says, and contents sent as
-// the quarantine says, and returns how often the request was sent.
+// runForwardScriptWith runs a script with the given quota and quarantine, and returns the number
+// of attempts.
 func runForwardScriptWith(t *testing.T, path string, bounds Quota, contents Quarantine) int {
 	s := readForwardScript(t, path)
 	s.route.Split = []route.Part{{Service: "s"}}
@@ -99,7 +99,7 @@
 	return len(s.sends)
 }
 
-// busyPlacer chooses the first candidate, behind the work that waits there.
+// busyPlacer chooses the first candidate, with that many milliseconds of waiting work.
 type busyPlacer float64
 
 func (p busyPlacer) Choose(context.Context, string, placement.Request) (placement.Choice, placement.Ticket, bool) {
@@ -109,7 +109,7 @@
 func (busyPlacer) Read(placement.Ticket)                  {}
 func (busyPlacer) Lost(placement.Ticket, placement.Fault) {}
 
-// placer is nil where the script says nothing of the replicas' work.
+// placer is nil where the script states no waiting work.
 func (s *forwardScript) placer() Placer {
 	if s.busy == 0 {
 		return nil
@@ -196,8 +196,8 @@
 	s.sends = append(s.sends, "m"+d.Model)
 	s.after = append(s.after, d.LastEventID)
 	if len(s.sends) > len(s.replies) {
-		s.t.Errorf("attempt %d was not expected", len(s.sends))
-		return nil, outcome.New(outcome.NotRun, "refused", "r", errors.New("no more in the script"))
+		s.t.Errorf("attempt %d is not in the script", len(s.sends))
+		return nil, outcome.New(outcome.NotRun, "refused", "r", errors.New("no reply left in the script"))
 	}
 	p := s.replies[len(s.sends)-1]
 	if p.err != nil {
--- a/entry/gains_test.go
+++ b/entry/gains_test.go
@@ -9,19 +9,19 @@
 	"fieldvale/route"
 )
 
-// The next model is asked first where its chance is above its share of the
-// largest one's cost.
-func Example_bounds() {
-	for _, c := range []struct{ lead, share float64 }{{15, 0.5}, {45, 0.5}, {2, 0.5}, {15, 0.25}, {15, 0.9}} {
-		b := nextModelBoundsFor(c.lead, c.share)
-		fmt.Printf("lead %.0f, share %.2f: first from %.0f, at all from %.0f\n", c.lead, c.share, b.askFirst, b.askAtAll)
+// The next model is tried first where its chance of a right answer exceeds its share of the
+// largest model's cost.
+func Example_nextModelBounds() {
+	for _, c := range []struct{ gain, share float64 }{{15, 0.5}, {45, 0.5}, {2, 0.5}, {15, 0.25}, {15, 0.9}} {
+		b := nextModelBoundsFor(c.gain, c.share)
+		fmt.Printf("gain %.0f, share %.2f: first from %.0f, at all from %.0f\n", c.gain, c.share, b.askFirst, b.askAtAll)
 	}
 	// Output:
-	// lead 15, share 0.50: first from 44, at all from 25
-	// lead 45, share 0.50: first from 14, at all from -5
-	// lead 2, share 0.50: first from 57, at all from 38
-	// lead 15, share 0.25: first from 37, at all from 25
-	// lead 15, share 0.90: first from 57, at all from 25
+	// gain 15, share 0.50: first from 44, at all from 25
+	// gain 45, share 0.50: first from 14, at all from -5
+	// gain 2, share 0.50: first from 57, at all from 38
+	// gain 15, share 0.25: first from 37, at all from 25
+	// gain 15, share 0.90: first from 57, at all from 25
 }
 
 func TestCostShare(t *testing.T) {
@@ -30,43 +30,42 @@
 		t.Errorf("share %f, want 0.5", g)
 	}
 	if g := costShare(s, "m", "unknown"); g != defaultCostShare {
-		t.Errorf("share of an unknown cost %f, want %f", g, defaultCostShare)
+		t.Errorf("share for an unknown cost %f, want %f", g, defaultCostShare)
 	}
 }
 
-// A model that can do more than was thought is found out by a few requests
-// that both answered.
-func TestLeadsAreLearntSoon(t *testing.T) {
+// A gain far above the initial assumption is learned from a few requests that both models
+// answered.
+func TestGainsAreLearnedQuickly(t *testing.T) {
 	l := newConfidenceGains()
 	if g := l.of("s/m"); g != initialGain {
-		t.Errorf("lead %.1f before any was seen, want %.1f", g, initialGain)
+		t.Errorf("gain %.1f before any observation, want %.1f", g, initialGain)
 	}
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 8 {
 		l.observe("s/m", 50, 95+10*r.Float64()-5)
 	}
 	if g := l.of("s/m"); g < 33 {
-		t.Errorf("lead %.1f after 8 requests with 45, want 33 at least", g)
+		t.Errorf("gain %.1f after 8 observations of 45, want at least 33", g)
 	}
 }
 
-// One answer teaches once, and only what the next smaller model has answered
-// before counts.
-func TestLeadOfOneRequest(t *testing.T) {
+// An answer is recorded once, and only if the next smaller model answered before.
+func TestGainIsRecordedOncePerAnswer(t *testing.T) {
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: time.Now, Rand: rand.NewPCG(1, 1)})
 	w := &forwarding{r: r, q: &OpaqueRequest{Route: &route.Route{Models: []string{"s", "m", "l"}}}, result: &ForwardResult{Service: "x", Confidence: 50}, modelIndex: 2, escalatedFrom: 0}
 	w.learnGain(100)
 	if g := r.confidenceGains.of("x/l"); g != initialGain {
-		t.Errorf("the largest model's lead over the smallest counted as one over the middle: %.1f", g)
+		t.Errorf("gain %.1f after an answer that followed the smallest model's, want %.1f", g, initialGain)
 	}
 	w.modelIndex, w.escalatedFrom = 1, 0
 	w.learnGain(90)
 	g := r.confidenceGains.of("x/m")
 	if g <= initialGain {
-		t.Errorf("lead %.1f after one of 40, want more than %.1f", g, initialGain)
+		t.Errorf("gain %.1f after one observation of 40, want more than %.1f", g, initialGain)
 	}
 	w.learnGain(90)
 	if again := r.confidenceGains.of("x/m"); again != g {
-		t.Errorf("lead %.1f after the same answer again, want %.1f", again, g)
+		t.Errorf("gain %.1f after recording the same answer again, want %.1f", again, g)
 	}
 }
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -15,7 +15,7 @@
 	"fieldvale/version"
 )
 
-// needy are backend servers of which some name a limit in each answer.
+// limitedBackends are backend servers of which some advertise a limit in each answer.
 type limitedBackends struct {
 	clock  func() time.Time
 	quota  *quota.Node
@@ -53,23 +53,23 @@
 }
 
 const (
-	// limitFigure is what 1.5 a second come to in four, and limitAllowed what the users' bound does: half as
-	// much again and five.
+	// reportedLimit is the number of requests that 1.5 per second allow in four seconds.
+	// allowedLimit is the bound that must hold for several entries: half as much again and five.
 	reportedLimit = 6
 	allowedLimit  = 14
 )
 
-// The roads of the product's own interfaces to a backend server go by its limit as well: chats,
-// streams and plain calls. Entries have no way to each other, and each takes its share evenly: one
-// alone stays within the figure, several within what is allowed, as whole requests meet by chance
-// (four entries: up to 8). Calls go to other servers, and where all are limited they are refused,
-// not run, with when to return.
+// The product's own interfaces (chats, streams and plain calls) obey a backend server's limit.
+// Entries without a connection to each other each take an equal share: a single one stays within
+// the limit, several within the allowed excess, as their whole requests may coincide (four
+// entries: up to 8). Requests go to other servers instead; where all are limited, they are
+// refused as not run with a retry time.
 func TestOwnInterfacesKeepLimits(t *testing.T) {
 	model := version.New("m", "1")
-	for _, road := range []string{"chat", "call"} {
+	for _, path := range []string{"chat", "call"} {
 		for _, limited := range []int{1, 3} {
 			for _, entries := range []int{1, 4} {
-				t.Run(fmt.Sprintf("%s, %d of 3 servers limited, %d entries", road, limited, entries), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, %d of 3 servers limited, %d entries", path, limited, entries), func(t *testing.T) {
 					now := time.Unix(1_700_000_000, 0)
 					clock := func() time.Time { return now }
 					n := &limitedBackends{clock: clock, limits: map[string]string{}, got: map[string][]time.Time{}}
@@ -97,7 +97,7 @@
 						k := i % entries
 						n.quota = quotas[k]
 						var err error
-						if road == "call" {
+						if path == "call" {
 							_, err = routers[k].tryServiceReplicas(t.Context(), ServiceRequest{ID: fmt.Sprint(i), Service: "memory", Caller: config.Caller{Team: "t"}, Deadline: now.Add(time.Second)})
 						} else {
 							b, retryAt := routers[k].takeReplica(t.Context(), model.String(), v.Get().byVersion[model], pool.Request{}, nil, 1)
@@ -111,30 +111,30 @@
 						if err != nil {
 							refused++
 							if f := failed(err); f.Outcome != outcome.NotRun || !f.RetryAt.After(now) {
-								t.Fatalf("refused with %+v", f)
+								t.Fatalf("refused with %+v, want not run and a later retry time", f)
 							}
 						}
 					}
 					for r, at := range n.got {
-						var told []time.Time
+						var afterReport []time.Time
 						for _, x := range at {
 							if x.Sub(began) > time.Second {
-								told = append(told, x)
+								afterReport = append(afterReport, x)
 							}
 						}
 						most := reportedLimit
 						if entries > 1 {
 							most = allowedLimit
 						}
-						if n.limits[r] != "" && arrivals.Most(told, 4*time.Second) > most {
-							t.Errorf("%s got %d in four seconds, it takes %d and allows %d", r, arrivals.Most(told, 4*time.Second), reportedLimit, allowedLimit)
+						if n.limits[r] != "" && arrivals.Most(afterReport, 4*time.Second) > most {
+							t.Errorf("%s got %d requests in 4 s, want at most %d (reported limit %d, allowed %d)", r, arrivals.Most(afterReport, 4*time.Second), most, reportedLimit, allowedLimit)
 						}
-						if n.limits[r] != "" && len(told) < 18 {
-							t.Errorf("%s got %d in 19 s, it takes 28", r, len(told))
+						if n.limits[r] != "" && len(afterReport) < 18 {
+							t.Errorf("%s got %d requests in 19 s, want at least 18 of the 28 that its limit allows", r, len(afterReport))
 						}
 					}
 					if limited < 3 && refused > 0 {
-						t.Errorf("%d calls were refused while a server was fit", refused)
+						t.Errorf("%d requests were refused, want 0 while a server has no limit", refused)
 					}
 				})
 			}
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -28,13 +28,14 @@
 )
 
 const (
-	// talkersServe is how long after its word a leaving talker may get requests, as the last resort.
+	// drainServeTime is how long after its notice a draining replica may still get requests, as a
+	// last resort.
 	drainServeTime = time.Second
 	drainTime      = 2 * drainServeTime
 )
 
-// talkers are replicas that say in their answers, as drawn, that they leave or want rest, and
-// check that what they get was sent in spite of neither.
+// noticingReplicas are replicas whose answers announce draining or backoff at random. They check
+// that they get no request in spite of it.
 type noticingReplicas struct {
 	t             *rapid.T
 	now           time.Time
@@ -42,7 +43,7 @@
 	replicas      []pool.Replica
 	drainingSince map[string]time.Time
 	backoffUntil  map[string]time.Time
-	// sent are the replicas that the request under way was sent to.
+	// sent are the replicas that the current request was sent to.
 	sent []string
 }
 
@@ -57,7 +58,8 @@
 
 func (w *noticingReplicas) clock() time.Time { return w.now }
 
-// isResting reports whether the replica wants no request now, isGone whether it must get none any more.
+// isBackingOff reports whether the replica accepts no request now, isGone whether it accepts none
+// any more.
 func (w *noticingReplicas) isBackingOff(id string) bool { return w.now.Before(w.backoffUntil[id]) }
 func (w *noticingReplicas) isGone(id string) bool {
 	at, ok := w.drainingSince[id]
@@ -69,28 +71,28 @@
 	return !leaves && !w.isBackingOff(id)
 }
 
-// got checks that the replica may be sent to.
+// checkSent checks that the replica may be sent to.
 func (w *noticingReplicas) checkSent(id string) {
 	if w.isBackingOff(id) {
-		w.t.Errorf("%s got a request %s before the end of its rest", id, w.backoffUntil[id].Sub(w.now))
+		w.t.Errorf("%s got a request %s before the end of its backoff", id, w.backoffUntil[id].Sub(w.now))
 	}
 	if w.isGone(id) {
-		w.t.Errorf("%s got a request %s after its word that it leaves", id, w.now.Sub(w.drainingSince[id]))
+		w.t.Errorf("%s got a request %s after its drain notice", id, w.now.Sub(w.drainingSince[id]))
 	}
 	w.sent = append(w.sent, id)
 }
 
-// says has the replica say what was drawn, in an answer to a request sent then, and reports whether it
-// turns the request away.
+// answerWithNotice answers a request sent at sentAt with a random notice, and reports whether the
+// replica refused the request.
 func (w *noticingReplicas) answerWithNotice(id string, sentAt time.Time) (refused bool) {
 	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 60).Draw(w.t, "took")) * time.Millisecond)
 	n := notice.Notice{Replica: id, Service: "s", SentAt: sentAt, ReceivedAt: w.now}
-	switch rapid.IntRange(0, 9).Draw(w.t, "word") {
+	switch rapid.IntRange(0, 9).Draw(w.t, "notice") {
 	case 0:
 		n.Draining = true
 	case 1, 2:
 		n.Refused = true
-		n.BackoffUntil = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(w.t, "rest")) * time.Millisecond)
+		n.BackoffUntil = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(w.t, "backoff")) * time.Millisecond)
 	case 3:
 		n.Refused = true
 	}
@@ -124,14 +126,14 @@
 	return &replyFake{ctx: ctx, p: p}, nil
 }
 
-// others have a word come between the choice of a replica and the send.
+// maybeNotice lets a notice arrive between the choice of a replica and the dispatch.
 func (w *noticingReplicas) maybeNotice() {
 	if rapid.IntRange(0, 3).Draw(w.t, "meanwhile") == 0 {
-		w.answerWithNotice(w.replicas[rapid.IntRange(0, len(w.replicas)-1).Draw(w.t, "who")].ID, w.now)
+		w.answerWithNotice(w.replicas[rapid.IntRange(0, len(w.replicas)-1).Draw(w.t, "replica")].ID, w.now)
 	}
 }
 
-// Choose implements Placer, the other methods as well.
+// Choose implements Placer, together with the methods below.
 func (w *noticingReplicas) Choose(_ context.Context, _ string, a placement.Request) (placement.Choice, placement.Ticket, bool) {
 	i := rapid.IntRange(-1, len(a.Replicas)-1).Draw(w.t, "placed")
 	w.maybeNotice()
@@ -140,7 +142,7 @@
 func (w *noticingReplicas) Read(placement.Ticket)                  {}
 func (w *noticingReplicas) Lost(placement.Ticket, placement.Fault) {}
 
-// scarce is a quota that bounds every other replica and has a word come while it is asked.
+// drawnQuota bounds every other replica and lets a notice arrive during a permit request.
 type drawnQuota struct {
 	noQuota
 	w *noticingReplicas
@@ -152,10 +154,10 @@
 }
 func (s drawnQuota) Take(_ context.Context, a quota.PermitRequest) quota.PermitResult {
 	s.w.maybeNotice()
-	return quota.PermitResult{Index: rapid.IntRange(-1, len(a.Candidates)-1).Draw(s.w.t, "right")}
+	return quota.PermitResult{Index: rapid.IntRange(-1, len(a.Candidates)-1).Draw(s.w.t, "permit")}
 }
 
-// trials is a quarantine that sends some contents on trial and has a word come while it is asked.
+// drawnQuarantine allows some contents only on trial and lets a notice arrive during the check.
 type drawnQuarantine struct{ w *noticingReplicas }
 
 func (s drawnQuarantine) IsQuiet() bool { return false }
@@ -165,7 +167,7 @@
 }
 func (s drawnQuarantine) Tell(quarantine.Fingerprint, quarantine.AttemptResult) {}
 
-// router returns a router before the talkers, with what else decides drawn.
+// router returns a router for the replicas, with random other dependencies.
 func (w *noticingReplicas) router() (*Router, *CurrentView) {
 	v := NewCurrentView()
 	rel := map[string]rollout.Release{}
@@ -204,8 +206,7 @@
 	return q
 }
 
-// checkRefusal checks that a request for which no replica was left had none, and when its client is to
-// come back.
+// checkRefusal checks that a request refused for lack of replicas had none, and its retry time.
 func (w *noticingReplicas) checkRefusal(f *Failure) {
 	var ends []time.Time
 	for _, r := range w.replicas {
@@ -219,14 +220,15 @@
 	if f.Outcome == outcome.NotRun && len(ends) > 0 {
 		first := slices.MinFunc(ends, time.Time.Compare)
 		if f.RetryAt.After(first.Add(backoffSpread)) {
-			w.t.Errorf("refused until %s after the first replica has rested", f.RetryAt.Sub(first))
+			w.t.Errorf("retry time is %s after the end of the first backoff, want at most %s", f.RetryAt.Sub(first), backoffSpread)
 		}
 	}
 }
 
-// Every road by which an opaque request reaches a replica: first tries, repeats, larger models, resumed
-// streams, sessions, with and without a keeper's choice, a place at a bounded replica, a trial, a release.
-func TestNoRoadLeadsToReplicasThatLeaveOrRest(t *testing.T) {
+// Covers every path of an opaque request to a replica: first attempts, retries, larger models,
+// resumed streams, sessions, with and without the placer's choice, with a permit for a bounded
+// replica, on trial, and during a roll-out.
+func TestNoRequestReachesDrainingOrBackedOffReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newNoticingReplicas(t, pool.Service)
 		r, _ := w.router()
@@ -252,10 +254,11 @@
 	return ServiceAnswer{Status: http.StatusOK}, nil
 }
 
-// The roads of the product's own interfaces: calls, and chats, whose choice is the same for whole answers and streams.
-func TestOwnInterfacesKeepOffReplicasThatLeaveOrRest(t *testing.T) {
+// Covers the product's own interfaces: plain calls, and chats, whose choice of a replica is the
+// same for complete answers and streams.
+func TestOwnInterfacesAvoidDrainingOrBackedOffReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		kind := rapid.SampledFrom([]pool.Kind{pool.Service, pool.Engine}).Draw(t, "of")
+		kind := rapid.SampledFrom([]pool.Kind{pool.Service, pool.Engine}).Draw(t, "interface")
 		w := newNoticingReplicas(t, kind)
 		r, v := w.router()
 		r.services = w
@@ -276,7 +279,7 @@
 	})
 }
 
-// sure answers well, and counts.
+// reliableUpstream answers every request with success and counts them.
 type reliableUpstream struct{ got map[string]int }
 
 func (u reliableUpstream) Send(ctx context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
@@ -284,8 +287,9 @@
 	return &replyFake{ctx: ctx, p: scriptedReply{status: http.StatusOK, events: []string{"body"}}}, nil
 }
 
-// What callers get when replicas say that they leave or rest, one after another until none is left.
-func TestCallersWhileReplicasLeaveAndRest(t *testing.T) {
+// What callers get while replicas announce draining or backoff, one after another until none is
+// left.
+func TestRefusalsWhileReplicasDrainAndBackOff(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	clock := func() time.Time { return now }
 	b := notice.NewTracker(clock, drainTime, func(string, ...any) {})
@@ -304,34 +308,34 @@
 		t.Helper()
 		for range 20 {
 			if g, f := send(); f != nil || !strings.Contains(replicas, g) {
-				t.Fatalf("%s: at %q, %v, want one of %s", step, g, f, replicas)
+				t.Fatalf("%s: sent to %q, error %v, want one of %s", step, g, f, replicas)
 			}
 		}
 	}
-	leave := func(id string) { b.Observe(notice.Notice{Replica: id, Draining: true, SentAt: now, ReceivedAt: now}) }
+	drain := func(id string) { b.Observe(notice.Notice{Replica: id, Draining: true, SentAt: now, ReceivedAt: now}) }
 	want("at first", "abc")
-	leave("a")
-	want("a leaves", "bc")
-	leave("b")
-	want("a, b leave", "c")
+	drain("a")
+	want("a drains", "bc")
+	drain("b")
+	want("a and b drain", "c")
 	b.Observe(notice.Notice{Replica: "c", BackoffUntil: now.Add(3 * time.Second), Refused: true, SentAt: now, ReceivedAt: now})
-	want("c rests, the others still serve", "ab")
+	want("c backs off, the others still serve", "ab")
 	now = now.Add(drainServeTime)
 	if g, f := send(); f == nil || f.Outcome != outcome.NotRun || f.RetryAt.Before(now.Add(2*time.Second)) || f.RetryAt.After(now.Add(2*time.Second+backoffSpread)) {
-		t.Fatalf("none left: at %q, %+v", g, f)
+		t.Fatalf("no replica left: sent to %q, failure %+v, want a refusal until the backoff of c ends", g, f)
 	}
 	now = now.Add(2 * time.Second)
 	if g, f := send(); f != nil || g != "c" {
-		t.Fatalf("c has rested: at %q, %+v", g, f)
+		t.Fatalf("after the backoff of c: sent to %q, failure %+v, want c", g, f)
 	}
 	if g, f := send(); f == nil || f.RetryAt.Sub(now) > backoffSpread {
-		t.Fatalf("while c is tried: at %q, %+v", g, f)
+		t.Fatalf("while c is on trial: sent to %q, failure %+v, want a refusal for at most the spread", g, f)
 	}
 	b.Observe(notice.Notice{Replica: "c", SentAt: now, ReceivedAt: now})
-	want("c has answered", "c")
+	want("c answered", "c")
 }
 
-// needsRest turns all away and asks for the rest that is drawn for each.
+// backoffUpstream refuses every request and asks for the given backoff of each replica.
 type backoffUpstream struct {
 	tracker *notice.Tracker
 	now     time.Time
@@ -344,9 +348,10 @@
 	return nil, outcome.New(outcome.NotRun, "refused", r.ID, errors.New("status 503")).WithStatus(http.StatusServiceUnavailable).WithRetryAt(until)
 }
 
-// A caller whom some replicas have turned away comes back soon where another one is fit, and when the first
-// has rested where none is.
-func TestCallerIsNotSentAwayForTheRestOfOneReplica(t *testing.T) {
+// A caller refused by some replicas is asked to retry soon if another one is available, and
+// otherwise when the first backoff ends. Using the backoff of the refusing replica would keep the
+// caller away for too long.
+func TestRetryTimeWithSomeReplicasBackingOff(t *testing.T) {
 	for _, c := range []struct {
 		replicas int
 		min, max time.Duration
@@ -370,7 +375,7 @@
 		_, err := r.Forward(t.Context(), q, &clientSink{})
 		var f *Failure
 		if !errors.As(err, &f) || f.Outcome != outcome.NotRun || f.RetryAt.Sub(now) < c.min || f.RetryAt.Sub(now) > c.max {
-			t.Errorf("%d replicas: %s, come back in %s, want %s to %s", c.replicas, f.Outcome, f.RetryAt.Sub(now), c.min, c.max)
+			t.Errorf("%d replicas: %s, retry in %s, want %s to %s", c.replicas, f.Outcome, f.RetryAt.Sub(now), c.min, c.max)
 		}
 	}
 }
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -16,7 +16,7 @@
 	"fieldvale/quarantine"
 )
 
-// brittleServices end under one body.
+// crashingServices crash on one request body.
 type crashingServices struct {
 	crashed map[string]bool
 	sent    int
@@ -34,10 +34,9 @@
 // HasEnded implements Prober.
 func (s *crashingServices) HasEnded(_ context.Context, r *pool.Replica) bool { return s.crashed[r.ID] }
 
-// A plain service's call ends each backend server that runs it, and its client calls again
-// and again with another id. What the entry knew of it ended with each call: three servers
-// a call.
-func TestOneCallEndsFewServers(t *testing.T) {
+// A plain service's call crashes each backend server that runs it, and the client repeats it with
+// new ids. Suspicion that ended with each call would cost three servers per call.
+func TestRepeatedCallCrashesFewReplicas(t *testing.T) {
 	s := &crashingServices{crashed: map[string]bool{}}
 	v := NewCurrentView()
 	var l []pool.Replica
@@ -53,10 +52,10 @@
 		return err
 	}
 	for i := range 200 {
-		// Others' calls earn the budget of repeats.
+		// Other calls fill the retry budget.
 		r.retryBudget.Request()
 		if err := call(fmt.Sprint("o", i), "good"); err != nil {
-			t.Fatalf("another's call: %v", err)
+			t.Fatalf("another client's call failed: %v", err)
 		}
 	}
 	var last error
@@ -64,13 +63,13 @@
 		last = call(fmt.Sprint("c", i), "bad")
 	}
 	if s.sent > 5 {
-		t.Errorf("it was sent %d times, want 5 at most", s.sent)
+		t.Errorf("the crashing call was sent %d times, want at most 5", s.sent)
 	}
 	var f *Failure
 	if !errors.As(last, &f) || f.Code != Quarantined || f.Outcome != outcome.NotRun {
-		t.Errorf("the last call ended with %v, want that it was not sent", last)
+		t.Errorf("the last call ended with %v, want quarantined and not run", last)
 	}
 	if err := call("o", "good"); err != nil {
-		t.Errorf("another's call: %v", err)
+		t.Errorf("another client's call failed: %v", err)
 	}
 }
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -21,8 +21,8 @@
 	"fieldvale/route"
 )
 
-// quotaFake stands for who counts: it lets so many requests go to bounded replicas, to the
-// last of the candidates by their ids.
+// quotaFake grants a number of permits for bounded replicas, each to the candidate with the last
+// id.
 type quotaFake struct {
 	grants   int
 	limited  map[string]bool
@@ -66,8 +66,9 @@
 // firstPlacer chooses the first candidate.
 type firstPlacer struct{ busyPlacer }
 
-// boundedRouter has a service whose replicas bear ten requests a second while they are
-// cold: warm ones, cold ones, and some that were not reached a moment ago.
+// newBoundedRouter returns a router and the replicas of a service that bear ten requests a second
+// while cold: a warm and a cold one, one that could not be connected to, and one that reset a
+// connection.
 func newBoundedRouter(g *quotaFake, p Placer) (*Router, *route.Table, []*pool.Replica, *time.Time) {
 	now := time.Unix(1_700_000_000, 0)
 	g.suspect = map[string]bool{}
@@ -103,10 +104,10 @@
 	return strings.Join(n, " ")
 }
 
-// Replicas that are cold, that could not be reached a moment ago, or that name a limit are
-// bounded, one that broke an answer off is not; a service that states no bound has no cold
+// Replicas that are cold, could not be connected to a moment ago, or advertise a limit are
+// bounded. One that broke off an answer is not. A service without a cold rate has no cold
 // replicas.
-func TestBoundedReplicasAreParted(t *testing.T) {
+func TestSplitByBound(t *testing.T) {
 	for _, c := range []struct {
 		name, service string
 		limited       string
@@ -132,8 +133,8 @@
 	}
 }
 
-// A request without a prompt goes to a warm replica while there is one, then to a cold
-// one as the fleet allows, and else is refused at once with when the first one is warm.
+// A request without a prompt goes to a warm replica while there is one, then to a cold one with a
+// permit, and is otherwise refused at once until the first one is warm.
 func TestRequestWithoutAPromptAtColdReplicas(t *testing.T) {
 	g := &quotaFake{grants: 1}
 	r, table, l, now := newBoundedRouter(g, nil)
@@ -153,30 +154,30 @@
 			got = x.replica.ID
 		}
 		if got != c.want || len(g.asked) != c.asked {
-			t.Errorf("after %q: %q with %d questions, want %q with %d", c.tried, got, len(g.asked), c.want, c.asked)
+			t.Errorf("after %q: %q with %d permit requests, want %q with %d", c.tried, got, len(g.asked), c.want, c.asked)
 		}
 		if c.retry > 0 && w.retryAt.Sub(*now) != c.retry {
-			t.Errorf("come back in %s, want %s", w.retryAt.Sub(*now), c.retry)
+			t.Errorf("retry in %s, want %s", w.retryAt.Sub(*now), c.retry)
 		}
 	}
 	if a := g.asked[0]; a.Candidates[0].Bound.ColdPerSecond != 10 || !a.Candidates[0].ReportsCold || !a.OnlyBounded {
-		t.Errorf("asked for %+v", a)
+		t.Errorf("first permit request %+v, want a cold rate of 10, a replica that reports cold, and only bounded replicas", a)
 	}
 }
 
-// A limited replica is used as the fleet allows, and then another one; where all are
-// limited any of them with a place will do, and where none has one the request is refused
-// with when there is one. It is the same for prompts and for requests without one.
+// A limited replica is used with a permit, otherwise another one is. If all are limited, any of
+// them with a free permit will do, and without any the request is refused with the retry time.
+// This holds for requests with and without a prompt.
 func TestRequestAtLimitedReplicas(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		limited, rest string
-		grants        int
-		want, passed  string
+		name               string
+		limited, exhausted string
+		grants             int
+		want, skipped      string
 	}{
-		{"it has a place", "a", "", 1, "a", ""},
-		{"it has none", "a", "", 0, "b", "a"},
-		{"it was said to have none", "a", "a", 1, "b", ""},
+		{"it has a permit left", "a", "", 1, "a", ""},
+		{"it has none left", "a", "", 0, "b", "a"},
+		{"it recently had none left", "a", "a", 1, "b", ""},
 		{"all limited, another has one", "a b c", "a b c", 1, "c", ""},
 		{"all limited, none has one", "a b c", "", 0, "", "a"},
 	} {
@@ -186,38 +187,38 @@
 			for _, x := range strings.Fields(c.limited) {
 				g.limited[x] = true
 			}
-			for _, x := range strings.Fields(c.rest) {
+			for _, x := range strings.Fields(c.exhausted) {
 				g.resting[x] = true
 			}
 			g.retryAt = now.Add(700 * time.Millisecond)
 			l := []*pool.Replica{{ID: "a"}, {ID: "b"}, {ID: "c"}}
-			// The others have more to do.
+			// The others have more pending work.
 			r.backends.assign(l[1], 500, *now)
 			r.backends.assign(l[2], 900, *now)
 			w := &forwarding{r: r, modelIndex: -1, escalatedFrom: -1, q: &OpaqueRequest{ID: "q", Table: table, Route: &route.Route{}, Prompt: q}, result: &ForwardResult{Service: "other"}}
-			got, passed := "", ""
+			got, skipped := "", ""
 			if p := w.assignAmong(t.Context(), l); p != nil {
 				got = p.replica.ID
 			}
 			for _, x := range w.result.Skipped {
-				passed += x.Replica
+				skipped += x.Replica
 			}
-			if q.IsNone() && (got != c.want || passed != c.passed) {
-				t.Errorf("%s: %q, passed over %q, want %q and %q", c.name, got, passed, c.want, c.passed)
+			if q.IsNone() && (got != c.want || skipped != c.skipped) {
+				t.Errorf("%s: sent to %q, skipped %q, want %q and %q", c.name, got, skipped, c.want, c.skipped)
 			}
 			if (got == "") != (c.want == "") {
-				t.Errorf("%s, with a prompt: %q, want %q", c.name, got, c.want)
+				t.Errorf("%s, with a prompt: sent to %q, want %q", c.name, got, c.want)
 			}
 			if got == "" && !w.retryAt.Equal(g.retryAt) {
-				t.Errorf("%s: come back in %s, want 700ms", c.name, w.retryAt.Sub(*now))
+				t.Errorf("%s: retry in %s, want 700ms", c.name, w.retryAt.Sub(*now))
 			}
 		}
 	}
 }
 
-// A right that comes to nothing is given back: the replica could not be reached, or the request
-// is taken elsewhere before it is sent.
-func TestRightsAreGivenBack(t *testing.T) {
+// An unused permit is returned if the replica could not be connected to, or if the request is
+// assigned elsewhere before it is sent.
+func TestUnusedPermitsAreReturned(t *testing.T) {
 	g := &quotaFake{grants: 2, limited: map[string]bool{"a": true}}
 	r, table, _, _ := newBoundedRouter(g, nil)
 	g.returned = nil
@@ -228,14 +229,14 @@
 	a := &attempt{w: w, assignment: p, replica: p.replica}
 	a.done(outcome.New(outcome.NotRun, "dial", "a", errors.New("connection refused")))
 	if len(g.returned) != 2 {
-		t.Errorf("%d rights were given back, want 2", len(g.returned))
+		t.Errorf("%d permits were returned, want 2", len(g.returned))
 	}
 }
 
-// All replicas of a new release name a limit and have no place: a request that is meant for it
-// goes to the old one's, unless its session must not. One that is meant for the old one never
-// goes to the new one for that.
-func TestLimitedReleaseLeavesRequestsToTheOld(t *testing.T) {
+// All replicas of a new release are limited and have no permit left: a request meant for it goes
+// to the old release, unless its session must not change. A request meant for the old release
+// never goes to the new one for that reason.
+func TestRequestsUseOldReleaseWhileNewIsLimited(t *testing.T) {
 	rel := rollout.Release{Service: "s", Target: "v2", Order: 1, Length: time.Minute, State: rollout.Running, Phase: 1, TrialShare: 5000}
 	for _, c := range []struct {
 		limited, session string
@@ -266,15 +267,15 @@
 			got[id] = true
 		}
 		if !maps.Equal(got, c.wants) {
-			t.Errorf("limited %q, session %q: went to %v, want %v", c.limited, c.session, got, c.wants)
+			t.Errorf("limited %q, session %q: sent to %v, want %v", c.limited, c.session, got, c.wants)
 		}
 	}
 }
 
-// Each send has a right of its own, whatever road it comes by: first tries, repeats after a
-// refusal, a reset or a failure, larger models, resumed streams. The scripts of requests are played
-// with all replicas limited, and what comes to nothing is given back.
-func TestEachSendHasARight(t *testing.T) {
+// Each attempt has a permit of its own, whatever path it takes: first attempts, retries after a
+// refusal, a reset or a failure, larger models, and resumed streams. The forward scripts are run
+// with all replicas limited, and unused permits are returned.
+func TestEachAttemptHasAPermit(t *testing.T) {
 	l, err := filepath.Glob("testdata/forward/*.txt")
 	if err != nil || len(l) == 0 {
 		t.Fatalf("no scripts: %v", err)
@@ -288,12 +289,12 @@
 		sends := 0
 		t.Run(name, func(t *testing.T) { sends = runForwardScriptWith(t, p, g, nil) })
 		if taken := 100 - g.grants; taken < sends || taken > sends+len(g.returned) {
-			t.Errorf("%s: %d rights for %d sends, %d given back", name, taken, sends, len(g.returned))
+			t.Errorf("%s: %d permits for %d attempts and %d returned permits, want one for each attempt", name, taken, sends, len(g.returned))
 		}
 	}
 }
 
-// onTrial has each try sent as a trial.
+// alwaysTrial allows every attempt as a trial.
 type alwaysTrial struct{}
 
 func (alwaysTrial) IsQuiet() bool { return false }
@@ -302,8 +303,8 @@
 }
 func (alwaysTrial) Tell(quarantine.Fingerprint, quarantine.AttemptResult) {}
 
-// A suspect request that is sent on trial has a right for each send like any other.
-func TestTrialsHaveARight(t *testing.T) {
+// A suspected request sent on trial has a permit for each attempt.
+func TestTrialsHaveAPermit(t *testing.T) {
 	for _, name := range []string{"resumed", "repeatable_after_reset", "once_after_refusal"} {
 		g := &quotaFake{grants: 100, limited: map[string]bool{}, suspect: map[string]bool{}}
 		for i := range 8 {
@@ -311,7 +312,7 @@
 		}
 		sends := runForwardScriptWith(t, "testdata/forward/"+name+".txt", g, alwaysTrial{})
 		if taken := 100 - g.grants; taken != sends {
-			t.Errorf("%s: %d rights for %d sends on trial", name, taken, sends)
+			t.Errorf("%s: %d permits for %d attempts on trial, want one for each", name, taken, sends)
 		}
 	}
 }
--- a/entry/regions_test.go
+++ b/entry/regions_test.go
@@ -8,8 +8,8 @@
 	"fieldvale/route"
 )
 
-// Where route and customer both name regions, both bind; a data centre of which no
-// region is known serves neither.
+// If route and customer both list regions, both apply. A data centre without a configured region
+// serves neither.
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	all := []*pool.Replica{{ID: "n1", DataCentre: "a"}, {ID: "n2", DataCentre: "b"}, {ID: "s", DataCentre: "c"}, {ID: "unknown", DataCentre: "d"}}
 	r := &Router{regions: map[string]string{"a": "north", "b": "north", "c": "south"}}
--- a/entry/release_test.go
+++ b/entry/release_test.go
@@ -15,7 +15,7 @@
 	"fieldvale/route"
 )
 
-// anyReplica answers every request and notes the releases that ran.
+// recordingUpstream answers every request and records the releases used.
 type recordingUpstream struct{ ran []string }
 
 func (u *recordingUpstream) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
@@ -23,8 +23,8 @@
 	return &replyFake{ctx: context.Background(), p: scriptedReply{status: http.StatusOK, events: []string{"body"}}}, nil
 }
 
-// Sessions stay where they are in a release's first phase, whichever instance
-// saw them before, and then move once; requests without one go by their share.
+// Sessions stay on the old release in the first phase, whichever instance served them before, and
+// then move once. Requests without a session follow their share.
 func TestSessionsMoveFromTheSecondPhaseOn(t *testing.T) {
 	v := NewCurrentView()
 	view := NewView(nil, []pool.Replica{
@@ -51,21 +51,21 @@
 	v.Put(view.WithRoutes(nil, map[string]rollout.Release{"s": rel}))
 	for _, x := range share {
 		if g := send("q", x); g != "v1" {
-			t.Fatalf("a session ran on %s in the first phase", g)
+			t.Fatalf("a session ran on %s in the first phase, want v1", g)
 		}
 		if g := send(x, ""); g != "v2" {
-			t.Fatalf("a request of the share without a session ran on %s", g)
+			t.Fatalf("a request of the share without a session ran on %s, want v2", g)
 		}
 	}
 	v.Put(view.WithRoutes(nil, map[string]rollout.Release{"s": rel.WithNextPhase()}))
 	for _, x := range share {
 		if g := send("q", x); g != "v2" {
-			t.Fatalf("in the second phase a session of the share ran on %s", g)
+			t.Fatalf("a session of the share ran on %s in the second phase, want v2", g)
 		}
 	}
 }
 
-// hangingReplica holds each request until its context ends.
+// hangingUpstream holds each request until its context ends.
 type hangingUpstream struct{ began chan struct{} }
 
 func (u hangingUpstream) Send(ctx context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
@@ -74,8 +74,8 @@
 	return nil, outcome.New(outcome.Unknown, "read", r.ID, ctx.Err())
 }
 
-// Clients that leave are no evidence against the replica or its release.
-func TestClientsThatLeaveCountAgainstNobody(t *testing.T) {
+// Requests whose clients disconnect must not count against the replica or its release.
+func TestDisconnectedClientsAreNoFailures(t *testing.T) {
 	v := NewCurrentView()
 	rel := rollout.NewRelease("s", "v2", 1, time.Minute).WithNextPhase()
 	v.Put(NewView(nil, []pool.Replica{{ID: "new", Kind: pool.Service, Service: "s", Release: "v2"}}, nil, nil).
@@ -90,13 +90,13 @@
 		}()
 		q := &OpaqueRequest{ID: "q", Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: time.Now(), Deadline: time.Now().Add(time.Hour), TimeoutAt: time.Now().Add(time.Hour)}
 		if f, err := r.Forward(ctx, q, &clientSink{}); err == nil || f.StopReason != "the client left" {
-			t.Fatalf("%v, stopped %q", err, f.StopReason)
+			t.Fatalf("error %v, stop reason %q, want an error and \"the client left\"", err, f.StopReason)
 		}
 	}
 	if l := r.CollectTallies(); len(l) != 0 {
-		t.Errorf("the release has %+v", l)
+		t.Errorf("tallies %+v, want none", l)
 	}
 	if !r.backends.stateOf("new").breaker.Allows(time.Now()) {
-		t.Error("the replica's breaker is open")
+		t.Error("the replica's breaker is open, want closed")
 	}
 }
--- a/entry/retries_test.go
+++ b/entry/retries_test.go
@@ -7,10 +7,9 @@
 	"fieldvale/admission"
 )
 
-// An instance of a large fleet, which sees few requests, has repeats left for
-// a larger model where doubtful answers come in a run, as they do by chance:
-// seven in ten, with one in two on average.
-func TestRepeatsSufficeForDoubtfulAnswers(t *testing.T) {
+// An instance of a large fleet gets few requests, of which by chance seven in ten in a row need a
+// larger model, with one in two on average. Its share of the retry budget has to cover them.
+func TestRetryBudgetSufficesForEscalations(t *testing.T) {
 	const instances, requests = 85, 60
 	now := time.Unix(1_700_000_000, 0)
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: func() time.Time { return now }, Retries: admission.Repeats{Part: 0.87, Burst: 147}, FleetSize: func() int { return instances }})
@@ -18,7 +17,7 @@
 		now = now.Add(10 * time.Second / requests)
 		r.countRequest("s")
 		if i%10 < 7 && !r.takeOpaqueRetry("s", escalationReserve) && i > 10 {
-			t.Errorf("request %d may not ask a larger model", i)
+			t.Errorf("request %d has no retry left for a larger model", i)
 		}
 	}
 }
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -27,8 +27,7 @@
 
 var _ = seed.Fix()
 
-// backendsFake answers each attempt with the next scripted kind and notes
-// what ran.
+// backendsFake answers each attempt with the next outcome of its script and records what ran.
 type backendsFake struct {
 	script []outcome.Kind
 	ran    []version.ID
@@ -66,7 +65,7 @@
 	return ServiceAnswer{Status: 200}, f.next(version.ID{})
 }
 
-// rest fakes the other ports: claims are granted or not, ratings are fixed.
+// portsFake fakes the other ports: claims fail with claimErr, and all ratings are the same.
 type portsFake struct {
 	claimErr    error
 	rating      float64
@@ -144,9 +143,9 @@
 
 var kinds = rapid.SliceOfN(rapid.SampledFrom([]outcome.Kind{outcome.Unknown, outcome.NotRun, outcome.Ran}), 0, 8)
 
-// A request runs only on what its customer allows, and one that is told "not
-// run" did not run, whatever the backend servers do.
-func TestOnlyAllowedVersionsRunAndNotRunIsTrue(t *testing.T) {
+// A request runs only on versions that its customer may use, and one reported as "not run" did
+// not run, whatever the backend servers do.
+func TestOnlyAllowedVersionsRunAndNotRunIsCorrect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &backendsFake{script: kinds.Draw(t, "script")}
 		f := &portsFake{rating: rapid.Float64Range(0, 1).Draw(t, "rating")}
@@ -168,10 +167,10 @@
 			}
 		}
 		if err != nil && failed(err).Outcome == outcome.NotRun && len(b.ran) > 0 {
-			t.Fatalf("told %v, and it ran on %v", err, b.ran)
+			t.Fatalf("the caller got %v, but the request ran on %v", err, b.ran)
 		}
 		if err == nil && f.billsHeld != 1 {
-			t.Fatalf("an answered request was billed %d times", f.billsHeld)
+			t.Fatalf("an answered request was billed %d times, want 1", f.billsHeld)
 		}
 	})
 }
@@ -181,22 +180,22 @@
 func (nullSink) Head(Result) error  { return nil }
 func (nullSink) Chunk([]byte) error { return nil }
 
-// A request that may not be repeated is sent again only after a proof that it
-// did not run, and its claim is freed only then.
-func TestOnceIsSentAgainOnlyAfterProof(t *testing.T) {
+// A request that may not be repeated is sent again only if it is known not to have run, and its
+// claim is freed only then.
+func TestOnceIsRetriedOnlyIfNotRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &backendsFake{script: kinds.Draw(t, "script")}
 		f := &portsFake{}
 		r, v := newTestRouter(t, b, f)
 		_, err := r.Call(t.Context(), ServiceRequest{ID: "id", Caller: customerOf(v, "gold"), Service: "desk", Call: "confirm", IdempotencyKey: "k", Deadline: time.Now().Add(time.Minute)})
 		if len(b.ran) > 1 {
-			t.Fatalf("sent %d times after %v", len(b.ran), b.script)
+			t.Fatalf("ran %d times after %v, want at most once", len(b.ran), b.script)
 		}
 		if f.claimsFreed > 0 && len(b.ran) > 0 {
 			t.Fatalf("the claim was freed though %v may have run", b.script)
 		}
 		if err != nil && failed(err).Outcome == outcome.NotRun && len(b.ran) > 0 {
-			t.Fatalf("told %v after %v", err, b.script)
+			t.Fatalf("the caller got %v after %v", err, b.script)
 		}
 	})
 }
@@ -214,7 +213,7 @@
 		{"none", "k", 0, ServiceNotFound},
 	} {
 		b := &backendsFake{}
-		r, v := newTestRouter(t, b, &portsFake{claimErr: errors.New("store is out")})
+		r, v := newTestRouter(t, b, &portsFake{claimErr: errors.New("store unavailable")})
 		_, err := r.Call(t.Context(), ServiceRequest{ID: "id", Caller: customerOf(v, "gold"), Service: c.service, Call: "confirm", IdempotencyKey: c.key, Deadline: time.Now().Add(time.Minute)})
 		var f *Failure
 		if errors.As(err, &f) != (c.code != "") || f != nil && (f.Code != c.code || f.Outcome != outcome.NotRun) || len(b.ran) != c.ran {
@@ -223,15 +222,15 @@
 	}
 }
 
-// A deadline that passed while the process was paused after its claim: what
-// wakes up sends nothing.
+// The deadline passes while the process is paused after its claim: after the pause nothing is
+// sent.
 func TestNothingIsSentAfterTheDeadline(t *testing.T) {
 	b := &backendsFake{}
 	f := &portsFake{}
 	r, v := newTestRouter(t, b, f)
 	_, err := r.Call(t.Context(), ServiceRequest{ID: "id", Caller: customerOf(v, "gold"), Service: "desk", Call: "confirm", IdempotencyKey: "k", Deadline: time.Now().Add(-time.Second)})
 	if err == nil || len(b.ran) != 0 || failed(err).Outcome != outcome.NotRun {
-		t.Errorf("ran %d times: %v", len(b.ran), err)
+		t.Errorf("ran %d times with error %v, want 0 and a not run error", len(b.ran), err)
 	}
 }
 
@@ -258,7 +257,7 @@
 	}
 }
 
-func TestViewNeverGoesBack(t *testing.T) {
+func TestRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := NewCurrentView()
 		d := config.Document{}
@@ -269,13 +268,13 @@
 			c.Put(NewView(a, nil, nil, nil))
 			high = max(high, d.Revision)
 			if g := c.Get().Active.Revision(); g != high {
-				t.Fatalf("revision %d is in force, %d was", g, high)
+				t.Fatalf("revision %d is in force, want %d", g, high)
 			}
 		}
 	})
 }
 
-func TestServesOnceEnginesAreKnown(t *testing.T) {
+func TestIsReadyOnceEnginesHaveReported(t *testing.T) {
 	a, _ := config.Activate(config.Document{Revision: 1})
 	e := func(v ...version.ID) pool.Replica { return pool.Replica{Kind: pool.Engine, Versions: v} }
 	for _, c := range []struct {
@@ -285,8 +284,8 @@
 	}{
 		{"no configuration", NewView(nil, []pool.Replica{e(versions[0])}, nil, nil), false},
 		{"no backend server", NewView(a, nil, nil, nil), false},
-		{"engines that said nothing", NewView(a, []pool.Replica{e(), e(), {Kind: pool.Service}}, nil, nil), false},
-		{"half of them have", NewView(a, []pool.Replica{e(versions[0]), e()}, nil, nil), true},
+		{"engines that reported nothing", NewView(a, []pool.Replica{e(), e(), {Kind: pool.Service}}, nil, nil), false},
+		{"half of the engines reported", NewView(a, []pool.Replica{e(versions[0]), e()}, nil, nil), true},
 		{"a plain service alone", NewView(a, []pool.Replica{{Kind: pool.Service}}, nil, nil), true},
 	} {
 		if g := c.view.IsReady(); g != c.want {
--- a/entry/tokentime_test.go
+++ b/entry/tokentime_test.go
@@ -18,12 +18,12 @@
 	"fieldvale/version"
 )
 
-// pacedEngines answer each version in its own time.
+// slowEngines answer after random times.
 type slowEngines struct {
 	backendsFake
 	rand *rand.Rand
-	// usual is how long an answer takes in the middle, of all versions; late is the part
-	// of the new one's answers that take five times as long.
+	// medianTime is the median time of all versions' answers. slowPart is the part of the new
+	// version's answers that take five times as long.
 	medianTime time.Duration
 	slowPart   float64
 }
@@ -37,7 +37,7 @@
 	return f.backendsFake.Chat(ctx, r, a)
 }
 
-// withRollout has half of the new sessions of the small model go to its second version.
+// withRollout sends half of the new sessions of the small model to its second version.
 func withRollout(t *testing.T, v *CurrentView) {
 	o, err := rollout.New(versions[1], versions[2], []int{rollout.FullShare / 2, rollout.FullShare}, time.Now(), time.Hour)
 	if err != nil {
@@ -54,22 +54,21 @@
 	v.Put(v.Get().WithActive(a))
 }
 
-// Callers waited five times as long for a third of the answers of a new version, which
-// took step after step: each answer came whole and was rated well, and nobody asked how
-// long it took. Beside the old version's it counts as bad; where all versions are slower,
-// as under load, it does not.
-func TestSlowVersionIsFoundBesideTheOldOne(t *testing.T) {
+// A third of a new version's answers take five times as long, but all are complete and rated
+// well. Without a comparison of times its roll-out would go on. The slow answers count as bad
+// beside the old version's; if all versions are slower, as under load, they do not.
+func TestSlowVersionIsFoundByComparison(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		late float64
-		// slower is how much longer all answers take from the middle on.
+		// slower multiplies the time of all answers in the second half.
 		slower float64
 		bad    bool
 	}{
 		{"a third of its answers late", 0.34, 1, true},
 		{"half of them late, and all slower", 0.5, 4, true},
-		{"sound", 0, 1, false},
-		{"sound, and all slower", 0, 4, false},
+		{"healthy", 0, 1, false},
+		{"healthy, and all slower", 0, 4, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			f := &slowEngines{rand: rand.New(rand.NewPCG(5, 5)), medianTime: 100 * time.Millisecond, slowPart: c.late}
@@ -91,13 +90,13 @@
 			e := r.Evidence()
 			d := rollout.NewDetector(rollout.DefaultRates()).With(e[versions[2]])
 			if d.Tripped() != c.bad {
-				t.Errorf("%s: found bad %t, want %t: %+v beside %+v", c.name, d.Tripped(), c.bad, e[versions[2]], e[versions[1]])
+				t.Errorf("%s: tripped %t, want %t: new version %+v, old version %+v", c.name, d.Tripped(), c.bad, e[versions[2]], e[versions[1]])
 			}
 		})
 	}
 }
 
-func Example_paces() {
+func Example_tokenTimes() {
 	p := newTokenTimes()
 	for range minSamples {
 		p.observe(version.New("small", "1"), 10*time.Millisecond)
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -18,28 +18,27 @@
 	"fieldvale/route"
 )
 
-// trialReplicas is how many replicas each release has, trialSlots how many
-// requests each takes at once.
+// trialReplicas is the number of replicas of each release, trialSlots the number of requests that
+// each takes at once.
 const (
 	trialReplicas = 12
 	trialSlots    = 64
 )
 
-// trialFleet is some instances before the replicas of two releases. Replicas
-// answer by time, and what instances tell each other of releases passes every
-// 400 ms to all.
+// trialFleet simulates instances that route to the replicas of two releases. The instances
+// exchange their tallies every 400 ms.
 type trialFleet struct {
 	t       *testing.T
 	view    *CurrentView
 	routers []*Router
-	// answer is how a replica answers: how long it takes, and with what status.
+	// answer returns the time and the status of a replica's answer.
 	answer func(r *pool.Replica, busy int, u *rand.Rand) (time.Duration, int)
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu      sync.Mutex
 	rand    *rand.Rand
 	busy    map[string]int
 	maxBusy map[string]int
-	// got is how many requests each release got.
+	// received is the number of requests by release.
 	received map[string]int
 	requests sync.WaitGroup
 }
@@ -59,7 +58,7 @@
 	})
 }
 
-// phase puts the release in force.
+// putRelease puts the release in force.
 func (f *trialFleet) putRelease(rel rollout.Release) {
 	var l []pool.Replica
 	for i := range trialReplicas {
@@ -70,8 +69,8 @@
 	f.view.Put(NewView(nil, l, nil, nil).WithRoutes(nil, map[string]rollout.Release{"s": rel}))
 }
 
-// Send implements Upstream: the replica answers after its time, and has the
-// request for as long, whether the client stays or not.
+// Send implements Upstream. The replica stays busy for its answer's time even if the client
+// disconnects.
 func (f *trialFleet) Send(ctx context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
 	f.mu.Lock()
 	f.busy[r.ID]++
@@ -92,7 +91,7 @@
 	}
 }
 
-// request sends one to an instance; its client leaves after the patience.
+// send sends a request to an instance; its client disconnects after the patience.
 func (f *trialFleet) send(id string, r *route.Route, patience time.Duration) {
 	n := f.routers[f.rand.IntN(len(f.routers))]
 	f.requests.Go(func() {
@@ -108,7 +107,7 @@
 	})
 }
 
-// routes are of unlike kinds of requests, which take unlike times.
+// trialRoutes returns routes, which are compared separately.
 func trialRoutes(n int) []*route.Route {
 	var l []*route.Route
 	for i := range n {
@@ -117,8 +116,8 @@
 	return l
 }
 
-// run sends so many requests a second for a while. Instances tell each other
-// what they saw, unless told not to.
+// run sends requests at the rate per second for the duration. The instances exchange their
+// tallies.
 func (f *trialFleet) run(name string, a []*route.Route, rate int, d, patience time.Duration) {
 	end := time.Now().Add(d)
 	tell := time.Now()
@@ -133,7 +132,7 @@
 	}
 }
 
-// tell passes what each instance saw to all others.
+// exchangeTallies passes the tally of each instance to all others.
 func (f *trialFleet) exchangeTallies() {
 	for i, r := range f.routers {
 		for _, t := range r.CollectTallies() {
@@ -146,8 +145,8 @@
 	}
 }
 
-// release plays a whole release of a service that gets so many requests a second,
-// by its phases, until it is found bad or its length is over.
+// runRelease runs a release through its phases at the rate of requests per second, until it is
+// found bad or its time is over.
 func (f *trialFleet) runRelease(rel rollout.Release, a []*route.Route, rate int, patience time.Duration) {
 	start := time.Now()
 	since := start
@@ -179,17 +178,15 @@
 	return false
 }
 
-// allowed is how many requests a bad release of 20 s may get: 15 in 100 and 30.
+// maxBadRequests is how many requests a bad release of 20 s may get: 15 in 100 and 30.
 func maxBadRequests(rate int) int { return 20*rate*15/100 + 30 }
 
-// A bad release went on to get requests for as long as it was ordered, and 1,842
-// after it should have been taken back. It did not fail: its answers came several
-// times later than those of the release before, and some clients left before them.
-// Each instance compared a slow answer only with earlier ones that it had seen
-// itself of the same kind and model, eight at least, and forgot these with each
-// restart. So of 462 answers of two releases 36 were compared, none of them of the
-// new one: release_seen told good=30 fast=0 slow=0 until the release was done.
-func TestASlowReleaseIsFoundByAFleetThatHasJustStarted(t *testing.T) {
+// A slow release whose answers come several times later than the old one's, without failures, has
+// to be found although some clients disconnect before their answers. If each instance compares an
+// answer only with at least eight earlier ones of the same kind and model that it received itself
+// since its start, a newly started fleet compares almost none (36 of 462, none of the new
+// release), and the release got 1,842 requests too many.
+func TestSlowReleaseIsFoundByNewlyStartedFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTrialFleet(t, 6)
 		f.answer = func(r *pool.Replica, _ int, u *rand.Rand) (time.Duration, int) {
@@ -211,14 +208,13 @@
 	})
 }
 
-// What an instance saw of a release was told to others as counts, of which they
-// kept the largest. After a restart its counts began at 0, and nothing that it saw
-// was heard until it had seen as much as in its life before: instances that were
-// restarted one by one took a release's bad answers out of sight for seconds.
-func TestWhatAnInstanceSeesAfterItsRestartIsHeard(t *testing.T) {
+// Peers keep the largest counts of a tally. If counts restart at 0 after a restart of an instance
+// without a new incarnation, its observations are ignored until they exceed the former ones, so
+// that restarting instances one by one hides a release's bad answers for seconds.
+func TestTallyAfterRestartIsCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTrialFleet(t, 2)
-		// Before the restart the release fails a little more than usual.
+		// Before the restart the release fails only slightly more often than the old one.
 		rate := 0.06
 		f.answer = func(r *pool.Replica, _ int, u *rand.Rand) (time.Duration, int) {
 			if u.Float64() < 0.06 || r.Release == "v2" && u.Float64() < rate {
@@ -230,11 +226,11 @@
 		rel.TrialShare = 3000
 		f.putRelease(rel)
 		judge := f.routers[0]
-		seen := f.routers[1:]
-		f.routers = seen
+		others := f.routers[1:]
+		f.routers = others
 		a := trialRoutes(1)
 		f.run("before", a, 60, 20*time.Second, time.Minute)
-		for _, x := range seen[0].CollectTallies() {
+		for _, x := range others[0].CollectTallies() {
 			judge.RecordPeerTally("n1", x)
 		}
 		time.Sleep(time.Second)
@@ -247,18 +243,17 @@
 			}
 		}
 		if len(judge.BadReleases()) == 0 {
-			t.Error("an instance that was restarted saw a release fail half of its requests for 3 s, and it was not heard")
+			t.Error("the release was not found bad, although a restarted instance reported for 3 s that half of its requests fail")
 		}
 		f.requests.Wait()
 	})
 }
 
-// A release that fails only under load was given a few requests at a time, spread
-// over all its replicas, and then everything by steps: 852 of 2,585 requests went to
-// it, and none of its replicas ever had half of its slots taken. No answer was bad,
-// so nothing held it up. Whatever its replicas do not show at the load that there
-// is, it stays within what a bad one may get until its length is over.
-func TestAReleaseThatFailsUnderLoadStaysWithinItsBound(t *testing.T) {
+// A release that fails only under load shows no bad answer while it gets a few requests at a time,
+// spread over all its replicas, and later everything in steps. One such release got 852 of 2,585
+// requests without any replica having half of its slots taken, so nothing stopped its roll-out.
+// Whatever can't be shown at the current load, it stays within its bound until its time is over.
+func TestReleaseFailingUnderLoadStaysWithinBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTrialFleet(t, 7)
 		f.answer = failsWhenBusy(trialSlots / 2)
@@ -271,22 +266,22 @@
 	})
 }
 
-// The same release fails at the load that a replica has once all requests go there:
-// it is found then, before it is done.
-func TestAReleaseThatFailsUnderTheUsualLoadIsFound(t *testing.T) {
+// A release that fails at the load of a replica once all requests go there is found before it is
+// done.
+func TestReleaseFailingUnderNormalLoadIsFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTrialFleet(t, 7)
 		f.answer = failsWhenBusy(4)
 		const rate = 70
 		f.runRelease(rollout.NewRelease("s", "v2", 1, 20*time.Second), trialRoutes(3), rate, time.Minute)
 		if n := f.received["v2"]; !f.found() || n > maxBadRequests(rate) {
-			t.Errorf("a release that fails under the usual load got %d requests, want at most %d; found: %t", n, maxBadRequests(rate), f.found())
+			t.Errorf("a release that fails under normal load got %d requests, want at most %d; found: %t", n, maxBadRequests(rate), f.found())
 		}
 		f.requests.Wait()
 	})
 }
 
-// failsFrom has half of the new release's answers fail at replicas that have so many
+// failsWhenBusy makes half of the new release's answers fail at replicas with at least busyFrom
 // requests.
 func failsWhenBusy(busyFrom int) func(*pool.Replica, int, *rand.Rand) (time.Duration, int) {
 	return func(r *pool.Replica, busy int, u *rand.Rand) (time.Duration, int) {
@@ -298,12 +293,11 @@
 	}
 }
 
-// A release of 14 s whose answers take five times as long in a third of the cases
-// got 497 requests after it should have been taken back. Its trial has some 30
-// requests. Compared within each half second and each kind, most of them had nothing
-// to be compared with: release_seen told pace=0.47 when 12 of 23 had waited longer
-// than 74 in 100 of the old release's had, and nothing held the release back.
-func TestASlowReleaseOfAShortLengthIsFound(t *testing.T) {
+// A release of 14 s whose answers take five times as long in a third of the cases gets a trial of
+// only about 30 requests. If these are compared within each half second and each kind, most have
+// no counterpart: the pace was 0.47 although 12 of 23 answers had taken longer than 74 in 100 of
+// the old release's, and the release got 497 requests too many.
+func TestShortSlowReleaseIsFound(t *testing.T) {
 	const runs = 20
 	found, done := 0, 0
 	for seed := range uint64(runs) {
@@ -321,13 +315,13 @@
 			f.requests.Wait()
 		})
 	}
-	// Before, none of them was found and all were done.
+	// With a comparison per half second and kind none is found and all are done.
 	if found < runs*8/10 || done > runs/10 {
-		t.Errorf("of %d releases slow in a third of their answers %d were found, %d done", runs, found, done)
+		t.Errorf("of %d releases slow in a third of their answers %d were found and %d done, want at least %d and at most %d", runs, found, done, runs*8/10, runs/10)
 	}
 }
 
-// slowInAThird has the new release take five times as long in a third of its answers.
+// slowInAThird makes a third of the new release's answers take five times as long.
 func (f *trialFleet) slowInAThird() {
 	f.answer = func(r *pool.Replica, _ int, u *rand.Rand) (time.Duration, int) {
 		d := time.Duration((100 + u.ExpFloat64()*200) * float64(time.Millisecond))
@@ -338,12 +332,11 @@
 	}
 }
 
-// Callers of a service got failures for half of their answers: its new release was done
-// after two requests. Its instances had just started, the store turned them away before
-// one was on the fleet's list, and each took what it saw alone for too little to be in
-// doubt by. One that judges the release is in doubt by its own answers; one that leaves
-// that to others is not.
-func TestAJudgeThatHearsFewIsInDoubtByItself(t *testing.T) {
+// A newly started fleet whose instances are not registered in the store yet exchanges no reports.
+// If a judging instance ignores its own doubt for that, a release that fails half of its requests
+// is done after two requests. An instance that leaves the judgement to others still ignores its
+// own doubt.
+func TestJudgeWithFewReportsUsesItsOwnDoubt(t *testing.T) {
 	f := newTrialFleet(t, 5)
 	rel := rollout.NewRelease("s", "v2", 1, 6*time.Second).WithNextPhase().WithNextPhase()
 	f.putRelease(rel)
@@ -355,9 +348,9 @@
 	}
 	r.releases.record(rel, observation{release: "v1", verdict: verdictGood}, time.Now(), r.hooks)
 	if s := r.Standing(rel, false); s.Inconclusive {
-		t.Error("one that leaves it to others is in doubt")
+		t.Error("an instance that does not judge the release is in doubt, want no doubt")
 	}
 	if s := r.Standing(rel, true); !s.Inconclusive {
-		t.Error("a judge that hears nobody is not in doubt of a release of which nothing was seen")
+		t.Error("a judge without reports has no doubt about a release without answers, want doubt")
 	}
 }
