--- a/entry/active.go
+++ b/entry/active.go
@@ -9,24 +9,24 @@
 // activeForwards are the opaque requests in progress with the functions that cancel them. Their
 // timeout timers stop while the machine is suspended.
 type activeForwards struct {
-	mu sync.Mutex
-	m  map[*forwarding]context.CancelFunc
+	mu      sync.Mutex
+	cancels map[*forwarding]context.CancelFunc
 }
 
 func newActiveForwards() *activeForwards {
-	return &activeForwards{m: map[*forwarding]context.CancelFunc{}}
+	return &activeForwards{cancels: map[*forwarding]context.CancelFunc{}}
 }
 
 func (u *activeForwards) add(w *forwarding, cancel context.CancelFunc) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.m[w] = cancel
+	u.cancels[w] = cancel
 }
 
 func (u *activeForwards) remove(w *forwarding) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.m, w)
+	delete(u.cancels, w)
 }
 
 // AfterSuspension has to be called after the machine was suspended. It ends requests whose
@@ -35,7 +35,7 @@
 	now := r.clock()
 	r.activeForwards.mu.Lock()
 	defer r.activeForwards.mu.Unlock()
-	for w, cancel := range r.activeForwards.m {
+	for w, cancel := range r.activeForwards.cancels {
 		time.AfterFunc(max(0, w.q.effectiveDeadline().Sub(now)), cancel)
 	}
 }
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -92,8 +92,7 @@
 	}
 }
 
-// done releases the replica and records the outcome for its breaker, its release and the
-// quarantine.
+// done releases the replica and records the outcome for its breaker, release and quarantine.
 func (a *attempt) done(err error) {
 	w := a.w
 	r := w.r
@@ -121,8 +120,7 @@
 	w.quarantineCheck.report(observed, a.replica.ID)
 }
 
-// placementFault is the fault reported to the placer if the attempt failed before its prompt was
-// read.
+// placementFault is the fault reported to the placer if the prompt was not read.
 func (a *attempt) placementFault(err error, bad bool) placement.Fault {
 	o, ok := asOutcome(err)
 	switch {
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -76,10 +76,10 @@
 }
 
 // finish bills the request and returns the metadata of its answer.
-func (r *Router) finish(q Request, c *cascadeRun, x version.ID, below bool) Result {
+func (r *Router) finish(q Request, c *cascadeRun, x version.ID, belowTarget bool) Result {
 	v := r.view.Get()
 	r.bill(v, q, x, c.spent)
-	return Result{RequestID: q.ID, Version: x, Revision: v.Active.Revision(), Session: c.session, SessionMoved: c.sessionMoved, BelowTarget: below}
+	return Result{RequestID: q.ID, Version: x, Revision: v.Active.Revision(), Session: c.session, SessionMoved: c.sessionMoved, BelowTarget: belowTarget}
 }
 
 // step runs one step of the plan. ok reports that its answer may be returned.
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -124,13 +124,13 @@
 	return w.isOverRan(err)
 }
 
-// isOverUnreachable counts a replica that could not be connected to.
+// isOverUnreachable counts a replica that could not be connected to, up to maxUnreachable.
 func (w *forwarding) isOverUnreachable() bool {
 	w.unreachable++
 	return w.stopIf(w.unreachable >= maxUnreachable, "replicas out of reach")
 }
 
-// isOverRefused counts a replica that refused the request.
+// isOverRefused counts a replica that refused the request, up to maxRefusals and the retry budget.
 func (w *forwarding) isOverRefused() bool {
 	w.refusals++
 	return w.stopIf(w.refusals >= maxRefusals, "replicas refused") || w.stopIf(!w.takeRetry(), "no budget")
--- a/entry/notices.go
+++ b/entry/notices.go
@@ -12,9 +12,8 @@
 // a trial whose result the later ones can use.
 const backoffSpread = 500 * time.Millisecond
 
-// acquireReplica returns the assignment, or another one, whose replica may be sent to at this
-// moment; nil if there is none. This check covers notices that a replica sent after it was
-// chosen.
+// acquireReplica returns p, or another assignment, whose replica may be sent to now; nil if there
+// is none. It obeys notices that arrived after the replica was chosen.
 func (w *forwarding) acquireReplica(ctx context.Context, p *assignment) *assignment {
 	for {
 		if p == nil {
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -67,8 +67,8 @@
 }
 
 func (w *noticingReplicas) isAvailable(id string) bool {
-	_, leaves := w.drainingSince[id]
-	return !leaves && !w.isBackingOff(id)
+	_, draining := w.drainingSince[id]
+	return !draining && !w.isBackingOff(id)
 }
 
 // checkSent checks that the replica may be sent to.
@@ -213,7 +213,7 @@
 		if w.isAvailable(r.ID) {
 			return
 		}
-		if _, leaves := w.drainingSince[r.ID]; !leaves {
+		if _, draining := w.drainingSince[r.ID]; !draining {
 			ends = append(ends, w.backoffUntil[r.ID])
 		}
 	}
--- a/entry/ports.go
+++ b/entry/ports.go
@@ -79,14 +79,14 @@
 // Clock returns the current time.
 type Clock func() time.Time
 
-// Placer chooses replicas for prompts from fleet-wide load and prefix cache state. ok is false if
-// that state is unavailable; that none of the replicas may be used is a valid choice.
+// Placer chooses replicas for prompts from fleet-wide load and prefix cache state. Choose reports
+// false if that state is unavailable; that none of the replicas may be used is a valid choice.
 type Placer interface {
 	Choose(ctx context.Context, group string, a placement.Request) (placement.Choice, placement.Ticket, bool)
 	// Read reports that the replica has read the prompt, Lost that the attempt failed before
 	// that.
 	Read(t placement.Ticket)
-	Lost(t placement.Ticket, why placement.Fault)
+	Lost(t placement.Ticket, fault placement.Fault)
 }
 
 // ForwardSink writes an answer to the client.
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -70,14 +70,14 @@
 }
 
 // report reports an attempt's outcome if its replica crashed or the content is suspected.
-func (w *quarantineCheck) report(came quarantine.Outcome, replica string) {
+func (w *quarantineCheck) report(observed quarantine.Outcome, replica string) {
 	if w.quarantine == nil {
 		return
 	}
-	ended := came == quarantine.ReplicaCrashed
-	w.suspected = w.suspected || ended
-	if w.onTrial || ended || w.suspected && came == quarantine.Served {
-		w.send(quarantine.AttemptResult{Outcome: came, Replica: replica})
+	crashed := observed == quarantine.ReplicaCrashed
+	w.suspected = w.suspected || crashed
+	if w.onTrial || crashed || w.suspected && observed == quarantine.Served {
+		w.send(quarantine.AttemptResult{Outcome: observed, Replica: replica})
 	}
 }
 
@@ -119,7 +119,7 @@
 // connection or breaks off an answer keeps running, and one that left the replica list has
 // normally shut down as planned. A replica that got the request shortly before it left the list
 // counts as crashed, though: on a busy machine the list reported one crash in five before the
-// broken connection did, and ignoring these cost one more replica.
+// broken connection did, and each crash missed cost one more replica.
 func (a *attempt) replicaCrashed() bool {
 	r := a.w.r
 	serves := r.view.Get().takesNewRequests(a.w.result.Service, a.replica.ID) || r.clock().Sub(a.sentAt) < drainGrace
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -153,9 +153,9 @@
 	return w.r.permitRequest(w.result.Service, l, w.coldPerSecond(), w.q.priority(), onlyBounded)
 }
 
-func (r *Router) permitRequest(service string, l []*pool.Replica, coldPerSecond float64, rank int, onlyBounded bool) quota.PermitRequest {
+func (r *Router) permitRequest(service string, l []*pool.Replica, coldPerSecond float64, priority int, onlyBounded bool) quota.PermitRequest {
 	now := r.clock()
-	a := quota.PermitRequest{Service: service, Priority: rank, OnlyBounded: onlyBounded}
+	a := quota.PermitRequest{Service: service, Priority: priority, OnlyBounded: onlyBounded}
 	for _, x := range l {
 		isCold := coldPerSecond > 0 && x.IsCold(now)
 		a.Candidates = append(a.Candidates, quota.Candidate{Replica: x.ID, Bound: r.quota.Bound(x.ID, coldPerSecond, isCold), ReportsCold: isCold})
@@ -185,7 +185,7 @@
 // takeReplica chooses a replica for a request of the product's own interfaces and counts the
 // request there; the caller ends it with backends.done. If no replica may be used it returns nil
 // and the time to retry.
-func (r *Router) takeReplica(ctx context.Context, service string, l []*pool.Replica, a pool.Request, tried []string, rank int) (*pool.Replica, time.Time) {
+func (r *Router) takeReplica(ctx context.Context, service string, l []*pool.Replica, a pool.Request, tried []string, priority int) (*pool.Replica, time.Time) {
 	var retryAt time.Time
 	for {
 		b := r.backends.take(l, a, tried, r.clock())
@@ -194,7 +194,7 @@
 		}
 		v := quota.PermitResult{}
 		if !r.quota.IsQuiet() && r.quota.Bound(b.ID, 0, false).IsBounded() {
-			v = r.quota.Take(ctx, r.permitRequest(service, []*pool.Replica{b}, 0, rank, false))
+			v = r.quota.Take(ctx, r.permitRequest(service, []*pool.Replica{b}, 0, priority, false))
 		}
 		if v.Index == 0 && r.notices.AdmitRequest(b.ID, r.clock()) {
 			return b, retryAt
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -45,11 +45,11 @@
 func (g *quotaFake) Take(_ context.Context, a quota.PermitRequest) quota.PermitResult {
 	g.asked = append(g.asked, a)
 	if g.grants == 0 {
-		why := quota.Limited
+		reason := quota.Limited
 		if a.Candidates[0].ReportsCold {
-			why = quota.ReasonCold
+			reason = quota.ReasonCold
 		}
-		return quota.PermitResult{Index: -1, Reason: why, RetryAt: g.retryAt}
+		return quota.PermitResult{Index: -1, Reason: reason, RetryAt: g.retryAt}
 	}
 	g.grants--
 	last := 0
@@ -114,10 +114,10 @@
 		after         time.Duration
 		want          string
 	}{
-		{"cold and lost", "s", "", 0, "warm cut; cold lost"},
-		{"when it is warm", "s", "", 2500 * time.Millisecond, "warm cold cut; lost"},
-		{"no bound", "other", "", 0, "warm cold lost cut; "},
-		{"one names a limit", "other", "cut", 0, "warm cold lost; cut"},
+		{"one cold, one unreachable", "s", "", 0, "warm cut; cold lost"},
+		{"once the cold one is warm", "s", "", 2500 * time.Millisecond, "warm cold cut; lost"},
+		{"service without a cold rate", "other", "", 0, "warm cold lost cut; "},
+		{"one advertises a limit", "other", "cut", 0, "warm cold lost; cut"},
 		{"both", "s", "cut", 0, "warm; cold lost cut"},
 	} {
 		g := &quotaFake{limited: map[string]bool{}}
--- a/entry/releases.go
+++ b/entry/releases.go
@@ -175,7 +175,7 @@
 	return r.collectTallies(func(t *trialState) bool { return t.urgent })
 }
 
-func (r *Router) collectTallies(is func(*trialState) bool) []ReleaseTally {
+func (r *Router) collectTallies(include func(*trialState) bool) []ReleaseTally {
 	var l []ReleaseTally
 	for _, rel := range r.view.Get().Releases {
 		if rel.State != rollout.Running {
@@ -183,7 +183,7 @@
 		}
 		r.releases.update(rel, r.hooks, func(t *trialState) bool {
 			found := t.countPassed(r.clock(), r.releases.incarnation)
-			if is(t) {
+			if include(t) {
 				t.changed, t.urgent = false, false
 				l = append(l, ReleaseTally{Service: rel.Service, Order: rel.Order, Tally: t.ownTally})
 			}
--- a/entry/router.go
+++ b/entry/router.go
@@ -281,8 +281,7 @@
 	return o, ok
 }
 
-// takeRetry reports whether the request may be sent again after err, and takes the retry from the
-// budget.
+// takeRetry takes a retry from the budget if the request may be sent again after err.
 func (r *Router) takeRetry(err error, once bool) bool {
 	if !outcome.MayRepeat(err, once) {
 		return false
@@ -396,8 +395,7 @@
 	}
 }
 
-// recordRating counts an answer by its rating; a slow answer counts as bad whatever its rating
-// is.
+// recordRating counts an answer by its rating. A slow one counts as bad whatever its rating is.
 func (r *Router) recordRating(c *cascadeRun, rating float64) {
 	if c.slow {
 		r.evidence.bad(c.version)
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -78,8 +78,8 @@
 }
 
 // replay writes a collected answer to the caller.
-func (r *Router) replay(q Request, c *cascadeRun, s Sink, n *collector, below bool) error {
-	f := r.finish(q, c, c.version, below)
+func (r *Router) replay(q Request, c *cascadeRun, s Sink, n *collector, belowTarget bool) error {
+	f := r.finish(q, c, c.version, belowTarget)
 	if err := s.Head(f); err != nil {
 		return callerGone(err)
 	}
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -97,8 +97,8 @@
 	f.requests.Go(func() {
 		ctx, cancel := context.WithTimeoutCause(f.t.Context(), patience, context.Canceled)
 		defer cancel()
-		x, leave := context.WithCancel(ctx)
-		defer time.AfterFunc(patience, leave).Stop()
+		x, disconnect := context.WithCancel(ctx)
+		defer time.AfterFunc(patience, disconnect).Stop()
 		q := &OpaqueRequest{ID: id, Session: id, Route: r, ArrivedAt: time.Now(), Deadline: time.Now().Add(time.Minute), TimeoutAt: time.Now().Add(time.Minute)}
 		_, err := n.Forward(x, q, &clientSink{})
 		if err != nil && errors.Is(err, io.EOF) {
@@ -120,14 +120,14 @@
 // tallies.
 func (f *trialFleet) run(name string, a []*route.Route, rate int, d, patience time.Duration) {
 	end := time.Now().Add(d)
-	tell := time.Now()
+	lastExchange := time.Now()
 	for n := 0; time.Now().Before(end); n++ {
 		f.send(fmt.Sprint(name, n), a[f.rand.IntN(len(a))], patience)
 		time.Sleep(time.Second / time.Duration(rate))
-		if time.Since(tell) < 400*time.Millisecond {
+		if time.Since(lastExchange) < 400*time.Millisecond {
 			continue
 		}
-		tell = time.Now()
+		lastExchange = time.Now()
 		f.exchangeTallies()
 	}
 }
--- a/entry/view.go
+++ b/entry/view.go
@@ -41,7 +41,7 @@
 	return NewViewOf(a, l, m, tripped)
 }
 
-// NewViewOf is like NewView but shares the replicas with the caller instead of copying the slice.
+// NewViewOf is like NewView for replicas that several views share.
 func NewViewOf(a *config.Active, r []*pool.Replica, m []peer.Member, tripped []version.ID) *View {
 	v := &View{
 		Active:    a,
