--- /dev/null
+++ b/entry/active.go
@@ -0,0 +1,41 @@
+package entry
+
+import (
+	"context"
+	"sync"
+	"time"
+)
+
+// activeForwards are the opaque requests in progress with the functions that cancel them. Their
+// timeout timers stop while the machine is suspended.
+type activeForwards struct {
+	mu      sync.Mutex
+	cancels map[*forwarding]context.CancelFunc
+}
+
+func newActiveForwards() *activeForwards {
+	return &activeForwards{cancels: map[*forwarding]context.CancelFunc{}}
+}
+
+func (u *activeForwards) add(w *forwarding, cancel context.CancelFunc) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.cancels[w] = cancel
+}
+
+func (u *activeForwards) remove(w *forwarding) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	delete(u.cancels, w)
+}
+
+// AfterSuspension has to be called after the machine was suspended. It ends requests whose
+// deadline passed meanwhile, and sets new timers for the others.
+func (r *Router) AfterSuspension() {
+	now := r.clock()
+	r.activeForwards.mu.Lock()
+	defer r.activeForwards.mu.Unlock()
+	for w, cancel := range r.activeForwards.cancels {
+		time.AfterFunc(max(0, w.q.effectiveDeadline().Sub(now)), cancel)
+	}
+}
--- a/entry/backends.go
+++ b/entry/backends.go
@@ -12,35 +12,35 @@
 	"fieldvale/pool"
 )
 
-// sessionRule is the rule by which replicas are chosen (docs/MEASURES.md).
-type sessionRule = pool.BoundedAffinity[pool.TwoChoices]
+// sessionPolicy is the policy for choosing replicas (docs/MEASURES.md).
+type sessionPolicy = pool.BoundedAffinity[pool.TwoChoices]
 
-// affinityBound is how far above the mean load a session's replica may be.
-const affinityBound = 1.5
+// sessionLoadFactor is the multiple of the mean load that a session's replica may have.
+const sessionLoadFactor = 1.5
 
-// backends keeps what this entry knows of each replica from its own calls.
+// backends holds this instance's own state for each replica.
 type backends struct {
-	mu      sync.Mutex
-	state   map[string]*backend
-	chooser *pool.Chooser[sessionRule]
-	homes   *pool.Chooser[pool.PrefixAffinity]
-	scratch []pool.Candidate
-	// notices is what replicas said of themselves: no choice goes against it.
+	mu             sync.Mutex
+	state          map[string]*backend
+	sessionChooser *pool.Chooser[sessionPolicy]
+	prefixChooser  *pool.Chooser[pool.PrefixAffinity]
+	scratch        []pool.Candidate
+	// notices holds the drain and backoff notices of replicas, which every choice obeys.
 	notices *notice.Tracker
 }
 
 type backend struct {
 	running int
-	// pending is the estimated milliseconds of prompts sent and not yet read.
-	pending float64
-	breaker admission.Breaker
-	// service is the plain service of the replica, empty for others.
+	// pendingMs is the estimated time for the prompts sent and not read yet, in milliseconds.
+	pendingMs float64
+	breaker   admission.Breaker
+	// service is the replica's plain service; empty for engines.
 	service string
 }
 
-// usual is the rate of failures of the service's replicas: the middle one of
-// all, so that one bad replica does not excuse itself.
-func (b *backends) usual(x *backend) float64 {
+// serviceFailureRate is the median failure rate of the service's other replicas. It excludes x so
+// that one bad replica can't raise its own threshold.
+func (b *backends) serviceFailureRate(x *backend) float64 {
 	var l []float64
 	for _, s := range b.state {
 		if s.service == x.service && s != x {
@@ -56,14 +56,14 @@
 
 func newBackends(s rand.Source, n *notice.Tracker) *backends {
 	return &backends{
-		state:   map[string]*backend{},
-		notices: n,
-		chooser: pool.NewChooser(sessionRule{LoadFactor: affinityBound}, s),
-		homes:   pool.NewChooser(pool.PrefixAffinity{SlackMs: homeSlack}, s),
+		state:          map[string]*backend{},
+		notices:        n,
+		sessionChooser: pool.NewChooser(sessionPolicy{LoadFactor: sessionLoadFactor}, s),
+		prefixChooser:  pool.NewChooser(pool.PrefixAffinity{SlackMs: affinitySlackMs}, s),
 	}
 }
 
-func (b *backends) of(id string) *backend {
+func (b *backends) stateOf(id string) *backend {
 	x, ok := b.state[id]
 	if !ok {
 		x = &backend{}
@@ -72,7 +72,7 @@
 	return x
 }
 
-// take chooses a replica and counts the request on it; nil if none is left.
+// take chooses a replica and counts the request there; nil if none is left.
 func (b *backends) take(r []*pool.Replica, a pool.Request, tried []string, now time.Time) *pool.Replica {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,29 +82,29 @@
 			break
 		}
 	}
-	i := b.chooser.Choose(a, b.scratch)
+	i := b.sessionChooser.Choose(a, b.scratch)
 	if i < 0 {
 		return nil
 	}
 	c := b.scratch[i].Replica
-	s := b.of(c.ID)
+	s := b.stateOf(c.ID)
 	s.running++
 	s.breaker.Tried(now)
 	return c
 }
 
-// done gives the replica back and learns from the result. A refusal is the
-// replica's sound answer and does not count against it.
+// done ends a request at the replica and records its outcome in the breaker. A refusal is a
+// correct answer and does not count as a failure.
 func (b *backends) done(id string, err error, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.of(id)
+	s := b.stateOf(id)
 	s.running--
 	if err == nil || isRefusal(err) {
 		s.breaker.Succeeded()
 		return
 	}
-	s.breaker.Failed(now, b.usual(s))
+	s.breaker.Failed(now, b.serviceFailureRate(s))
 }
 
 func isRefusal(err error) bool {
@@ -112,13 +112,13 @@
 	return ok && o.Kind == outcome.NotRun && o.Status != 0
 }
 
-// queued is the work waiting at the replicas, by slot.
-func (b *backends) queued(r []*pool.Replica) float64 {
+// queuedPerSlot is the number of waiting requests per slot of the replicas.
+func (b *backends) queuedPerSlot(r []*pool.Replica) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w, n := 0, 0
 	for _, x := range r {
-		c := pool.Candidate{Replica: x, Local: b.of(x.ID).running}
+		c := pool.Candidate{Replica: x, Local: b.stateOf(x.ID).running}
 		w += max(0, -c.FreeSlots())
 		n += max(1, x.Slots)
 	}
@@ -128,7 +128,7 @@
 	return float64(w) / float64(n)
 }
 
-// running returns this entry's requests on each replica.
+// running returns this instance's requests in flight by replica.
 func (b *backends) running() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -141,12 +141,12 @@
 	return r
 }
 
-// forgetAbove is how many replicas are known before those are forgotten that
-// have nothing running: replicas come and go for as long as the process runs.
-const forgetAbove = 2000
+// maxStates is the number of states above which idle ones are deleted, as replicas are replaced
+// as long as the process runs.
+const maxStates = 2000
 
-func (b *backends) forget() {
-	if len(b.state) <= forgetAbove {
+func (b *backends) forgetIdle() {
+	if len(b.state) <= maxStates {
 		return
 	}
 	for id, s := range b.state {
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -8,9 +8,9 @@
 	"fieldvale/session"
 )
 
-// BenchmarkDecision is one whole decision: plan, version and replica.
+// BenchmarkDecision measures one complete decision: plan, version and replica.
 func BenchmarkDecision(b *testing.B) {
-	r, v := newTestRouter(b, &backendsFake{}, &rest{})
+	r, v := newTestRouter(b, &backendsFake{}, &portsFake{})
 	q := request(v, "gold", AutoModel)
 	now := time.Now()
 	b.ReportAllocs()
--- a/entry/ended_test.go
+++ b/entry/crash_test.go
@@ -15,32 +15,32 @@
 	"fieldvale/route"
 )
 
-// endedUpstream breaks each request off, as a replica does that ends.
-type endedUpstream struct{}
+// crashedUpstream breaks off each request, like a crashing replica.
+type crashedUpstream struct{}
 
-func (endedUpstream) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
+func (crashedUpstream) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
 	return nil, outcome.New(outcome.Unknown, "read", r.ID, io.ErrUnexpectedEOF)
 }
 
 // HasEnded implements Prober.
-func (endedUpstream) HasEnded(context.Context, *pool.Replica) bool { return true }
+func (crashedUpstream) HasEnded(context.Context, *pool.Replica) bool { return true }
 
-// A request brings down a replica of a good release, and forty others break off there. To
-// the judges that was forty bad answers of the release, and it was taken back.
-func TestAReplicaThatEndsIsOneFinding(t *testing.T) {
+// A request crashes a replica of a good release, and forty others break off there. Counted as
+// forty bad answers of the release, they would cause its rollback.
+func TestCrashCountsOnceAgainstItsRelease(t *testing.T) {
 	v := NewCurrentView()
 	rel := rollout.NewRelease("s", "v2", 1, time.Minute)
 	rel.Phase = 2
 	v.Put(NewView(nil, []pool.Replica{{ID: "new.1", Kind: pool.Service, Service: "s", Release: "v2", Slots: 64}}, nil, nil).
 		WithRoutes(route.New(1, nil, nil, nil, route.Limits{}), map[string]rollout.Release{"s": rel}))
-	r := NewRouter(Ports{View: v, Clock: time.Now, Rand: rand.NewPCG(1, 1), Upstream: endedUpstream{}, Prober: endedUpstream{}, Retries: admission.Repeats{Burst: 99}})
+	r := NewRouter(Ports{View: v, Clock: time.Now, Rand: rand.NewPCG(1, 1), Upstream: crashedUpstream{}, Prober: crashedUpstream{}, Retries: admission.Repeats{Burst: 99}})
 	x := &route.Route{Kind: route.Once, MaxAttempts: 1, Split: []route.Part{{Service: "s"}}}
 	for i := range 40 {
 		q := &OpaqueRequest{ID: fmt.Sprint("q", i), Table: v.Get().Table, Route: x, ArrivedAt: time.Now(), Deadline: time.Now().Add(time.Second), TimeoutAt: time.Now().Add(time.Second)}
 		if _, err := r.Forward(t.Context(), q, &clientSink{}); err == nil {
-			t.Fatal("a request was answered")
+			t.Fatalf("request %d was answered, want an error", i)
 		}
-		r.backends.of("new.1").breaker = admission.Breaker{}
+		r.backends.stateOf("new.1").breaker = admission.Breaker{}
 	}
 	var broken uint64
 	for _, y := range r.CollectTallies() {
@@ -48,14 +48,14 @@
 		broken += n.Broken
 	}
 	if broken != 1 {
-		t.Errorf("%d findings, want one", broken)
+		t.Errorf("%d broken answers counted, want 1", broken)
 	}
 }
 
-// The list lost a replica a moment before the request that brought it down broke off: its
-// end was taken for a planned one. A request that a replica got long before it left the
-// list says nothing.
-func TestEndsThatTheListKnewFirst(t *testing.T) {
+// A replica list that removes a crashed replica just before its connections break off makes the
+// crash look like a planned shutdown. A request sent to the replica long before its removal is no
+// evidence of a crash.
+func TestCrashAfterRemovalFromReplicaList(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name   string
@@ -64,18 +64,18 @@
 		want   bool
 	}{
 		{"listed", true, now.Add(-time.Minute), true},
-		{"gone, sent just before", false, now.Add(-40 * time.Millisecond), true},
-		{"gone, sent long before", false, now.Add(-3 * time.Second), false},
+		{"removed, sent just before", false, now.Add(-40 * time.Millisecond), true},
+		{"removed, sent long before", false, now.Add(-3 * time.Second), false},
 	} {
 		v := NewCurrentView()
 		b := pool.Replica{ID: "r", Kind: pool.Service, Service: "s"}
 		if c.listed {
 			v.Put(NewView(nil, []pool.Replica{b}, nil, nil))
 		}
-		r := NewRouter(Ports{View: v, Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Prober: endedUpstream{}})
-		a := &attempt{w: &forwarding{r: r, f: &ForwardResult{Service: "s"}}, replica: &b, sent: c.sent}
-		if got := a.replicaEnded(); got != c.want {
-			t.Errorf("%s: ended %t, want %t", c.name, got, c.want)
+		r := NewRouter(Ports{View: v, Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Prober: crashedUpstream{}})
+		a := &attempt{w: &forwarding{r: r, result: &ForwardResult{Service: "s"}}, replica: &b, sentAt: c.sent}
+		if got := a.replicaCrashed(); got != c.want {
+			t.Errorf("%s: crashed %t, want %t", c.name, got, c.want)
 		}
 	}
 }
--- a/entry/evidence.go
+++ b/entry/evidence.go
@@ -10,22 +10,22 @@
 	"fieldvale/version"
 )
 
-// ratingFloor is the rating below which an answer is evidence against its
-// version, whatever quality the policy asks for.
+// ratingFloor is the rating below which an answer counts against its version, whatever quality
+// the policy demands.
 const ratingFloor = 0.3
 
-// maxRatings bounds the answers waiting to be rated.
+// maxRatings bounds the queue of answers to be rated.
 const maxRatings = 256
 
 const ratingTimeout = 2 * time.Second
 
-// evidence counts good and bad outcomes by version. An answer counts as good
-// or bad once: by its rating where there is one, else by having come whole.
+// evidence counts good and bad answers by version. Each answer counts once: by its rating if it
+// has one, otherwise as good if it arrived completely.
 type evidence struct {
-	mu    sync.Mutex
-	count map[version.ID]rollout.Outcomes
-	rater Rater
-	queue *ring.Ring[ratingJob]
+	mu       sync.Mutex
+	outcomes map[version.ID]rollout.Outcomes
+	rater    Rater
+	queue    *ring.Ring[ratingJob]
 }
 
 type ratingJob struct {
@@ -35,19 +35,19 @@
 }
 
 func newEvidence(r Rater) *evidence {
-	return &evidence{count: map[version.ID]rollout.Outcomes{}, rater: r, queue: ring.New[ratingJob](maxRatings)}
+	return &evidence{outcomes: map[version.ID]rollout.Outcomes{}, rater: r, queue: ring.New[ratingJob](maxRatings)}
 }
 
 func (e *evidence) good(v version.ID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.count[v] = e.count[v].WithGood(1)
+	e.outcomes[v] = e.outcomes[v].WithGood(1)
 }
 
 func (e *evidence) bad(v version.ID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.count[v] = e.count[v].WithBad(1)
+	e.outcomes[v] = e.outcomes[v].WithBad(1)
 }
 
 func (e *evidence) rated(v version.ID, rating float64) {
@@ -58,15 +58,15 @@
 	e.good(v)
 }
 
-// later has an answer rated after the caller got it. One that finds no room
-// counts as good, as an unrated answer does.
-func (e *evidence) later(v version.ID, request, answer []byte) {
+// queueRating queues an answer for rating after it was delivered. If the queue is full it counts
+// as good, like an unrated answer.
+func (e *evidence) queueRating(v version.ID, request, answer []byte) {
 	if !e.queue.Offer(ratingJob{v, request, answer}) {
 		e.good(v)
 	}
 }
 
-// run is the duty that rates.
+// run rates queued answers until ctx ends.
 func (e *evidence) run(ctx context.Context) error {
 	for {
 		j, err := e.queue.Take(ctx)
@@ -84,12 +84,12 @@
 	}
 }
 
-// all returns the counts.
+// all returns a copy of the counts.
 func (e *evidence) all() map[version.ID]rollout.Outcomes {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := make(map[version.ID]rollout.Outcomes, len(e.count))
-	for k, v := range e.count {
+	r := make(map[version.ID]rollout.Outcomes, len(e.outcomes))
+	for k, v := range e.outcomes {
 		r[k] = v
 	}
 	return r
--- a/entry/group.go
+++ b/entry/group.go
@@ -8,12 +8,12 @@
 	"fieldvale/pool"
 )
 
-// maxCandidates bounds the replicas among which a keeper chooses.
+// maxCandidates bounds the replicas among which a group's owner chooses.
 const maxCandidates = 12
 
-// group returns the group that the key belongs to among the allowed replicas, and its best
-// candidates: the key's preferred ones first.
-func (w *forwarding) group(key string, allowed, c []*pool.Replica) (group string, best []*pool.Replica) {
+// placementGroup returns the key's group among the allowed replicas, and its best candidates in
+// the key's order of preference.
+func (w *forwarding) placementGroup(key string, allowed, c []*pool.Replica) (group string, best []*pool.Replica) {
 	if key == "" {
 		key = w.q.ID
 	}
@@ -22,11 +22,11 @@
 	if in := inGroup(c, g, k); len(in) > 0 {
 		c = in
 	}
-	return w.f.Service + "/" + strconv.Itoa(k), preferred(key, c)
+	return w.result.Service + "/" + strconv.Itoa(k), firstCandidates(key, c)
 }
 
-// preferred returns the key's preferred replicas in their order.
-func preferred(key string, l []*pool.Replica) []*pool.Replica {
+// firstCandidates returns the first replicas in the key's order of preference.
+func firstCandidates(key string, l []*pool.Replica) []*pool.Replica {
 	if len(l) == 0 {
 		return nil
 	}
@@ -52,8 +52,8 @@
 	return slices.AppendSeq(make([]string, 0, len(c)), pool.IDs(c))
 }
 
-// far returns the bits of the replicas in other data centres.
-func (r *Router) far(c []*pool.Replica) uint64 {
+// remoteBits returns a bit mask of the replicas in other data centres.
+func (r *Router) remoteBits(c []*pool.Replica) uint64 {
 	var m uint64
 	for i, x := range c {
 		if x.DataCentre != r.dataCentre {
--- /dev/null
+++ b/entry/hooks.go
@@ -0,0 +1,69 @@
+package entry
+
+import (
+	"fieldvale/claim"
+	"fieldvale/rollout"
+	"time"
+)
+
+// FailedAttempt describes an attempt that failed.
+type FailedAttempt struct {
+	Request string
+	Service string
+	Replica string
+	// Fingerprint is equal for requests with the same content; empty where it was not computed.
+	Fingerprint string
+	// AnswerStarted reports that the answer's head had arrived; Events is the number of events
+	// relayed after it.
+	AnswerStarted bool
+	Events        int
+	Err           error
+}
+
+// Hooks are callbacks for logs and metrics. Each may be nil, and none may block.
+type Hooks struct {
+	// AttemptFailed is called for a failed attempt at a backend server.
+	AttemptFailed func(FailedAttempt)
+	// RatingFailed is called if the rating service did not rate an answer.
+	RatingFailed func(request string, err error)
+	// ClaimNotRecorded is called if the end of a claim was not recorded. A caller who repeats the
+	// request is then informed that it may have run.
+	ClaimNotRecorded func(c claim.Claim, err error)
+	// BadReleaseFound is called if this instance found a release bad, with the tally of this
+	// instance and of those that report to it.
+	BadReleaseFound func(r rollout.Release, seen rollout.Tally, f rollout.Finding)
+	// RequestStarted is called when a request of the customer has started to run.
+	RequestStarted func(customer string, at time.Time)
+	// AttemptJudged is called with the verdict of an attempt on its service's release.
+	AttemptJudged func(service, release, verdict string)
+}
+
+func (e *Hooks) attemptJudged(service, release, verdict string) {
+	if e.AttemptJudged != nil {
+		e.AttemptJudged(service, release, verdict)
+	}
+}
+
+func (e *Hooks) badReleaseFound(r rollout.Release, seen rollout.Tally, f rollout.Finding) {
+	if e.BadReleaseFound != nil {
+		e.BadReleaseFound(r, seen, f)
+	}
+}
+
+func (e *Hooks) attemptFailed(f FailedAttempt) {
+	if e.AttemptFailed != nil {
+		e.AttemptFailed(f)
+	}
+}
+
+func (e *Hooks) ratingFailed(request string, err error) {
+	if e.RatingFailed != nil {
+		e.RatingFailed(request, err)
+	}
+}
+
+func (e *Hooks) claimNotRecorded(c claim.Claim, err error) {
+	if e.ClaimNotRecorded != nil {
+		e.ClaimNotRecorded(c, err)
+	}
+}
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -28,87 +28,89 @@
 )
 
 const (
-	// talkersServe is how long after its word a leaving talker may get requests, as the last resort.
-	talkersServe = time.Second
-	talkersDrain = 2 * talkersServe
+	// drainServeTime is how long after its notice a draining replica may still get requests, as a
+	// last resort.
+	drainServeTime = time.Second
+	drainTime      = 2 * drainServeTime
 )
 
-// talkers are replicas that say in their answers, as drawn, that they leave or want rest, and
-// check that what they get was sent in spite of neither.
-type talkers struct {
-	t     *rapid.T
-	now   time.Time
-	book  *notice.Tracker
-	all   []pool.Replica
-	left  map[string]time.Time
-	rests map[string]time.Time
-	// sent are the replicas that the request under way was sent to.
+// noticingReplicas are replicas whose answers announce draining or backoff at random. They check
+// that they get no request in spite of it.
+type noticingReplicas struct {
+	t             *rapid.T
+	now           time.Time
+	tracker       *notice.Tracker
+	replicas      []pool.Replica
+	drainingSince map[string]time.Time
+	backoffUntil  map[string]time.Time
+	// sent are the replicas that the current request was sent to.
 	sent []string
 }
 
-func newTalkers(t *rapid.T, kind pool.Kind) *talkers {
-	w := &talkers{t: t, now: time.Unix(1_700_000_000, 0), left: map[string]time.Time{}, rests: map[string]time.Time{}}
-	w.book = notice.NewTracker(w.clock, talkersDrain, func(string, ...any) {})
+func newNoticingReplicas(t *rapid.T, kind pool.Kind) *noticingReplicas {
+	w := &noticingReplicas{t: t, now: time.Unix(1_700_000_000, 0), drainingSince: map[string]time.Time{}, backoffUntil: map[string]time.Time{}}
+	w.tracker = notice.NewTracker(w.clock, drainTime, func(string, ...any) {})
 	for i := range rapid.IntRange(1, 6).Draw(t, "replicas") {
-		w.all = append(w.all, pool.Replica{ID: fmt.Sprint("r", i), Kind: kind, Service: "s", Release: fmt.Sprint("v", i%2), Slots: 4, Versions: []version.ID{version.New("m", "1")}})
+		w.replicas = append(w.replicas, pool.Replica{ID: fmt.Sprint("r", i), Kind: kind, Service: "s", Release: fmt.Sprint("v", i%2), Slots: 4, Versions: []version.ID{version.New("m", "1")}})
 	}
 	return w
 }
 
-func (w *talkers) clock() time.Time { return w.now }
+func (w *noticingReplicas) clock() time.Time { return w.now }
 
-// isResting reports whether the replica wants no request now, isGone whether it must get none any more.
-func (w *talkers) isResting(id string) bool { return w.now.Before(w.rests[id]) }
-func (w *talkers) isGone(id string) bool {
-	at, ok := w.left[id]
-	return ok && !w.now.Before(at.Add(talkersServe))
+// isBackingOff reports whether the replica accepts no request now, isGone whether it accepts none
+// any more.
+func (w *noticingReplicas) isBackingOff(id string) bool { return w.now.Before(w.backoffUntil[id]) }
+func (w *noticingReplicas) isGone(id string) bool {
+	at, ok := w.drainingSince[id]
+	return ok && !w.now.Before(at.Add(drainServeTime))
 }
 
-func (w *talkers) isFit(id string) bool {
-	_, leaves := w.left[id]
-	return !leaves && !w.isResting(id)
+func (w *noticingReplicas) isAvailable(id string) bool {
+	_, draining := w.drainingSince[id]
+	return !draining && !w.isBackingOff(id)
 }
 
-// got checks that the replica may be sent to.
-func (w *talkers) got(id string) {
-	if w.isResting(id) {
-		w.t.Errorf("%s got a request %s before the end of its rest", id, w.rests[id].Sub(w.now))
+// checkSent checks that the replica may be sent to.
+func (w *noticingReplicas) checkSent(id string) {
+	if w.isBackingOff(id) {
+		w.t.Errorf("%s got a request %s before the end of its backoff", id, w.backoffUntil[id].Sub(w.now))
 	}
 	if w.isGone(id) {
-		w.t.Errorf("%s got a request %s after its word that it leaves", id, w.now.Sub(w.left[id]))
+		w.t.Errorf("%s got a request %s after its drain notice", id, w.now.Sub(w.drainingSince[id]))
 	}
 	w.sent = append(w.sent, id)
 }
 
-// says has the replica say what was drawn, in an answer to a request sent then, and reports whether it
-// turns the request away.
-func (w *talkers) says(id string, sentAt time.Time) (refused bool) {
+// answerWithNotice answers a request sent at sentAt with a random notice, and reports whether the
+// replica refused the request.
+func (w *noticingReplicas) answerWithNotice(id string, sentAt time.Time) (refused bool) {
 	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 60).Draw(w.t, "took")) * time.Millisecond)
 	n := notice.Notice{Replica: id, Service: "s", SentAt: sentAt, ReceivedAt: w.now}
-	switch rapid.IntRange(0, 9).Draw(w.t, "word") {
+	switch rapid.IntRange(0, 9).Draw(w.t, "notice") {
 	case 0:
 		n.Draining = true
 	case 1, 2:
 		n.Refused = true
-		n.BackoffUntil = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(w.t, "rest")) * time.Millisecond)
+		n.BackoffUntil = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(w.t, "backoff")) * time.Millisecond)
 	case 3:
 		n.Refused = true
 	}
-	w.book.Observe(n)
-	if _, known := w.left[id]; n.Draining && !known {
-		w.left[id] = w.now
+	w.tracker.Observe(n)
+	if _, known := w.drainingSince[id]; n.Draining && !known {
+		w.drainingSince[id] = w.now
 	}
-	if n.BackoffUntil.After(w.rests[id]) {
-		w.rests[id] = n.BackoffUntil
+	if n.BackoffUntil.After(w.backoffUntil[id]) {
+		w.backoffUntil[id] = n.BackoffUntil
 	}
 	return n.Refused
 }
 
 // Send implements Upstream.
-func (w *talkers) Send(ctx context.Context, r *pool.Replica, d Dispatch) (Reply, error) {
-	w.got(r.ID)
-	if w.says(r.ID, w.now) {
-		return nil, outcome.New(outcome.NotRun, "refused", r.ID, errors.New("status 503")).WithStatus(http.StatusServiceUnavailable).WithRetryAt(w.rests[r.ID])
+func (w *noticingReplicas) Send(ctx context.Context, r *pool.Replica, d Dispatch) (Reply, error) {
+	w.checkSent(r.ID)
+	if w.answerWithNotice(r.ID, w.now) {
+		return nil, outcome.New(outcome.NotRun, "refused", r.ID, errors.New("status 503")).WithStatus(http.StatusServiceUnavailable).WithRetryAt(w.backoffUntil[r.ID])
 	}
 	p := scriptedReply{status: http.StatusOK, events: []string{"1", "2"}}
 	switch rapid.IntRange(0, 5).Draw(w.t, "answer") {
@@ -121,72 +123,72 @@
 	case 3:
 		p.confidence = "5"
 	}
-	return &scriptReply{ctx: ctx, p: p}, nil
+	return &replyFake{ctx: ctx, p: p}, nil
 }
 
-// others have a word come between the choice of a replica and the send.
-func (w *talkers) others() {
+// maybeNotice lets a notice arrive between the choice of a replica and the dispatch.
+func (w *noticingReplicas) maybeNotice() {
 	if rapid.IntRange(0, 3).Draw(w.t, "meanwhile") == 0 {
-		w.says(w.all[rapid.IntRange(0, len(w.all)-1).Draw(w.t, "who")].ID, w.now)
+		w.answerWithNotice(w.replicas[rapid.IntRange(0, len(w.replicas)-1).Draw(w.t, "replica")].ID, w.now)
 	}
 }
 
-// Choose implements Placer, the other methods as well.
-func (w *talkers) Choose(_ context.Context, _ string, a placement.Request) (placement.Choice, placement.Ticket, bool) {
+// Choose implements Placer, together with the methods below.
+func (w *noticingReplicas) Choose(_ context.Context, _ string, a placement.Request) (placement.Choice, placement.Ticket, bool) {
 	i := rapid.IntRange(-1, len(a.Replicas)-1).Draw(w.t, "placed")
-	w.others()
+	w.maybeNotice()
 	return placement.Choice{Index: max(0, i)}, placement.Ticket{}, i >= 0
 }
-func (w *talkers) Read(placement.Ticket)                  {}
-func (w *talkers) Lost(placement.Ticket, placement.Fault) {}
+func (w *noticingReplicas) Read(placement.Ticket)                  {}
+func (w *noticingReplicas) Lost(placement.Ticket, placement.Fault) {}
 
-// scarce is a quota that bounds every other replica and has a word come while it is asked.
-type scarce struct {
-	unbounded
-	w *talkers
+// drawnQuota bounds every other replica and lets a notice arrive during a permit request.
+type drawnQuota struct {
+	noQuota
+	w *noticingReplicas
 }
 
-func (s scarce) IsQuiet() bool { return false }
-func (s scarce) Bound(id string, _ float64, _ bool) quota.Bound {
+func (s drawnQuota) IsQuiet() bool { return false }
+func (s drawnQuota) Bound(id string, _ float64, _ bool) quota.Bound {
 	return quota.Bound{IsLimited: id[1]%2 == 0, PerSecond: 1}
 }
-func (s scarce) Take(_ context.Context, a quota.PermitRequest) quota.PermitResult {
-	s.w.others()
-	return quota.PermitResult{Index: rapid.IntRange(-1, len(a.Candidates)-1).Draw(s.w.t, "right")}
+func (s drawnQuota) Take(_ context.Context, a quota.PermitRequest) quota.PermitResult {
+	s.w.maybeNotice()
+	return quota.PermitResult{Index: rapid.IntRange(-1, len(a.Candidates)-1).Draw(s.w.t, "permit")}
 }
 
-// trials is a quarantine that sends some contents on trial and has a word come while it is asked.
-type trials struct{ w *talkers }
+// drawnQuarantine allows some contents only on trial and lets a notice arrive during the check.
+type drawnQuarantine struct{ w *noticingReplicas }
 
-func (s trials) IsQuiet() bool { return false }
-func (s trials) Ask(context.Context, quarantine.Fingerprint) quarantine.Verdict {
-	s.w.others()
+func (s drawnQuarantine) IsQuiet() bool { return false }
+func (s drawnQuarantine) Ask(context.Context, quarantine.Fingerprint) quarantine.Verdict {
+	s.w.maybeNotice()
 	return quarantine.Verdict{Decision: rapid.SampledFrom([]quarantine.Decision{quarantine.Allow, quarantine.AllowTrial}).Draw(s.w.t, "trial")}
 }
-func (s trials) Tell(quarantine.Fingerprint, quarantine.AttemptResult) {}
+func (s drawnQuarantine) Tell(quarantine.Fingerprint, quarantine.AttemptResult) {}
 
-// router returns a router before the talkers, with what else decides drawn.
-func (w *talkers) router() (*Router, *CurrentView) {
+// router returns a router for the replicas, with random other dependencies.
+func (w *noticingReplicas) router() (*Router, *CurrentView) {
 	v := NewCurrentView()
 	rel := map[string]rollout.Release{}
 	if rapid.Bool().Draw(w.t, "release") {
 		rel["s"] = rollout.NewRelease("s", "v1", 1, time.Minute).WithNextPhase().WithNextPhase()
 	}
-	v.Put(NewView(nil, w.all, nil, nil).WithRoutes(route.New(1, nil, nil, nil, route.Limits{}), rel))
-	p := Ports{View: v, Clock: w.clock, Rand: rand.NewPCG(1, 1), Upstream: w, Retries: admission.Repeats{Burst: 1000}, AcceptConfidence: 60, Notices: w.book}
+	v.Put(NewView(nil, w.replicas, nil, nil).WithRoutes(route.New(1, nil, nil, nil, route.Limits{}), rel))
+	p := Ports{View: v, Clock: w.clock, Rand: rand.NewPCG(1, 1), Upstream: w, Retries: admission.Repeats{Burst: 1000}, AcceptConfidence: 60, Notices: w.tracker}
 	if rapid.Bool().Draw(w.t, "placer") {
 		p.Placer = w
 	}
 	if rapid.Bool().Draw(w.t, "quota") {
-		p.Quota = scarce{w: w}
+		p.Quota = drawnQuota{w: w}
 	}
 	if rapid.Bool().Draw(w.t, "quarantine") {
-		p.Quarantine = trials{w}
+		p.Quarantine = drawnQuarantine{w}
 	}
 	return NewRouter(p), v
 }
 
-func (w *talkers) request(i int) *OpaqueRequest {
+func (w *noticingReplicas) request(i int) *OpaqueRequest {
 	r := &route.Route{Split: []route.Part{{Service: "s"}}, Target: time.Second, MaxAttempts: rapid.IntRange(1, 4).Draw(w.t, "attempts")}
 	r.Kind = rapid.SampledFrom([]route.Kind{route.Once, route.Repeatable, route.Stream}).Draw(w.t, "kind")
 	r.Resumable = rapid.Bool().Draw(w.t, "resumable")
@@ -204,31 +206,31 @@
 	return q
 }
 
-// checkRefusal checks that a request for which no replica was left had none, and when its client is to
-// come back.
-func (w *talkers) checkRefusal(f *Failure) {
+// checkRefusal checks that a request refused for lack of replicas had none, and its retry time.
+func (w *noticingReplicas) checkRefusal(f *Failure) {
 	var ends []time.Time
-	for _, r := range w.all {
-		if w.isFit(r.ID) {
+	for _, r := range w.replicas {
+		if w.isAvailable(r.ID) {
 			return
 		}
-		if _, leaves := w.left[r.ID]; !leaves {
-			ends = append(ends, w.rests[r.ID])
+		if _, draining := w.drainingSince[r.ID]; !draining {
+			ends = append(ends, w.backoffUntil[r.ID])
 		}
 	}
 	if f.Outcome == outcome.NotRun && len(ends) > 0 {
 		first := slices.MinFunc(ends, time.Time.Compare)
-		if f.RetryAt.After(first.Add(restedSpread)) {
-			w.t.Errorf("refused until %s after the first replica has rested", f.RetryAt.Sub(first))
+		if f.RetryAt.After(first.Add(backoffSpread)) {
+			w.t.Errorf("retry time is %s after the end of the first backoff, want at most %s", f.RetryAt.Sub(first), backoffSpread)
 		}
 	}
 }
 
-// Every road by which an opaque request reaches a replica: first tries, repeats, larger models, resumed
-// streams, sessions, with and without a keeper's choice, a place at a bounded replica, a trial, a release.
-func TestNoRoadLeadsToReplicasThatLeaveOrRest(t *testing.T) {
+// Covers every path of an opaque request to a replica: first attempts, retries, larger models,
+// resumed streams, sessions, with and without the placer's choice, with a permit for a bounded
+// replica, on trial, and during a roll-out.
+func TestNoRequestReachesDrainingOrBackedOffReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTalkers(t, pool.Service)
+		w := newNoticingReplicas(t, pool.Service)
 		r, _ := w.router()
 		for i := range 60 {
 			w.sent = nil
@@ -244,31 +246,32 @@
 }
 
 // Call implements Services.
-func (w *talkers) Call(_ context.Context, r *pool.Replica, _ ServiceCall) (ServiceAnswer, error) {
-	w.got(r.ID)
-	if w.says(r.ID, w.now) {
+func (w *noticingReplicas) Call(_ context.Context, r *pool.Replica, _ ServiceCall) (ServiceAnswer, error) {
+	w.checkSent(r.ID)
+	if w.answerWithNotice(r.ID, w.now) {
 		return ServiceAnswer{}, outcome.New(outcome.NotRun, "refusal", r.ID, errors.New("status 503")).WithStatus(http.StatusServiceUnavailable)
 	}
 	return ServiceAnswer{Status: http.StatusOK}, nil
 }
 
-// The roads of the product's own interfaces: calls, and chats, whose choice is the same for whole answers and streams.
-func TestOwnInterfacesKeepOffReplicasThatLeaveOrRest(t *testing.T) {
+// Covers the product's own interfaces: plain calls, and chats, whose choice of a replica is the
+// same for complete answers and streams.
+func TestOwnInterfacesAvoidDrainingOrBackedOffReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		kind := rapid.SampledFrom([]pool.Kind{pool.Service, pool.Engine}).Draw(t, "of")
-		w := newTalkers(t, kind)
+		kind := rapid.SampledFrom([]pool.Kind{pool.Service, pool.Engine}).Draw(t, "interface")
+		w := newNoticingReplicas(t, kind)
 		r, v := w.router()
 		r.services = w
 		for i := range 60 {
 			w.sent = nil
 			if kind == pool.Service {
-				_, err := r.serviceTries(context.Background(), ServiceRequest{ID: fmt.Sprint(i), Service: "s", Caller: config.Caller{Team: "t"}, Deadline: w.now.Add(time.Second)})
+				_, err := r.tryServiceReplicas(context.Background(), ServiceRequest{ID: fmt.Sprint(i), Service: "s", Caller: config.Caller{Team: "t"}, Deadline: w.now.Add(time.Second)})
 				if err != nil && len(w.sent) == 0 {
 					w.checkRefusal(failed(err))
 				}
-			} else if b, _ := r.takeFor(context.Background(), "m@1", v.Get().byVersion[version.New("m", "1")], pool.Request{}, nil, 1); b != nil {
-				w.got(b.ID)
-				w.says(b.ID, w.now)
+			} else if b, _ := r.takeReplica(context.Background(), "m@1", v.Get().byVersion[version.New("m", "1")], pool.Request{}, nil, 1); b != nil {
+				w.checkSent(b.ID)
+				w.answerWithNotice(b.ID, w.now)
 				r.backends.done(b.ID, nil, w.now)
 			}
 			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
@@ -276,20 +279,21 @@
 	})
 }
 
-// sure answers well, and counts.
-type sure struct{ got map[string]int }
+// reliableUpstream answers every request with success and counts them.
+type reliableUpstream struct{ got map[string]int }
 
-func (u sure) Send(ctx context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
+func (u reliableUpstream) Send(ctx context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
 	u.got[r.ID]++
-	return &scriptReply{ctx: ctx, p: scriptedReply{status: http.StatusOK, events: []string{"body"}}}, nil
+	return &replyFake{ctx: ctx, p: scriptedReply{status: http.StatusOK, events: []string{"body"}}}, nil
 }
 
-// What callers get when replicas say that they leave or rest, one after another until none is left.
-func TestCallersWhileReplicasLeaveAndRest(t *testing.T) {
+// What callers get while replicas announce draining or backoff, one after another until none is
+// left.
+func TestRefusalsWhileReplicasDrainAndBackOff(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	clock := func() time.Time { return now }
-	b := notice.NewTracker(clock, talkersDrain, func(string, ...any) {})
-	u := sure{map[string]int{}}
+	b := notice.NewTracker(clock, drainTime, func(string, ...any) {})
+	u := reliableUpstream{map[string]int{}}
 	v := NewCurrentView()
 	v.Put(NewView(nil, []pool.Replica{{ID: "a", Kind: pool.Service, Service: "s"}, {ID: "b", Kind: pool.Service, Service: "s"}, {ID: "c", Kind: pool.Service, Service: "s"}}, nil, nil))
 	r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}, Notices: b})
@@ -304,73 +308,74 @@
 		t.Helper()
 		for range 20 {
 			if g, f := send(); f != nil || !strings.Contains(replicas, g) {
-				t.Fatalf("%s: at %q, %v, want one of %s", step, g, f, replicas)
+				t.Fatalf("%s: sent to %q, error %v, want one of %s", step, g, f, replicas)
 			}
 		}
 	}
-	leave := func(id string) { b.Observe(notice.Notice{Replica: id, Draining: true, SentAt: now, ReceivedAt: now}) }
+	drain := func(id string) { b.Observe(notice.Notice{Replica: id, Draining: true, SentAt: now, ReceivedAt: now}) }
 	want("at first", "abc")
-	leave("a")
-	want("a leaves", "bc")
-	leave("b")
-	want("a, b leave", "c")
+	drain("a")
+	want("a drains", "bc")
+	drain("b")
+	want("a and b drain", "c")
 	b.Observe(notice.Notice{Replica: "c", BackoffUntil: now.Add(3 * time.Second), Refused: true, SentAt: now, ReceivedAt: now})
-	want("c rests, the others still serve", "ab")
-	now = now.Add(talkersServe)
-	if g, f := send(); f == nil || f.Outcome != outcome.NotRun || f.RetryAt.Before(now.Add(2*time.Second)) || f.RetryAt.After(now.Add(2*time.Second+restedSpread)) {
-		t.Fatalf("none left: at %q, %+v", g, f)
+	want("c backs off, the others still serve", "ab")
+	now = now.Add(drainServeTime)
+	if g, f := send(); f == nil || f.Outcome != outcome.NotRun || f.RetryAt.Before(now.Add(2*time.Second)) || f.RetryAt.After(now.Add(2*time.Second+backoffSpread)) {
+		t.Fatalf("no replica left: sent to %q, failure %+v, want a refusal until the backoff of c ends", g, f)
 	}
 	now = now.Add(2 * time.Second)
 	if g, f := send(); f != nil || g != "c" {
-		t.Fatalf("c has rested: at %q, %+v", g, f)
+		t.Fatalf("after the backoff of c: sent to %q, failure %+v, want c", g, f)
 	}
-	if g, f := send(); f == nil || f.RetryAt.Sub(now) > restedSpread {
-		t.Fatalf("while c is tried: at %q, %+v", g, f)
+	if g, f := send(); f == nil || f.RetryAt.Sub(now) > backoffSpread {
+		t.Fatalf("while c is on trial: sent to %q, failure %+v, want a refusal for at most the spread", g, f)
 	}
 	b.Observe(notice.Notice{Replica: "c", SentAt: now, ReceivedAt: now})
-	want("c has answered", "c")
+	want("c answered", "c")
 }
 
-// needsRest turns all away and asks for the rest that is drawn for each.
-type needsRest struct {
-	book *notice.Tracker
-	now  time.Time
-	rest map[string]time.Duration
+// backoffUpstream refuses every request and asks for the given backoff of each replica.
+type backoffUpstream struct {
+	tracker *notice.Tracker
+	now     time.Time
+	backoff map[string]time.Duration
 }
 
-func (u needsRest) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
-	until := u.now.Add(u.rest[r.ID])
-	u.book.Observe(notice.Notice{Replica: r.ID, Refused: true, BackoffUntil: until, SentAt: u.now, ReceivedAt: u.now})
+func (u backoffUpstream) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
+	until := u.now.Add(u.backoff[r.ID])
+	u.tracker.Observe(notice.Notice{Replica: r.ID, Refused: true, BackoffUntil: until, SentAt: u.now, ReceivedAt: u.now})
 	return nil, outcome.New(outcome.NotRun, "refused", r.ID, errors.New("status 503")).WithStatus(http.StatusServiceUnavailable).WithRetryAt(until)
 }
 
-// A caller whom some replicas have turned away comes back soon where another one is fit, and when the first
-// has rested where none is.
-func TestCallerIsNotSentAwayForTheRestOfOneReplica(t *testing.T) {
+// A caller refused by some replicas is asked to retry soon if another one is available, and
+// otherwise when the first backoff ends. Using the backoff of the refusing replica would keep the
+// caller away for too long.
+func TestRetryTimeWithSomeReplicasBackingOff(t *testing.T) {
 	for _, c := range []struct {
 		replicas int
 		min, max time.Duration
 	}{
-		{5, refusedRetry, refusedRetry},
-		{3, time.Second, time.Second + restedSpread},
+		{5, refusalRetryDelay, refusalRetryDelay},
+		{3, time.Second, time.Second + backoffSpread},
 	} {
 		now := time.Unix(1_700_000_000, 0)
 		clock := func() time.Time { return now }
-		u := needsRest{book: notice.NewTracker(clock, talkersDrain, func(string, ...any) {}), now: now, rest: map[string]time.Duration{}}
+		u := backoffUpstream{tracker: notice.NewTracker(clock, drainTime, func(string, ...any) {}), now: now, backoff: map[string]time.Duration{}}
 		var l []pool.Replica
 		for i := range c.replicas {
 			id := fmt.Sprint("r", i)
-			u.rest[id] = time.Duration(1+i) * time.Second
+			u.backoff[id] = time.Duration(1+i) * time.Second
 			l = append(l, pool.Replica{ID: id, Kind: pool.Service, Service: "s"})
 		}
 		v := NewCurrentView()
 		v.Put(NewView(nil, l, nil, nil))
-		r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}, FleetSize: func() int { return 1 }, Notices: u.book})
+		r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}, FleetSize: func() int { return 1 }, Notices: u.tracker})
 		q := &OpaqueRequest{ID: "q", Table: route.New(1, nil, nil, nil, route.Limits{}), Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 3}, ArrivedAt: now, Deadline: now.Add(time.Hour), TimeoutAt: now.Add(time.Hour)}
 		_, err := r.Forward(t.Context(), q, &clientSink{})
 		var f *Failure
 		if !errors.As(err, &f) || f.Outcome != outcome.NotRun || f.RetryAt.Sub(now) < c.min || f.RetryAt.Sub(now) > c.max {
-			t.Errorf("%d replicas: %s, come back in %s, want %s to %s", c.replicas, f.Outcome, f.RetryAt.Sub(now), c.min, c.max)
+			t.Errorf("%d replicas: %s, retry in %s, want %s to %s", c.replicas, f.Outcome, f.RetryAt.Sub(now), c.min, c.max)
 		}
 	}
 }
--- a/entry/regions_test.go
+++ b/entry/regions_test.go
@@ -8,8 +8,8 @@
 	"fieldvale/route"
 )
 
-// Where route and customer both name regions, both bind; a data centre of which no
-// region is known serves neither.
+// If route and customer both list regions, both apply. A data centre without a configured region
+// serves neither.
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	all := []*pool.Replica{{ID: "n1", DataCentre: "a"}, {ID: "n2", DataCentre: "b"}, {ID: "s", DataCentre: "c"}, {ID: "unknown", DataCentre: "d"}}
 	r := &Router{regions: map[string]string{"a": "north", "b": "north", "c": "south"}}
@@ -23,7 +23,7 @@
 	} {
 		w := &forwarding{r: r, q: &OpaqueRequest{Route: &route.Route{Regions: strings.Fields(c.route)}, Customer: route.Customer{Regions: strings.Fields(c.customer)}}}
 		var got []string
-		for _, x := range w.inRegions(all) {
+		for _, x := range w.inAllowedRegions(all) {
 			got = append(got, x.ID)
 		}
 		if g := strings.Join(got, " "); g != c.want {
--- a/entry/release_test.go
+++ b/entry/release_test.go
@@ -15,16 +15,16 @@
 	"fieldvale/route"
 )
 
-// anyReplica answers every request and notes the releases that ran.
-type anyReplica struct{ ran []string }
+// recordingUpstream answers every request and records the releases used.
+type recordingUpstream struct{ ran []string }
 
-func (u *anyReplica) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
+func (u *recordingUpstream) Send(_ context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
 	u.ran = append(u.ran, r.Release)
-	return &scriptReply{ctx: context.Background(), p: scriptedReply{status: http.StatusOK, events: []string{"body"}}}, nil
+	return &replyFake{ctx: context.Background(), p: scriptedReply{status: http.StatusOK, events: []string{"body"}}}, nil
 }
 
-// Sessions stay where they are in a release's first phase, whichever instance
-// saw them before, and then move once; requests without one go by their share.
+// Sessions stay on the old release in the first phase, whichever instance served them before, and
+// then move once. Requests without a session follow their share.
 func TestSessionsMoveFromTheSecondPhaseOn(t *testing.T) {
 	v := NewCurrentView()
 	view := NewView(nil, []pool.Replica{
@@ -32,7 +32,7 @@
 		{ID: "new", Kind: pool.Service, Service: "s", Release: "v2"},
 	}, nil, nil)
 	now := time.Unix(1_700_000_000, 0)
-	u := &anyReplica{}
+	u := &recordingUpstream{}
 	r := NewRouter(Ports{View: v, Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}})
 	rel := rollout.NewRelease("s", "v2", 1, time.Minute).WithNextPhase()
 	send := func(id, session string) string {
@@ -51,36 +51,36 @@
 	v.Put(view.WithRoutes(nil, map[string]rollout.Release{"s": rel}))
 	for _, x := range share {
 		if g := send("q", x); g != "v1" {
-			t.Fatalf("a session ran on %s in the first phase", g)
+			t.Fatalf("a session ran on %s in the first phase, want v1", g)
 		}
 		if g := send(x, ""); g != "v2" {
-			t.Fatalf("a request of the share without a session ran on %s", g)
+			t.Fatalf("a request of the share without a session ran on %s, want v2", g)
 		}
 	}
 	v.Put(view.WithRoutes(nil, map[string]rollout.Release{"s": rel.WithNextPhase()}))
 	for _, x := range share {
 		if g := send("q", x); g != "v2" {
-			t.Fatalf("in the second phase a session of the share ran on %s", g)
+			t.Fatalf("a session of the share ran on %s in the second phase, want v2", g)
 		}
 	}
 }
 
-// hangingReplica holds each request until its context ends.
-type hangingReplica struct{ began chan struct{} }
+// hangingUpstream holds each request until its context ends.
+type hangingUpstream struct{ began chan struct{} }
 
-func (u hangingReplica) Send(ctx context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
+func (u hangingUpstream) Send(ctx context.Context, r *pool.Replica, _ Dispatch) (Reply, error) {
 	u.began <- struct{}{}
 	<-ctx.Done()
 	return nil, outcome.New(outcome.Unknown, "read", r.ID, ctx.Err())
 }
 
-// Clients that leave are no evidence against the replica or its release.
-func TestClientsThatLeaveCountAgainstNobody(t *testing.T) {
+// Requests whose clients disconnect must not count against the replica or its release.
+func TestDisconnectedClientsAreNoFailures(t *testing.T) {
 	v := NewCurrentView()
 	rel := rollout.NewRelease("s", "v2", 1, time.Minute).WithNextPhase()
 	v.Put(NewView(nil, []pool.Replica{{ID: "new", Kind: pool.Service, Service: "s", Release: "v2"}}, nil, nil).
 		WithRoutes(nil, map[string]rollout.Release{"s": rel.WithNextPhase()}))
-	u := hangingReplica{began: make(chan struct{})}
+	u := hangingUpstream{began: make(chan struct{})}
 	r := NewRouter(Ports{View: v, Clock: time.Now, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}})
 	for range 20 {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -90,13 +90,13 @@
 		}()
 		q := &OpaqueRequest{ID: "q", Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: time.Now(), Deadline: time.Now().Add(time.Hour), TimeoutAt: time.Now().Add(time.Hour)}
 		if f, err := r.Forward(ctx, q, &clientSink{}); err == nil || f.StopReason != "the client left" {
-			t.Fatalf("%v, stopped %q", err, f.StopReason)
+			t.Fatalf("error %v, stop reason %q, want an error and \"the client left\"", err, f.StopReason)
 		}
 	}
 	if l := r.CollectTallies(); len(l) != 0 {
-		t.Errorf("the release has %+v", l)
+		t.Errorf("tallies %+v, want none", l)
 	}
-	if !r.backends.of("new").breaker.Allows(time.Now()) {
-		t.Error("the replica's breaker is open")
+	if !r.backends.stateOf("new").breaker.Allows(time.Now()) {
+		t.Error("the replica's breaker is open, want closed")
 	}
 }
--- a/entry/releases.go
+++ b/entry/releases.go
@@ -7,68 +7,70 @@
 	"fieldvale/rollout"
 )
 
-// releases judges services' new releases by this instance's own answers, and
-// by what other instances tell it of theirs.
+// releases judges new releases of services by this instance's own answers and by the tallies of
+// other instances.
 type releases struct {
-	mu    sync.Mutex
-	trial map[string]*trial
-	// life tells this run of the instance from others.
-	life int64
-	// ended are lives of replicas whose end was counted.
-	ended map[string]bool
+	mu     sync.Mutex
+	trials map[string]*trialState
+	// incarnation distinguishes this run of the instance from earlier ones.
+	incarnation int64
+	// crashed holds the ids of replicas whose crash was counted. An id is unique to one
+	// incarnation of a replica.
+	crashed map[string]bool
 }
 
-// mostEnded bounds the lives that are remembered; beyond it an end may count twice.
-const mostEnded = 2000
+// maxCrashed bounds the ids kept; beyond it a crash may be counted twice.
+const maxCrashed = 2000
 
-// firstEnd reports whether the end of the replica's life was not counted yet.
-func (s *releases) firstEnd(life string) bool {
+// isFirstCrash reports whether the replica's crash was not counted yet.
+func (s *releases) isFirstCrash(replica string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended[life] {
+	if s.crashed[replica] {
 		return false
 	}
-	if len(s.ended) >= mostEnded {
-		clear(s.ended)
+	if len(s.crashed) >= maxCrashed {
+		clear(s.crashed)
 	}
-	s.ended[life] = true
+	s.crashed[replica] = true
 	return true
 }
 
-// trial is one release's.
-type trial struct {
+// trialState is the state of one release's trial.
+type trialState struct {
 	rel   rollout.Release
 	judge *rollout.Judge
-	// own is what this instance saw, changed since it was last told.
-	own     rollout.Tally
-	changed bool
-	// urgent says that a bad answer of the new release is among what changed.
+	// ownTally is what this instance observed; changed is set if it changed since it was last
+	// collected.
+	ownTally rollout.Tally
+	changed  bool
+	// urgent is set if the changes include a bad answer of the new release.
 	urgent bool
-	// told says that another instance found the release bad.
-	told bool
-	// doubted is when another instance last said that it is in doubt.
-	doubted time.Time
-	// waits are the attempts whose answers are waited for.
-	waits map[*wait]bool
+	// badAtPeer is set if another instance found the release bad.
+	badAtPeer bool
+	// peerDoubtAt is when another instance last reported doubt about the release.
+	peerDoubtAt time.Time
+	// headWaits are the attempts still waiting for the head of their answer.
+	headWaits map[*headWait]bool
 }
 
-// isBad reports whether the release was found bad, here or elsewhere.
-func (t *trial) isBad() bool { return t.told || t.judge.IsBad() }
+// isBad reports whether the release was found bad here or by another instance.
+func (t *trialState) isBad() bool { return t.badAtPeer || t.judge.IsBad() }
 
-// ownOrigin names this instance's tally in its judge.
-const ownOrigin = ""
+// localOrigin identifies this instance's tally in its own judge.
+const localOrigin = ""
 
 func newReleases(start time.Time) *releases {
-	return &releases{trial: map[string]*trial{}, ended: map[string]bool{}, life: start.UnixNano()}
+	return &releases{trials: map[string]*trialState{}, crashed: map[string]bool{}, incarnation: start.UnixNano()}
 }
 
-// of returns the trial of the release; a later order starts anew, and an
-// earlier one has none.
-func (s *releases) of(rel rollout.Release) *trial {
-	t, ok := s.trial[rel.Service]
+// trialOf returns the trial of the release. A later order starts a new trial; for an earlier
+// order there is none.
+func (s *releases) trialOf(rel rollout.Release) *trialState {
+	t, ok := s.trials[rel.Service]
 	if !ok || t.rel.Order < rel.Order {
-		t = &trial{rel: rel, judge: rollout.NewJudge(), waits: map[*wait]bool{}}
-		s.trial[rel.Service] = t
+		t = &trialState{rel: rel, judge: rollout.NewJudge(), headWaits: map[*headWait]bool{}}
+		s.trials[rel.Service] = t
 	}
 	if t.rel.Order != rel.Order {
 		return nil
@@ -76,74 +78,74 @@
 	return t
 }
 
-func (s *releases) tripped(rel rollout.Release) bool {
+func (s *releases) isBad(rel rollout.Release) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.of(rel)
+	t := s.trialOf(rel)
 	return t != nil && t.isBad()
 }
 
-// saw is what came of one attempt.
-type saw struct {
+// observation is the result of one attempt.
+type observation struct {
 	release string
 	kind    int
-	outcome outcomeOf
+	verdict verdict
 }
 
-// outcomeOf is what an attempt shows of its release.
-type outcomeOf int
+// verdict is what an attempt shows about its replica's release.
+type verdict int
 
 const (
-	showsNothing outcomeOf = iota
-	showsGood
-	showsFailed
-	showsBroken
+	verdictNone verdict = iota
+	verdictGood
+	verdictFailed
+	verdictBroken
 )
 
-// plus returns the counts with the attempt.
-func (v saw) plus(c rollout.Counts) rollout.Counts {
-	switch v.outcome {
-	case showsGood:
+// addTo returns the counts with the attempt added.
+func (v observation) addTo(c rollout.Counts) rollout.Counts {
+	switch v.verdict {
+	case verdictGood:
 		c = c.WithGood()
-	case showsFailed:
+	case verdictFailed:
 		c = c.WithFailed()
-	case showsBroken:
+	case verdictBroken:
 		c = c.WithBroken()
 	}
 	return c
 }
 
-// in returns the tally with the attempt counted.
-func (v saw) in(t rollout.Tally, target string) rollout.Tally {
+// addToTally returns the tally with the attempt added.
+func (v observation) addToTally(t rollout.Tally, target string) rollout.Tally {
 	if v.release == target {
-		t.New[v.kind] = v.plus(t.New[v.kind])
+		t.New[v.kind] = v.addTo(t.New[v.kind])
 	} else {
-		t.Old[v.kind] = v.plus(t.Old[v.kind])
+		t.Old[v.kind] = v.addTo(t.Old[v.kind])
 	}
 	return t
 }
 
-// weigh counts one answer.
-func (s *releases) weigh(rel rollout.Release, v saw, now time.Time, on *Hooks) {
-	s.update(rel, on, func(t *trial) bool {
-		t.own = v.in(t.own, rel.Target)
-		t.own.Incarnation = s.life
+// record counts one attempt.
+func (s *releases) record(rel rollout.Release, v observation, now time.Time, hooks *Hooks) {
+	s.update(rel, hooks, func(t *trialState) bool {
+		t.ownTally = v.addToTally(t.ownTally, rel.Target)
+		t.ownTally.Incarnation = s.incarnation
 		t.changed = true
-		t.urgent = t.urgent || v.release == rel.Target && v.outcome > showsGood
-		return t.judge.Report(ownOrigin, t.own, now)
+		t.urgent = t.urgent || v.release == rel.Target && v.verdict > verdictGood
+		return t.judge.Report(localOrigin, t.ownTally, now)
 	})
 }
 
-// report takes another instance's tally in.
-func (s *releases) report(rel rollout.Release, origin string, t rollout.Tally, now time.Time, on *Hooks) {
-	s.update(rel, on, func(x *trial) bool { return x.judge.Report(origin, t, now) })
+// recordPeerTally replaces another instance's tally.
+func (s *releases) recordPeerTally(rel rollout.Release, origin string, t rollout.Tally, now time.Time, hooks *Hooks) {
+	s.update(rel, hooks, func(x *trialState) bool { return x.judge.Report(origin, t, now) })
 }
 
-// update changes the release's trial and tells on if the release shows to be
-// bad by it, which f reports.
-func (s *releases) update(rel rollout.Release, on *Hooks, f func(*trial) bool) {
+// update applies f to the release's trial. It calls the BadReleaseFound hook if f reports that
+// the release is now found bad.
+func (s *releases) update(rel rollout.Release, hooks *Hooks, f func(*trialState) bool) {
 	s.mu.Lock()
-	t := s.of(rel)
+	t := s.trialOf(rel)
 	if t == nil {
 		s.mu.Unlock()
 		return
@@ -152,39 +154,38 @@
 	total, finding := t.judge.Total(), t.judge.Finding()
 	s.mu.Unlock()
 	if found {
-		on.badRelease(rel, total, finding)
+		hooks.badReleaseFound(rel, total, finding)
 	}
 }
 
-// ReleaseTally is what this instance saw of a release under way.
+// ReleaseTally is what this instance observed of a release during its roll-out.
 type ReleaseTally struct {
 	Service string
 	Order   int64
 	Tally   rollout.Tally
 }
 
-// CollectTallies returns what this instance saw of releases that has changed since it
-// was last asked.
+// CollectTallies returns the tallies of releases that changed since they were last collected.
 func (r *Router) CollectTallies() []ReleaseTally {
-	return r.tallies(func(t *trial) bool { return t.changed })
+	return r.collectTallies(func(t *trialState) bool { return t.changed })
 }
 
-// CollectUrgentTallies is like Tallies for releases of which bad answers came since.
+// CollectUrgentTallies is like CollectTallies, but only for releases with new bad answers.
 func (r *Router) CollectUrgentTallies() []ReleaseTally {
-	return r.tallies(func(t *trial) bool { return t.urgent })
+	return r.collectTallies(func(t *trialState) bool { return t.urgent })
 }
 
-func (r *Router) tallies(is func(*trial) bool) []ReleaseTally {
+func (r *Router) collectTallies(include func(*trialState) bool) []ReleaseTally {
 	var l []ReleaseTally
 	for _, rel := range r.view.Get().Releases {
 		if rel.State != rollout.Running {
 			continue
 		}
-		r.releases.update(rel, r.events, func(t *trial) bool {
-			found := t.look(r.clock(), r.releases.life)
-			if is(t) {
+		r.releases.update(rel, r.hooks, func(t *trialState) bool {
+			found := t.countPassed(r.clock(), r.releases.incarnation)
+			if include(t) {
 				t.changed, t.urgent = false, false
-				l = append(l, ReleaseTally{Service: rel.Service, Order: rel.Order, Tally: t.own})
+				l = append(l, ReleaseTally{Service: rel.Service, Order: rel.Order, Tally: t.ownTally})
 			}
 			return found
 		})
@@ -192,78 +193,80 @@
 	return l
 }
 
-// BadReleases returns the releases under way that were found bad.
+// BadReleases returns the running releases that were found bad.
 func (r *Router) BadReleases() []rollout.Release {
 	var l []rollout.Release
 	for _, rel := range r.view.Get().Releases {
-		if rel.State == rollout.Running && r.releases.tripped(rel) {
+		if rel.State == rollout.Running && r.releases.isBad(rel) {
 			l = append(l, rel)
 		}
 	}
 	return l
 }
 
-// RecordPeerBadRelease takes in that another instance found a release under way to be bad.
-// It reports whether that is news here.
+// RecordPeerBadRelease records that another instance found a running release bad. It reports
+// whether this instance had not found it bad before.
 func (r *Router) RecordPeerBadRelease(service string, order int64) bool {
-	return r.told(service, order, func(t *trial) { t.told = true })
+	return r.updateTrial(service, order, func(t *trialState) { t.badAtPeer = true })
 }
 
-// sendsPerRequest is how often a request is sent, at most some: larger models are
-// asked after smaller ones, and failures are tried again.
-const sendsPerRequest = 1.5
+// attemptsPerRequest is an upper estimate of the attempts for each request, as larger models
+// follow smaller ones and failures are retried.
+const attemptsPerRequest = 1.5
 
-// SendRate estimates how many requests a second the service's replicas get, by what
-// instances told of a release that has run for so long; where few have, by this
-// instance's own requests, of which it may have few or many.
+// SendRate estimates how many requests a second the service's replicas get. It uses the tallies
+// of a release that has run for the given time if most instances report; otherwise it
+// extrapolates from this instance's own requests, which may be an unusual share.
 func (r *Router) SendRate(rel rollout.Release, ran time.Duration) float64 {
 	s := r.releases
 	s.mu.Lock()
 	var n uint64
 	known := false
-	if t := s.of(rel); t != nil {
-		n, known = t.judge.Total().AnswerCount(), r.hearsMost(t)
+	if t := s.trialOf(rel); t != nil {
+		n, known = t.judge.Total().AnswerCount(), r.hasMostReports(t)
 	}
 	s.mu.Unlock()
 	if known && ran > 0 {
 		return float64(n) / ran.Seconds()
 	}
-	return sendsPerRequest * r.rate(rel.Service)
+	return attemptsPerRequest * r.fleetRequestRate(rel.Service)
 }
 
-// doubtLasts is how long the word of another instance holds that a release is in
-// doubt: two of its words may be lost.
-const doubtLasts = 1300 * time.Millisecond
+// peerDoubtLasts is how long another instance's report of doubt is valid; two of its reports may
+// be lost.
+const peerDoubtLasts = 1300 * time.Millisecond
 
-// Standing returns what a release under way shows here, and in doubt also what
-// others told of it. One that is not to judge it has too few answers of its own to be
-// in doubt by; one that is has no others to rely on, also where it hears of few.
+// Standing returns the concerns about a running release by the answers counted here, and any
+// doubt reported by other instances. An instance that does not judge the release ignores its own
+// doubt unless most instances report to it, as its own answers are too few. A judging instance
+// uses its own doubt even if few report to it.
 func (r *Router) Standing(rel rollout.Release, judges bool) rollout.Concerns {
 	s := r.releases
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.of(rel)
+	t := s.trialOf(rel)
 	if t == nil {
 		return rollout.Concerns{}
 	}
 	x := t.judge.Finding().Concerns()
-	x.Inconclusive = x.Inconclusive && (judges || r.hearsMost(t)) || r.clock().Before(t.doubted.Add(doubtLasts))
+	x.Inconclusive = x.Inconclusive && (judges || r.hasMostReports(t)) || r.clock().Before(t.peerDoubtAt.Add(peerDoubtLasts))
 	return x
 }
 
-// hearsMost reports whether most of the fleet tell this instance what they see of the
-// release. One that hears few has too few answers to be in doubt by.
-func (r *Router) hearsMost(t *trial) bool { return 2*t.judge.Finding().Reporters > r.fleet() }
+// hasMostReports reports whether most of the fleet reports its tallies of the release to this
+// instance. With fewer reports it has too few answers to be in doubt.
+func (r *Router) hasMostReports(t *trialState) bool {
+	return 2*t.judge.Finding().Reporters > r.fleetSizeOrDefault()
+}
 
-// RecordPeerDoubt takes in that another instance, which judges the release, is in doubt
-// of it.
+// RecordPeerDoubt records that another instance, which judges the release, is in doubt about it.
 func (r *Router) RecordPeerDoubt(service string, order int64) {
-	r.told(service, order, func(t *trial) { t.doubted = r.clock() })
+	r.updateTrial(service, order, func(t *trialState) { t.peerDoubtAt = r.clock() })
 }
 
-// told changes the trial of a release under way that is not found bad yet. It reports
+// updateTrial applies f to the trial of a running release that is not found bad yet, and reports
 // whether there is one.
-func (r *Router) told(service string, order int64, f func(*trial)) bool {
+func (r *Router) updateTrial(service string, order int64, f func(*trialState)) bool {
 	rel, ok := r.view.Get().Releases[service]
 	if !ok || rel.Order != order || rel.State != rollout.Running {
 		return false
@@ -271,7 +274,7 @@
 	s := r.releases
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.of(rel)
+	t := s.trialOf(rel)
 	if t == nil || t.isBad() {
 		return false
 	}
@@ -279,8 +282,7 @@
 	return true
 }
 
-// DoubtfulReleases returns the releases under way that are in doubt by this
-// instance's own judgement.
+// DoubtfulReleases returns the running releases that this instance's own judgement doubts.
 func (r *Router) DoubtfulReleases() []rollout.Release {
 	var l []rollout.Release
 	s := r.releases
@@ -289,7 +291,7 @@
 			continue
 		}
 		s.mu.Lock()
-		if t := s.of(rel); t != nil && t.judge.Finding().Inconclusive && r.hearsMost(t) {
+		if t := s.trialOf(rel); t != nil && t.judge.Finding().Inconclusive && r.hasMostReports(t) {
 			l = append(l, rel)
 		}
 		s.mu.Unlock()
@@ -297,24 +299,24 @@
 	return l
 }
 
-// RecordPeerTally takes in what another instance saw of a release under way.
+// RecordPeerTally records the tally of another instance for a running release.
 func (r *Router) RecordPeerTally(origin string, t ReleaseTally) {
 	rel, ok := r.view.Get().Releases[t.Service]
 	if !ok || rel.Order != t.Order || rel.State != rollout.Running {
 		return
 	}
-	r.releases.report(rel, origin, t.Tally, r.clock(), r.events)
+	r.releases.recordPeerTally(rel, origin, t.Tally, r.clock(), r.hooks)
 }
 
-// ReleaseTrial is what this instance makes of a release under way, by its own answers
-// and those that others told it of.
+// ReleaseTrial is the state of a running release's trial, by the answers of this instance and of
+// those that report to it.
 type ReleaseTrial struct {
 	Release rollout.Release
 	Seen    rollout.Tally
 	Finding rollout.Finding
 }
 
-// ReleaseTrials returns the trials of the releases under way.
+// ReleaseTrials returns the trials of the running releases.
 func (r *Router) ReleaseTrials() []ReleaseTrial {
 	var l []ReleaseTrial
 	s := r.releases
@@ -323,7 +325,7 @@
 			continue
 		}
 		s.mu.Lock()
-		if t := s.of(rel); t != nil {
+		if t := s.trialOf(rel); t != nil {
 			l = append(l, ReleaseTrial{Release: rel, Seen: t.judge.Total(), Finding: t.judge.Finding()})
 		}
 		s.mu.Unlock()
--- a/entry/router.go
+++ b/entry/router.go
@@ -26,13 +26,13 @@
 	"fieldvale/version"
 )
 
-// maxTries bounds the attempts at one step.
-const maxTries = 3
+// maxAttempts bounds the attempts at one step of a plan, or at one service call.
+const maxAttempts = 3
 
-// raters is how many duties rate answers behind the callers' backs.
-const raters = 4
+// ratingWorkers is the number of goroutines that rate answers after they were delivered.
+const ratingWorkers = 4
 
-// Router decides and carries out each request.
+// Router decides where each request goes, dispatches it and returns the answer.
 type Router struct {
 	view     *CurrentView
 	engines  Engines
@@ -43,44 +43,44 @@
 	clock    Clock
 	self     string
 
-	backends *backends
-	evidence *evidence
-	mu       sync.Mutex
-	limiters map[string]*admission.Limiter
-	budget   *admission.RetryBudget
-	learner  *cascade.Learner
-	events   *Hooks
+	backends       *backends
+	evidence       *evidence
+	mu             sync.Mutex
+	limiters       map[string]*admission.Limiter
+	retryBudget    *admission.RetryBudget
+	cascadeLearner *cascade.Learner
+	hooks          *Hooks
 
 	dataCentre string
-	// regions are the data centres' regions.
+	// regions maps each data centre to its region.
 	regions map[string]string
 
-	upstream   Upstream
-	underway   *underway
-	prober     Prober
-	quarantine Quarantine
-	placer     Placer
-	speeds     *timing.PrefillTimes
-	holds      *timing.SlotTimes
-	leads      *leads
-	answers    *answerSizes
-	delays     *timing.FirstEventDelays
-	paces      *paces
-	releases   *releases
-	// windows bound the repeats of opaque requests by service.
-	windows   map[string]*admission.Window
-	fleetSize func() int
-	repeats   admission.Repeats
-	quota     Quota
-	notices   *notice.Tracker
-	// coldBound is how many requests a cold replica may get.
+	upstream         Upstream
+	activeForwards   *activeForwards
+	prober           Prober
+	quarantine       Quarantine
+	placer           Placer
+	prefillTimes     *timing.PrefillTimes
+	slotTimes        *timing.SlotTimes
+	confidenceGains  *confidenceGains
+	answerSizes      *answerSizes
+	firstEventDelays *timing.FirstEventDelays
+	tokenTimes       *tokenTimes
+	releases         *releases
+	// retryWindows bound the retries of opaque requests, by service.
+	retryWindows map[string]*admission.Window
+	fleetSize    func() int
+	retries      admission.Repeats
+	quota        Quota
+	notices      *notice.Tracker
+	// coldBound is the fleet-wide bound on the requests to a cold replica.
 	coldBound quota.ColdBound
-	// acceptConfidence is a smaller model's opinion of its own answer, out of
-	// 100, from which the answer is passed on.
+	// acceptConfidence is the confidence, from 0 to 100, that a smaller model must report in its
+	// own answer for the answer to be passed on.
 	acceptConfidence float64
 }
 
-// Ports are what a router works through.
+// Ports are the dependencies and settings of a Router.
 type Ports struct {
 	View     *CurrentView
 	Engines  Engines
@@ -89,34 +89,32 @@
 	Rater    Rater
 	Biller   *biller.Biller
 	Clock    Clock
-	// Placer may be nil; then prompts are placed by this instance's own work.
+	// Placer may be nil; prompts are then placed by this instance's own load figures.
 	Placer Placer
-	// Upstream sends opaque requests; Repeats bounds how often they go to
-	// another replica.
+	// Upstream sends opaque requests; Retries bounds how often they are sent to another replica.
 	Upstream Upstream
 	Retries  admission.Repeats
-	// Quarantine and Prober may be nil; then nothing is known of contents that bring
-	// replicas down.
+	// Quarantine and Prober may be nil; requests that crash replicas are then not detected.
 	Quarantine Quarantine
 	Prober     Prober
-	// FleetSize is how many instances there are, 0 if that is not known; what
-	// the fleet may repeat on top is shared by it. It may be nil.
+	// FleetSize returns the number of instances, or 0 if it is unknown. The fleet's retry budget
+	// is divided by it. It may be nil.
 	FleetSize func() int
-	// Quota may be nil; then no replica is bounded.
+	// Quota may be nil; no replica is then limited.
 	Quota Quota
-	// Notices may be nil; then replicas say nothing of themselves.
+	// Notices may be nil; drain and backoff notices of replicas are then ignored.
 	Notices *notice.Tracker
-	// ColdBound is how many requests a cold replica may get from all instances.
+	// ColdBound is the bound on the requests to a cold replica from all instances.
 	ColdBound quota.ColdBound
-	// AcceptConfidence is a smaller model's opinion of its own answer, out of
-	// 100, from which the answer is passed on.
+	// AcceptConfidence is the confidence, from 0 to 100, that a smaller model must report in its
+	// own answer for the answer to be passed on.
 	AcceptConfidence float64
-	// Self is the instance's id.
+	// Self is this instance's id.
 	Self string
-	// DataCentre is where this instance is; requests that share little with
-	// others stay there where replicas are alike.
+	// DataCentre is the data centre of this instance. Among equivalent replicas, local ones are
+	// preferred for requests that share little with others.
 	DataCentre string
-	// Regions are the data centres' regions by their names.
+	// Regions maps each data centre to its region.
 	Regions map[string]string
 	// Rand seeds the choice of replicas.
 	Rand rand.Source
@@ -124,44 +122,43 @@
 	Hooks *Hooks
 }
 
-// NewRouter returns a router.
 func NewRouter(p Ports) *Router {
 	e := p.Hooks
 	if e == nil {
 		e = &Hooks{}
 	}
 	if p.Quota == nil {
-		p.Quota = unbounded{}
+		p.Quota = noQuota{}
 	}
 	return &Router{
 		view: p.View, engines: p.Engines, services: p.Services, claims: p.Claims, rater: p.Rater,
 		biller: p.Biller, clock: p.Clock, self: p.Self, dataCentre: p.DataCentre, regions: p.Regions,
 		backends: newBackends(p.Rand, p.Notices), evidence: newEvidence(p.Rater),
-		limiters: map[string]*admission.Limiter{}, budget: admission.NewRetryBudget(),
-		learner: cascade.NewLearner(), events: e,
-		upstream: p.Upstream, underway: newUnderway(), quarantine: p.Quarantine, prober: p.Prober, placer: p.Placer, speeds: timing.NewPrefillTimes(), holds: timing.NewSlotTimes(), leads: newLeads(), answers: newAnswerSizes(), delays: timing.NewFirstEventDelays(), paces: newPaces(),
-		releases: newReleases(p.Clock()), windows: map[string]*admission.Window{}, repeats: p.Retries, fleetSize: p.FleetSize,
+		limiters: map[string]*admission.Limiter{}, retryBudget: admission.NewRetryBudget(),
+		cascadeLearner: cascade.NewLearner(), hooks: e,
+		upstream: p.Upstream, activeForwards: newActiveForwards(), quarantine: p.Quarantine, prober: p.Prober, placer: p.Placer, prefillTimes: timing.NewPrefillTimes(), slotTimes: timing.NewSlotTimes(), confidenceGains: newConfidenceGains(), answerSizes: newAnswerSizes(), firstEventDelays: timing.NewFirstEventDelays(), tokenTimes: newTokenTimes(),
+		releases: newReleases(p.Clock()), retryWindows: map[string]*admission.Window{}, retries: p.Retries, fleetSize: p.FleetSize,
 		acceptConfidence: p.AcceptConfidence, coldBound: p.ColdBound, quota: p.Quota, notices: p.Notices,
 	}
 }
 
-// Run is the router's duties; it returns when ctx ends.
+// Run rates and bills answers in the background until ctx ends.
 func (r *Router) Run(ctx context.Context) error {
 	g, x := errgroup.WithContext(ctx)
-	for range raters {
+	for range ratingWorkers {
 		g.Go(func() error { return r.evidence.run(x) })
 	}
 	g.Go(func() error { return r.biller.Run(x) })
 	return g.Wait()
 }
 
-// Evidence returns the counts of good and bad outcomes by version.
+// Evidence returns the counts of good and bad answers by version.
 func (r *Router) Evidence() map[version.ID]rollout.Outcomes { return r.evidence.all() }
 
-// InFlight returns this entry's requests by replica.
+// InFlight returns the number of this instance's requests in flight by replica.
 func (r *Router) InFlight() map[string]int { return r.backends.running() }
 
-// ConcurrencyLimits returns the limits in force by version or service.
+// ConcurrencyLimits returns the current concurrency limits by version or service.
 func (r *Router) ConcurrencyLimits() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,7 +169,7 @@
 	return m
 }
 
-// plan returns the steps for a request: the policy's, or the one model that
+// plan returns the steps for a request: those of the policy, or a single step with the model that
 // the caller names.
 func (r *Router) plan(v *View, q Request) (policy.Plan, error) {
 	if q.Model == AutoModel || q.Model == "" {
@@ -180,7 +177,7 @@
 		if len(p) == 0 {
 			return nil, notRun(ModelNotAllowed, "the policy has no model for this request")
 		}
-		return r.learned(v, q, p), nil
+		return r.withoutWastedStep(v, q, p), nil
 	}
 	m := q.Model
 	if x, err := version.Parse(q.Model); err == nil {
@@ -194,25 +191,26 @@
 	return nil, notRun(ModelNotFound, "model "+q.Model+" does not exist or may not be used")
 }
 
-// learned leaves out a cheap first step that ratings show to be wasted.
-func (r *Router) learned(v *View, q Request, p policy.Plan) policy.Plan {
+// withoutWastedStep drops the cheap first step where past ratings show that its answers are
+// rejected too often to save money.
+func (r *Router) withoutWastedStep(v *View, q Request, p policy.Plan) policy.Plan {
 	if len(p) < 2 {
 		return p
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.learner.Skip(learnKey(q, p[0]), unitCost(v, q, p[0].Model), unitCost(v, q, p[1].Model)) {
+	if r.cascadeLearner.Skip(learnerKey(q, p[0]), pricePerToken(v, q, p[0].Model), pricePerToken(v, q, p[1].Model)) {
 		return p[1:]
 	}
 	return p
 }
 
-func learnKey(q Request, s policy.Step) cascade.Key {
+func learnerKey(q Request, s policy.Step) cascade.Key {
 	return cascade.Key{Team: q.Caller.Team, Task: q.Task, Size: q.Size, Model: s.Model}
 }
 
-// unitCost is a model's price for the comparison of steps.
-func unitCost(v *View, q Request, model string) float64 {
+// pricePerToken is the price by which the steps' models are compared.
+func pricePerToken(v *View, q Request, model string) float64 {
 	x, ok := v.Active.Document().Part(q.Caller.Team).ActiveVersion(model)
 	if !ok {
 		return 0
@@ -221,8 +219,9 @@
 	return float64(c.CostIn + c.CostOut)
 }
 
-// pick returns the version for a step and the session that keeps it.
-func (r *Router) pick(v *View, q Request, s session.Session, model string) (version.ID, session.Session, bool, error) {
+// pickVersion returns the version for a step, the session pinned to it, and whether that moved
+// the session from another version.
+func (r *Router) pickVersion(v *View, q Request, s session.Session, model string) (version.ID, session.Session, bool, error) {
 	if x, err := version.Parse(q.Model); err == nil {
 		if !v.mayRun(q.Caller, x) {
 			return x, s, false, notRun(ModelNotAllowed, "version "+q.Model+" may not be used")
@@ -237,7 +236,7 @@
 	return x, s.WithPin(x), had && o != x, nil
 }
 
-// limiter returns the bound of a version or service.
+// limiter returns the limiter of a version or service; r.mu is held.
 func (r *Router) limiter(name string) *admission.Limiter {
 	l, ok := r.limiters[name]
 	if !ok {
@@ -247,16 +246,16 @@
 	return l
 }
 
-func (r *Router) admit(name string, c config.Caller, p []*pool.Replica, deadline time.Time) *admission.Refusal {
+func (r *Router) enterLimiter(name string, c config.Caller, p []*pool.Replica, deadline time.Time) *admission.Refusal {
 	n := r.clock()
-	w := r.backends.queued(p)
+	w := r.backends.queuedPerSlot(p)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget.Request()
+	r.retryBudget.Request()
 	return r.limiter(name).Admit(c.Customer.Name, c.Customer.Share, w, n, deadline)
 }
 
-func (r *Router) leave(name string, c config.Caller, start, deadline time.Time, err error) {
+func (r *Router) leaveLimiter(name string, c config.Caller, start, deadline time.Time, err error) {
 	n := r.clock()
 	t := 0.0
 	if err == nil {
@@ -267,8 +266,8 @@
 	r.limiter(name).Done(c.Customer.Name, t, n.After(deadline) || isOverload(err), n)
 }
 
-// isOverload reports whether the error is a backend server's word that it
-// has too much to do.
+// isOverload reports whether the error shows an overloaded backend server: status 429 or an
+// exceeded deadline.
 func isOverload(err error) bool {
 	o, ok := asOutcome(err)
 	return ok && (o.Status == statusTooMany || errors.Is(o.Cause, context.DeadlineExceeded))
@@ -282,61 +281,60 @@
 	return o, ok
 }
 
-// retry reports whether another attempt may be made after err.
-func (r *Router) retry(err error, once bool) bool {
+// takeRetry takes a retry from the budget if the request may be sent again after err.
+func (r *Router) takeRetry(err error, once bool) bool {
 	if !outcome.MayRepeat(err, once) {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budget.Retry()
+	return r.retryBudget.Retry()
 }
 
-// attempts dispatches a step to replicas of the version until one answers.
-// Whether the version may still run is asked anew before each dispatch. call
-// makes one attempt.
-func (r *Router) attempts(ctx context.Context, q Request, x version.ID, call func(*pool.Replica) error) error {
+// runOnVersion dispatches a step to replicas of the version until one answers. call makes one
+// attempt. Whether the version may still run is checked again before each dispatch.
+func (r *Router) runOnVersion(ctx context.Context, q Request, x version.ID, call func(*pool.Replica) error) error {
 	p := r.view.Get().byVersion[x]
 	if len(p) == 0 {
 		return r.noReplica(time.Time{})
 	}
-	if f := r.admit(x.String(), q.Caller, p, q.Deadline); f != nil {
+	if f := r.enterLimiter(x.String(), q.Caller, p, q.Deadline); f != nil {
 		return refused(f)
 	}
 	start := r.clock()
-	err := r.tries(ctx, q, x, call)
-	r.leave(x.String(), q.Caller, start, q.Deadline, err)
+	err := r.tryReplicas(ctx, q, x, call)
+	r.leaveLimiter(x.String(), q.Caller, start, q.Deadline, err)
 	return err
 }
 
-func (r *Router) tries(ctx context.Context, q Request, x version.ID, call func(*pool.Replica) error) error {
+func (r *Router) tryReplicas(ctx context.Context, q Request, x version.ID, call func(*pool.Replica) error) error {
 	var tried []string
 	var last error
 	var retryAt time.Time
-	w := r.watchOf(q.content())
-	for range maxTries {
+	w := r.newQuarantineCheck(q.content())
+	for range maxAttempts {
 		v := r.view.Get()
 		if ok := v.mayRun(q.Caller, x); !ok {
 			return errors.CombineErrors(errWithdrawn, last)
 		}
-		if w.allowed(ctx) != nil {
-			return worse(last, w.quarantined())
+		if w.check(ctx) != nil {
+			return lessCertain(last, w.refusal())
 		}
 		var b *pool.Replica
-		if b, retryAt = r.takeFor(ctx, x.String(), v.byVersion[x], pool.Request{AffinityKey: q.Session.ID}, tried, q.Priority); b == nil {
-			w.untried()
+		if b, retryAt = r.takeReplica(ctx, x.String(), v.byVersion[x], pool.Request{AffinityKey: q.Session.ID}, tried, q.Priority); b == nil {
+			w.cancelTrial()
 			break
 		}
 		err := call(b)
-		w.report(r.cameOf(b, err), b.ID)
+		w.report(r.quarantineOutcomeOf(b, err), b.ID)
 		r.backends.done(b.ID, err, r.clock())
-		r.judge(x, err)
+		r.countVersionFailure(x, err)
 		if err == nil {
 			return nil
 		}
-		r.events.attempt(FailedAttempt{Request: q.ID, Service: x.String(), Replica: b.ID, Err: err})
-		tried, last = append(tried, b.ID), worse(last, err)
-		if ctx.Err() != nil || !r.retry(err, false) {
+		r.hooks.attemptFailed(FailedAttempt{Request: q.ID, Service: x.String(), Replica: b.ID, Err: err})
+		tried, last = append(tried, b.ID), lessCertain(last, err)
+		if ctx.Err() != nil || !r.takeRetry(err, false) {
 			return last
 		}
 	}
@@ -346,24 +344,24 @@
 	return last
 }
 
-// errWithdrawn says that the version was withdrawn while the request was on
-// its way; another version is picked.
-var errWithdrawn = errors.New("version was withdrawn")
+// errWithdrawn reports that the version was withdrawn while the request was under way, so that
+// another version is picked.
+var errWithdrawn = errors.New("the version was withdrawn while the request was under way")
 
-// worse keeps the error of which less is known, so that "not run" is told
+// lessCertain keeps the error whose outcome is less certain, so that the caller gets "not run"
 // only if no attempt may have run.
-func worse(a, b error) error {
+func lessCertain(a, b error) error {
 	if a != nil && outcome.Of(a) == outcome.Unknown {
 		return a
 	}
 	return b
 }
 
-// judge counts a failed attempt against the version if it may be its fault.
-// Good answers are counted where they are rated.
-func (r *Router) judge(x version.ID, err error) {
+// countVersionFailure counts a failed attempt against the version if the version may have caused
+// it. Successful answers are counted where they are rated.
+func (r *Router) countVersionFailure(x version.ID, err error) {
 	o, ok := asOutcome(err)
-	if !ok || o.Kind == outcome.NotRun || errors.Is(o.Cause, errCaller) {
+	if !ok || o.Kind == outcome.NotRun || errors.Is(o.Cause, errCallerGone) {
 		return
 	}
 	if o.Step == stepAnswer {
@@ -371,40 +369,39 @@
 	}
 }
 
-// stepAnswer is the step of errors that the answer itself shows: a server
-// error, a wrong or broken answer. A lost connection is the replica's fault,
-// not the version's.
+// stepAnswer is the step of errors in the answer itself: a server error, or a wrong or malformed
+// answer. These are attributed to the version, a lost connection to the replica.
 const stepAnswer = "answer"
 
-// errCaller marks failures of the caller's side of a stream.
-var errCaller = errors.New("the caller is gone")
+// errCallerGone marks failures on the caller's side of a stream.
+var errCallerGone = errors.New("the caller disconnected")
 
-// inForce reports whether a roll-out to the version is under way, so that its
-// answers must be rated.
-func inForce(v *View, c config.Caller, x version.ID) bool {
+// isRollingOut reports whether a roll-out to the version is running, so that its answers have to
+// be rated.
+func isRollingOut(v *View, c config.Caller, x version.ID) bool {
 	o, ok := v.Active.Document().Part(c.Team).Rollout(x.Model)
 	return ok && o.To == x && o.State == rollout.Running
 }
 
-// weigh counts an answer that the policy does not rate.
-func (r *Router) weigh(v *View, q Request, c *cascadeRun, answer []byte) {
+// recordUnratedAnswer counts an answer for which the policy asks no rating.
+func (r *Router) recordUnratedAnswer(v *View, q Request, c *cascadeRun, answer []byte) {
 	switch {
 	case c.slow:
-		r.evidence.bad(c.by)
-	case inForce(v, q.Caller, c.by):
-		r.evidence.later(c.by, q.Body, answer)
+		r.evidence.bad(c.version)
+	case isRollingOut(v, q.Caller, c.version):
+		r.evidence.queueRating(c.version, q.Body, answer)
 	default:
-		r.evidence.good(c.by)
+		r.evidence.good(c.version)
 	}
 }
 
-// rated counts an answer by its rating, and as bad whatever that is if it is slow.
-func (r *Router) rated(c *cascadeRun, rating float64) {
+// recordRating counts an answer by its rating. A slow one counts as bad whatever its rating is.
+func (r *Router) recordRating(c *cascadeRun, rating float64) {
 	if c.slow {
-		r.evidence.bad(c.by)
+		r.evidence.bad(c.version)
 		return
 	}
-	r.evidence.rated(c.by, rating)
+	r.evidence.rated(c.version, rating)
 }
 
 func (r *Router) bill(v *View, q Request, x version.ID, a bill.Amount) {
@@ -412,7 +409,7 @@
 	r.biller.Bill(q.ID, bill.Line{Team: q.Caller.Team, Customer: q.Caller.Customer.Name, Version: x}, a)
 }
 
-// price is the amount of one step's answer.
+// price is the amount billed for one step's answer.
 func price(v *View, x version.ID, a Answer) bill.Amount {
 	c := v.Active.Cost(x).Cost(int64(a.TokensIn), int64(a.TokensOut))
 	return bill.Amount{TokensIn: a.TokensIn, TokensOut: a.TokensOut, Cost: uint64(c)}
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -12,18 +12,17 @@
 	"fieldvale/pool"
 )
 
-// Sink takes a stream to the caller.
+// Sink writes a stream to the caller.
 type Sink interface {
 	// Head is called once, before the first chunk.
 	Head(Result) error
-	// Chunk takes one chunk; an error means that the caller is gone.
+	// Chunk writes one chunk. An error means that the caller disconnected.
 	Chunk(b []byte) error
 }
 
-// Stream answers a request in chunks. A plan of one step passes chunks on as
-// they come. Where a rating must come first, the rated steps are answered
-// whole and only an accepted answer or the last step reaches the caller. It
-// returns nil only if the whole answer was handed to the sink and billed.
+// Stream answers a request in chunks. The last step's chunks are relayed on arrival; a rated step
+// is collected first and reaches the caller only if it is accepted, or if the last step fails.
+// Stream returns nil only if the complete answer was written to the sink and billed.
 func (r *Router) Stream(ctx context.Context, q Request, s Sink) error {
 	v := r.view.Get()
 	if v.Active == nil {
@@ -46,12 +45,12 @@
 		if err == nil {
 			n.best = true
 		}
-		c.held = keepBest(c.held, n)
+		c.bestStream = keepBest(c.bestStream, n)
 	}
-	return r.last(x, q, c, p[l], s)
+	return r.streamLastStep(x, q, c, p[l], s)
 }
 
-// collector gathers a stream that must be rated before the caller sees it.
+// collector buffers a stream that must be rated before the caller receives it.
 type collector struct {
 	chunks [][]byte
 	best   bool
@@ -78,9 +77,9 @@
 	return r.accept(ctx, q, c, y, a), nil
 }
 
-// replay hands a gathered answer to the caller.
-func (r *Router) replay(q Request, c *cascadeRun, s Sink, n *collector, below bool) error {
-	f := r.finish(q, c, c.by, below)
+// replay writes a collected answer to the caller.
+func (r *Router) replay(q Request, c *cascadeRun, s Sink, n *collector, belowTarget bool) error {
+	f := r.finish(q, c, c.version, belowTarget)
 	if err := s.Head(f); err != nil {
 		return callerGone(err)
 	}
@@ -92,47 +91,47 @@
 	return nil
 }
 
-// last runs the step whose chunks go to the caller as they come.
-func (r *Router) last(ctx context.Context, q Request, c *cascadeRun, y policy.Step, s Sink) error {
+// streamLastStep runs the last step, whose chunks are relayed on arrival.
+func (r *Router) streamLastStep(ctx context.Context, q Request, c *cascadeRun, y policy.Step, s Sink) error {
 	started := false
 	head := func(f Result) error {
 		started = true
 		return s.Head(f)
 	}
 	a, err := r.streamStep(ctx, q, c, y, head, s.Chunk)
-	if err != nil && !started && c.held != nil {
-		return r.replay(q, c, s, c.held, true)
+	if err != nil && !started && c.bestStream != nil {
+		return r.replay(q, c, s, c.bestStream, true)
 	}
 	if err != nil {
-		r.billCut(q, c)
+		r.billEarlierSteps(q, c)
 		return r.streamFailure(c, err, started)
 	}
-	r.weigh(r.view.Get(), q, c, []byte(a.Text))
-	r.finish(q, c, c.by, false)
+	r.recordUnratedAnswer(r.view.Get(), q, c, []byte(a.Text))
+	r.finish(q, c, c.version, false)
 	return nil
 }
 
-// billCut bills the earlier steps of a request whose last one failed.
-func (r *Router) billCut(q Request, c *cascadeRun) {
+// billEarlierSteps bills the earlier steps of a request whose last step failed.
+func (r *Router) billEarlierSteps(q Request, c *cascadeRun) {
 	if c.spent != (bill.Amount{}) {
-		r.bill(r.view.Get(), q, c.by, c.spent)
+		r.bill(r.view.Get(), q, c.version, c.spent)
 	}
 }
 
 func (r *Router) streamFailure(c *cascadeRun, err error, started bool) error {
 	f := *failed(err)
-	if c.unknown || started {
+	if c.mayHaveRun || started {
 		f.Outcome = outcome.Unknown
 	}
 	return &f
 }
 
 func callerGone(err error) error {
-	return outcome.New(outcome.Unknown, "caller", "caller", errors.Mark(err, errCaller))
+	return outcome.New(outcome.Unknown, "caller", "caller", errors.Mark(err, errCallerGone))
 }
 
-// streamStep streams one step from replica after replica: one that breaks in
-// the middle is resumed on another from the chunk where it broke.
+// streamStep streams one step, trying replicas in turn. A stream that breaks off is resumed on
+// another replica from the next chunk.
 func (r *Router) streamStep(ctx context.Context, q Request, c *cascadeRun, y policy.Step, head func(Result) error, chunk func([]byte) error) (a Answer, err error) {
 	sent := 0
 	for range maxRepicks {
@@ -146,13 +145,13 @@
 
 func (r *Router) streamOnce(ctx context.Context, q Request, c *cascadeRun, y policy.Step, head func(Result) error, chunk func([]byte) error, sent *int) (Answer, error) {
 	v := r.view.Get()
-	x, n, moved, err := r.pick(v, q, c.session, y.Model)
+	x, n, moved, err := r.pickVersion(v, q, c.session, y.Model)
 	if err != nil {
 		return Answer{}, err
 	}
 	sink := func(b []byte) error {
 		if *sent == 0 {
-			f := Result{RequestID: q.ID, Version: x, Revision: v.Active.Revision(), Session: n, SessionMoved: c.moved || moved}
+			f := Result{RequestID: q.ID, Version: x, Revision: v.Active.Revision(), Session: n, SessionMoved: c.sessionMoved || moved}
 			if err := head(f); err != nil {
 				return callerGone(err)
 			}
@@ -165,7 +164,7 @@
 	}
 	var a Answer
 	var began time.Time
-	err = r.attempts(ctx, q, x, func(b *pool.Replica) (err error) {
+	err = r.runOnVersion(ctx, q, x, func(b *pool.Replica) (err error) {
 		began = r.clock()
 		t := newAttempt(q, x)
 		t.ResumeChunks = *sent
@@ -173,11 +172,11 @@
 		return err
 	})
 	if err != nil {
-		c.unknown = c.unknown || outcome.Of(err) == outcome.Unknown && !isFailure(err)
+		c.mayHaveRun = c.mayHaveRun || outcome.Of(err) == outcome.Unknown && !isFailure(err)
 		return a, err
 	}
 	c.slow = r.answerIsSlow(v, q.Caller, x, a, r.clock().Sub(began))
-	c.by, c.session, c.moved = x, n, c.moved || moved
+	c.version, c.session, c.sessionMoved = x, n, c.sessionMoved || moved
 	c.spent = c.spent.Plus(price(v, x, a))
 	return a, nil
 }
--- a/entry/pace_test.go
+++ b/entry/tokentime_test.go
@@ -18,26 +18,26 @@
 	"fieldvale/version"
 )
 
-// pacedEngines answer each version in its own time.
-type pacedEngines struct {
+// slowEngines answer after random times.
+type slowEngines struct {
 	backendsFake
 	rand *rand.Rand
-	// usual is how long an answer takes in the middle, of all versions; late is the part
-	// of the new one's answers that take five times as long.
-	usual time.Duration
-	late  float64
+	// medianTime is the median time of all versions' answers. slowPart is the part of the new
+	// version's answers that take five times as long.
+	medianTime time.Duration
+	slowPart   float64
 }
 
-func (f *pacedEngines) Chat(ctx context.Context, r *pool.Replica, a Attempt) (Answer, error) {
-	d := time.Duration(float64(f.usual) * math.Exp(0.6*f.rand.NormFloat64()))
-	if a.Version == versions[2] && f.rand.Float64() < f.late {
+func (f *slowEngines) Chat(ctx context.Context, r *pool.Replica, a Attempt) (Answer, error) {
+	d := time.Duration(float64(f.medianTime) * math.Exp(0.6*f.rand.NormFloat64()))
+	if a.Version == versions[2] && f.rand.Float64() < f.slowPart {
 		d *= 5
 	}
 	time.Sleep(d)
 	return f.backendsFake.Chat(ctx, r, a)
 }
 
-// withRollout has half of the new sessions of the small model go to its second version.
+// withRollout sends half of the new sessions of the small model to its second version.
 func withRollout(t *testing.T, v *CurrentView) {
 	o, err := rollout.New(versions[1], versions[2], []int{rollout.FullShare / 2, rollout.FullShare}, time.Now(), time.Hour)
 	if err != nil {
@@ -54,31 +54,30 @@
 	v.Put(v.Get().WithActive(a))
 }
 
-// Callers waited five times as long for a third of the answers of a new version, which
-// took step after step: each answer came whole and was rated well, and nobody asked how
-// long it took. Beside the old version's it counts as bad; where all versions are slower,
-// as under load, it does not.
-func TestSlowVersionIsFoundBesideTheOldOne(t *testing.T) {
+// A third of a new version's answers take five times as long, but all are complete and rated
+// well. Without a comparison of times its roll-out would go on. The slow answers count as bad
+// beside the old version's; if all versions are slower, as under load, they do not.
+func TestSlowVersionIsFoundByComparison(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		late float64
-		// slower is how much longer all answers take from the middle on.
+		// slower multiplies the time of all answers in the second half.
 		slower float64
 		bad    bool
 	}{
 		{"a third of its answers late", 0.34, 1, true},
 		{"half of them late, and all slower", 0.5, 4, true},
-		{"sound", 0, 1, false},
-		{"sound, and all slower", 0, 4, false},
+		{"healthy", 0, 1, false},
+		{"healthy, and all slower", 0, 4, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			f := &pacedEngines{rand: rand.New(rand.NewPCG(5, 5)), usual: 100 * time.Millisecond, late: c.late}
-			r, v := newTestRouter(t, &f.backendsFake, &rest{rating: 1})
+			f := &slowEngines{rand: rand.New(rand.NewPCG(5, 5)), medianTime: 100 * time.Millisecond, slowPart: c.late}
+			r, v := newTestRouter(t, &f.backendsFake, &portsFake{rating: 1})
 			r.engines = f
 			withRollout(t, v)
 			for i := range 600 {
 				if i == 300 {
-					f.usual = time.Duration(c.slower * float64(f.usual))
+					f.medianTime = time.Duration(c.slower * float64(f.medianTime))
 				}
 				q := request(v, "bronze", AutoModel)
 				q.ID = fmt.Sprint("q", i)
@@ -91,16 +90,16 @@
 			e := r.Evidence()
 			d := rollout.NewDetector(rollout.DefaultRates()).With(e[versions[2]])
 			if d.Tripped() != c.bad {
-				t.Errorf("%s: found bad %t, want %t: %+v beside %+v", c.name, d.Tripped(), c.bad, e[versions[2]], e[versions[1]])
+				t.Errorf("%s: tripped %t, want %t: new version %+v, old version %+v", c.name, d.Tripped(), c.bad, e[versions[2]], e[versions[1]])
 			}
 		})
 	}
 }
 
-func Example_paces() {
-	p := newPaces()
-	for range leastPaced {
-		p.saw(version.New("small", "1"), 10*time.Millisecond)
+func Example_tokenTimes() {
+	p := newTokenTimes()
+	for range minSamples {
+		p.observe(version.New("small", "1"), 10*time.Millisecond)
 	}
 	fmt.Println(p.isSlow(39*time.Millisecond, version.New("small", "1")), p.isSlow(41*time.Millisecond, version.New("small", "1")))
 	// Output: false true
