--- a/cmd/fieldvale-node/announce.go
+++ b/cmd/fieldvale-node/announce.go
@@ -14,39 +14,42 @@
 )
 
 const (
-	// announceFor is how long an instance that is gone is still listed; a
-	// silent keeper is passed over long before. It is renewed at a third.
-	// Instances that the store turns away for 12 s keep their place; each of
-	// them that lost it cost two calls and a change that all heard of.
-	announceFor = 20 * time.Second
-	// renewEvery is between renewals, and between looks whether the list is
-	// short. Instances look at different moments, since they start so.
-	renewEvery = announceFor / 3
-	// joinAfter is how long after its first look at the list an instance waits that
-	// may join it, and joinSpread the most that comes on top: by then those that were
-	// started with it follow others, so that each knows how many there are.
-	joinAfter  = 1500 * time.Millisecond
-	joinSpread = 2 * time.Second
+	// announcementTTL is the TTL of an announcement, and so how long an instance that has
+	// stopped is still listed; an owner that does not answer is skipped long before. The
+	// announcement is renewed after a third of it. An instance whose renewals the store
+	// rejects for 12 s stays registered; otherwise each such instance would cost two calls
+	// of the store and a change that is sent to all instances.
+	announcementTTL = 20 * time.Second
+	// renewInterval is the time between two renewals, and between two checks whether too
+	// few instances are registered. Instances check at different moments, because they
+	// start at different moments.
+	renewInterval = announcementTTL / 3
+	// registrationDelay is how long an instance that may register waits after its first
+	// read of the member list, and registrationJitter is the upper bound of a random
+	// addition. By then the instances that were started with it follow others, so that
+	// each can compute the size of the fleet.
+	registrationDelay  = 1500 * time.Millisecond
+	registrationJitter = 2 * time.Second
 )
 
-// self is this instance as others find it.
+// self returns this instance as a member of the fleet, as it is announced to others.
 func (n *node) self() peer.Member {
-	return peer.Member{ID: n.s.ID, Addr: n.s.Peers, DataCentre: n.s.DataCentre, LinkMbps: n.s.LinkMbps}
+	return peer.Member{ID: n.settings.ID, Addr: n.settings.Peers, DataCentre: n.settings.DataCentre, LinkMbps: n.settings.LinkMbps}
 }
 
-// found keeps the announcement of an earlier run that the list showed first; its zero
-// value if there is none.
-func (n *node) found(a store.Announced) {
+// offerEarlierAnnouncement passes the announcement of an earlier run of this instance to
+// announce; the zero value if there is none. All calls after the first have no effect.
+func (n *node) offerEarlierAnnouncement(a store.Announced) {
 	select {
-	case n.earlier <- a:
+	case n.earlierAnnouncement <- a:
 	default:
 	}
 }
 
-// announce keeps the instance on the fleet's list, if the fleet needs it there. One that
-// was started again renews its earlier announcement: that costs a tenth of a call, a new
-// one two, and all that follow the store would hear of it. One that finds nobody joins
-// at once, so that others find it.
+// announce keeps the instance registered if the fleet needs more registered members. An
+// instance that was restarted renews its earlier announcement: that costs a tenth of a
+// store call, while a new announcement costs two and is sent to all followers of the store.
+// An instance that finds no other one registers at once, so that others can find it.
 func (n *node) announce(ctx context.Context) error {
 	v, err := platform.EncodeMember(n.self())
 	if err != nil {
@@ -54,74 +57,77 @@
 	}
 	var a store.Announced
 	select {
-	case a = <-n.earlier:
+	case a = <-n.earlierAnnouncement:
 	case <-ctx.Done():
 		return nil
 	}
-	joins := false
+	register := false
 	if a.Lease == 0 {
-		joins = n.joinsAfter(ctx, joinAfter+rand.N(joinSpread), func() bool { return n.joins(roster.Joins) })
+		register = n.awaitRegistration(ctx, registrationDelay+rand.N(registrationJitter), func() bool { return n.drawRegistration(roster.Joins) })
 	}
 	for ctx.Err() == nil {
-		if a.Lease != 0 || joins {
-			if a, err = n.renew(ctx, a, v); err != nil {
-				n.event("announce_failed", "error", err)
+		if a.Lease != 0 || register {
+			if a, err = n.renewAnnouncement(ctx, a, v); err != nil {
+				n.logEvent("announce_failed", "error", err)
 			}
 		}
-		joins = n.joinsAfter(ctx, renewEvery, func() bool {
-			return joins && n.joins(roster.Joins) || n.joins(roster.JoinsLater)
+		register = n.awaitRegistration(ctx, renewInterval, func() bool {
+			return register && n.drawRegistration(roster.Joins) || n.drawRegistration(roster.JoinsLater)
 		})
 	}
 	return nil
 }
 
-// joinsAfter reports after d whether the instance joins the list, or at once where it
-// finds nobody of those on it.
-func (n *node) joinsAfter(ctx context.Context, d time.Duration, joins func() bool) bool {
+// awaitRegistration waits for d and reports whether the instance is to register, as drawn
+// by the function draw. It returns true at once if no registered member answers, and false
+// if ctx ends.
+func (n *node) awaitRegistration(ctx context.Context, d time.Duration, draw func() bool) bool {
 	select {
 	case <-time.After(d):
-		return joins()
-	case <-n.alone:
+		return draw()
+	case <-n.registerNow:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// join has the announcing goroutine put this instance on the list.
-func (n *node) join() {
+// requestRegistration has the goroutine of announce register this instance at once.
+func (n *node) requestRegistration() {
 	select {
-	case n.alone <- struct{}{}:
+	case n.registerNow <- struct{}{}:
 	default:
 	}
 }
 
-// joins draws whether an instance that is not listed joins the list, with the chance
-// for the instances listed and all that there are.
-func (n *node) joins(chance func(listed, fleet int) float64) bool {
+// drawRegistration decides at random whether this unregistered instance is to register.
+// chance returns the probability for the number of registered members and the size of the
+// fleet.
+func (n *node) drawRegistration(chance func(registered, fleet int) float64) bool {
 	return rand.Float64() < chance(n.state.RegisteredCount(), n.relay.FleetSize())
 }
 
-// renew renews the announcement, or makes it anew if there is none or it lapsed.
-func (n *node) renew(ctx context.Context, a store.Announced, value []byte) (store.Announced, error) {
-	x, cancel := context.WithTimeout(ctx, commitTimeout)
+// renewAnnouncement renews the announcement, or makes a new one if there is none or it has
+// expired.
+func (n *node) renewAnnouncement(ctx context.Context, a store.Announced, value []byte) (store.Announced, error) {
+	callCtx, cancel := context.WithTimeout(ctx, storeWriteTimeout)
 	defer cancel()
 	if a.Lease != 0 {
-		b, err := n.store.Renew(x, a, announceFor)
+		b, err := n.store.Renew(callCtx, a, announcementTTL)
 		if !errors.Is(err, store.ErrLapsed) {
 			return b, err
 		}
 	}
-	b, err := n.store.Announce(x, platform.MemberKey(n.s.ID), value, announceFor)
+	b, err := n.store.Announce(callCtx, platform.MemberKey(n.settings.ID), value, announcementTTL)
 	if err != nil {
 		return store.Announced{}, err
 	}
-	n.event("listed", "listed_others", n.state.RegisteredCount())
+	n.logEvent("listed", "listed_others", n.state.RegisteredCount())
 	return b, nil
 }
 
-// pause waits for d or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleepContext sleeps for d or until ctx ends.
+func sleepContext(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/cmd/fieldvale-node/knowledge.go
+++ b/cmd/fieldvale-node/configmetrics.go
@@ -1,8 +1,9 @@
 package main
 
-// gaugeKnowledge tells how old what the instance knows is, and what it does by old knowledge.
-func (n *node) gaugeKnowledge() {
-	n.stale = n.metrics.Counter("stale_answers_total", "Answers by a configuration that was not confirmed for as long as a change may take to be in force: routed, or denied (0 by design).", "act")
+// registerConfigMetrics registers the metrics of the configuration in force: its version,
+// the time since it was confirmed, and how many answers relied on an outdated one.
+func (n *node) registerConfigMetrics() {
+	n.staleAnswers = n.metrics.Counter("stale_answers_total", "Answers by a configuration that was not confirmed for as long as a change may take to be in force: routed, or denied (0 by design).", "act")
 	n.metrics.Gauge("config_version", "Version of the configuration in force; 0 for none.", func() float64 { return float64(n.configVersion()) })
 	n.metrics.Gauge("config_age_seconds", "Time since the last moment for which nothing newer than what is known is known to have existed; -1 before the first.", func() float64 {
 		a, ok := n.lease.Age(n.clock())
@@ -21,8 +22,9 @@
 	return 0
 }
 
-// storeCalls counts the store's calls.
-func (n *node) storeCalls() func(call, result string) {
+// registerStoreMetrics registers the counter of calls to the store, and returns the
+// function that counts a call.
+func (n *node) registerStoreMetrics() func(call, result string) {
 	c := n.metrics.Counter("store_calls_total", "Calls of the store that have ended, by call and result: a status, unreached, or unanswered.", "call", "result")
 	return func(call, result string) { c.WithLabelValues(call, result).Inc() }
 }
--- a/cmd/fieldvale-node/crash_test.go
+++ b/cmd/fieldvale-node/crash_test.go
@@ -15,64 +15,64 @@
 	"fieldvale/platform/sitetest"
 )
 
-// What users saw: one translator's request was answered 502, came again with another id
-// at any of seven instances, and 63 replicas ended in eight seconds; with each went up to
-// 60 requests of others.
-//
-// Order of events: a replica ends some 75 ms after it begins to run the request; the
-// instance tries two more, which end too, and answers 502; the client tries again at
-// another instance, which knows nothing of it.
-//
-// Cause: what is known of a request ended with its attempt, and at the instance that had
-// it. Evidence: the failed attempts' lines name one content at all replicas that ended,
-// and a replica where it did not run did not end.
+// Guards against one request that crashes many replicas, each with up to 60 other requests
+// in progress. In an incident such a request crashed 63 replicas in eight seconds: a replica
+// crashed some 75 ms after it began to run the request, the instance retried it at two more
+// replicas, which crashed too, and answered 502. The client then retried with another
+// request id at any of seven instances. This happens if an instance forgets the crashes
+// once it has answered, or does not report them to the other instances. The log lines of
+// the failed attempts show the cause by the fingerprint of the request content, which is
+// the same at all replicas that crashed.
 
-// crashing is the body of requests under which replicas end.
-const crashing = "bring it down"
+// crashingBody is the body of the requests that crash replicas.
+const crashingBody = "bring it down"
 
 const (
-	// crashAfter is from a run's begin to the replica's end, and backAfter until
-	// another replica starts in its place.
-	crashAfter = 40 * time.Millisecond
-	backAfter  = 500 * time.Millisecond
-	// toldWithin is how soon after the third end all instances are to know: the bound
-	// within which a machine counts as in touch on the smallest deployments.
-	toldWithin = 3 * time.Second
-	// mostRetries may reach replicas later than that, and mostEnds is how many replicas
-	// one request may cost where it comes to one instance after another.
-	mostRetries = 3
-	mostEnds    = 5
+	// crashDelay is the time from the start of a crashing request to the replica's crash,
+	// and replacementDelay from there to the start of another replica in its place.
+	crashDelay       = 40 * time.Millisecond
+	replacementDelay = 500 * time.Millisecond
+	// reportBound is how soon after the third crash all instances must have received a
+	// report: the time within which an instance counts as connected in the smallest
+	// deployments.
+	reportBound = 3 * time.Second
+	// maxLateArrivals is how many crashing requests may reach replicas later than that,
+	// and maxCrashes is how many replicas one request may crash if it is sent to one
+	// instance after another.
+	maxLateArrivals = 3
+	maxCrashes      = 5
 )
 
-// crashes are the replicas that ended, and the crashing request's arrivals.
-type crashes struct {
+// crashLog records when replicas crashed, and when crashing requests arrived at replicas.
+type crashLog struct {
 	mu       sync.Mutex
-	ends     []time.Time
+	times    []time.Time
 	arrivals []time.Time
 }
 
-// late returns how many arrivals came later than d after the third end.
-func (c *crashes) late(d time.Duration) int {
+// lateArrivals returns how many crashing requests arrived later than d after the third crash.
+func (c *crashLog) lateArrivals(d time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
 	for _, t := range c.arrivals {
-		if len(c.ends) >= 3 && t.After(c.ends[2].Add(d)) {
+		if len(c.times) >= 3 && t.After(c.times[2].Add(d)) {
 			n++
 		}
 	}
 	return n
 }
 
-func (c *crashes) lost() int {
+// count returns how many replicas crashed.
+func (c *crashLog) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.ends)
+	return len(c.times)
 }
 
-// brittle starts a replica that ends under the crashing request, and another one in its
-// place.
-func (s *site) brittle(id string, c *crashes) {
+// startCrashingReplica starts a replica that crashes when it runs the crashing request, and
+// that is then replaced by another one of the same kind.
+func (s *testEnv) startCrashingReplica(id string, c *crashLog) {
 	r, err := sitetest.NewReplica(id)
 	if err != nil {
 		s.t.Error(err)
@@ -81,7 +81,7 @@
 	s.t.Cleanup(r.Close)
 	var once sync.Once
 	r.Handler = func(conn net.Conn, q sitetest.Request) {
-		if q.Body != crashing {
+		if q.Body != crashingBody {
 			time.Sleep(2 * time.Millisecond)
 			r.RespondOK("ok")(conn, q)
 			return
@@ -90,16 +90,16 @@
 		c.arrivals = append(c.arrivals, time.Now())
 		c.mu.Unlock()
 		_, _ = io.WriteString(conn, r.ResponseHead(q, "200 OK", "Content-Type: text/event-stream", "Transfer-Encoding: chunked"))
-		time.Sleep(crashAfter)
+		time.Sleep(crashDelay)
 		once.Do(func() {
 			c.mu.Lock()
-			c.ends = append(c.ends, time.Now())
+			c.times = append(c.times, time.Now())
 			c.mu.Unlock()
 			r.Close()
 			s.store.Remove("servers/" + id)
-			time.AfterFunc(backAfter, func() {
+			time.AfterFunc(replacementDelay, func() {
 				if s.t.Context().Err() == nil {
-					s.brittle(id+"x", c)
+					s.startCrashingReplica(id+"x", c)
 				}
 			})
 		})
@@ -107,16 +107,17 @@
 	s.store.PutReplica(r, "svc", "v1", sitetest.ReplicaReady)
 }
 
-// fleet starts more instances beside the site's own.
-func (s *site) fleet(size int) []*site {
-	l := []*site{s}
+// startFleet starts the instance of s and others, which share its store, until there are
+// size instances that have received each other's announcements.
+func (s *testEnv) startFleet(size int) []*testEnv {
+	l := []*testEnv{s}
 	s.start()
 	for i := 1; i < size; i++ {
-		o := &site{t: s.t, store: s.store, logs: s.logs, done: make(chan error, 1)}
+		o := &testEnv{t: s.t, store: s.store, logs: s.logs, done: make(chan error, 1)}
 		o.startWith(func(n *settings.Node) { n.ID = fmt.Sprint("n", i+1) })
 		l = append(l, o)
 	}
-	s.eventually("all know each other", func() bool {
+	s.eventually("all instances have each other as members", func() bool {
 		for _, o := range l {
 			if len(o.node.placer.Members()) != size {
 				return false
@@ -128,21 +129,21 @@
 }
 
 func TestOneRequestCrashesFewReplicas(t *testing.T) {
-	s := newSite(t)
-	c := &crashes{}
+	s := newTestEnv(t)
+	c := &crashLog{}
 	for i := range 12 {
-		s.brittle(fmt.Sprint("r", i), c)
+		s.startCrashingReplica(fmt.Sprint("r", i), c)
 	}
-	l := s.fleet(3)
-	x, cancel := context.WithCancel(t.Context())
+	l := s.startFleet(3)
+	ctx, cancel := context.WithCancel(t.Context())
 	var g sync.WaitGroup
 	var refused []string
 	var mu sync.Mutex
 	for i := range 4 {
 		g.Go(func() {
-			for n := 0; x.Err() == nil; n++ {
+			for n := 0; ctx.Err() == nil; n++ {
 				body := fmt.Sprintf("innocent %d of %d", n, i)
-				r := l[(i+n)%len(l)].send("POST", "/again/x", body, key, sitetest.HeaderRequestID+": "+body)
+				r := l[(i+n)%len(l)].send("POST", "/again/x", body, apiKeyHeader, sitetest.HeaderRequestID+": "+body)
 				if r.status != 200 {
 					mu.Lock()
 					refused = append(refused, fmt.Sprint(r.status, " ", r.body))
@@ -154,9 +155,9 @@
 	}
 	for i := range 25 {
 		o := l[rand.IntN(len(l))]
-		r := o.send("POST", "/stream/x", crashing, key, sitetest.HeaderRequestID+": "+fmt.Sprint("c", i))
+		r := o.send("POST", "/stream/x", crashingBody, apiKeyHeader, sitetest.HeaderRequestID+": "+fmt.Sprint("c", i))
 		if r.status == 200 && r.err == nil {
-			t.Fatalf("the crashing request was served: %q", r.body)
+			t.Fatalf("the crashing request was served, want a failure: %q", r.body)
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
@@ -167,15 +168,15 @@
 			t.Log(s.logs)
 		}
 	}()
-	if n := c.lost(); n > mostEnds {
-		t.Errorf("one request ended %d replicas, want %d at most", n, mostEnds)
+	if n := c.count(); n > maxCrashes {
+		t.Errorf("one request crashed %d replicas, want %d at most", n, maxCrashes)
 	}
-	if n := c.late(toldWithin); n > mostRetries {
-		t.Errorf("it reached replicas %d times later than %s after the third end, want %d at most", n, toldWithin, mostRetries)
+	if n := c.lateArrivals(reportBound); n > maxLateArrivals {
+		t.Errorf("the request reached replicas %d times later than %s after the third crash, want %d at most", n, reportBound, maxLateArrivals)
 	}
 	for _, r := range refused {
 		if strings.HasPrefix(r, "503") {
-			t.Errorf("an innocent request was refused: %s", r)
+			t.Errorf("an innocent request was refused, want 200: %s", r)
 		}
 	}
 }
--- a/cmd/fieldvale-node/datagrams.go
+++ b/cmd/fieldvale-node/datagrams.go
@@ -1,35 +1,38 @@
 package main
 
-// Tags tell what a datagram between instances is for.
+// A datagram between instances begins with one of these tags, which selects the component
+// that receives it.
 const (
-	tagPlacement = 'p'
-	tagRelay     = 'r'
-	tagTally     = 't'
-	tagVerdict   = 'v'
-	tagSuspects  = 'q'
-	tagQuota     = 'l'
-	tagUsage     = 'u'
+	tagPlacement  = 'p'
+	tagRelay      = 'r'
+	tagTally      = 't'
+	tagVerdict    = 'v'
+	tagQuarantine = 'q'
+	tagQuota      = 'l'
+	tagUsage      = 'u'
 )
 
-// tagged sends datagrams for one purpose over the shared socket.
-type tagged struct {
+// taggedTransport sends the datagrams of one component over the shared socket, with the
+// component's tag.
+type taggedTransport struct {
 	n   *node
 	tag byte
 }
 
-// Send implements placement.Transport and relay.Transport.
-func (t tagged) Send(addr string, b []byte) error {
-	t.n.traffic.count(dutyNames[t.tag], sent, len(b))
+// Send implements the Transport interfaces of placement, relay, quarantine and quota.
+func (t taggedTransport) Send(addr string, b []byte) error {
+	t.n.traffic.count(tagLabels[t.tag], directionSent, len(b))
 	return t.n.socket.Send(addr, append([]byte{t.tag}, b...))
 }
 
-// receive hands a datagram to what it is for.
+// receive passes a datagram to the component that its tag names, and drops it if the tag
+// is unknown.
 func (n *node) receive(from string, b []byte) {
 	if len(b) == 0 {
 		return
 	}
-	if d, ok := dutyNames[b[0]]; ok {
-		n.traffic.count(d, received, len(b))
+	if d, ok := tagLabels[b[0]]; ok {
+		n.traffic.count(d, directionReceived, len(b))
 	}
 	switch b[0] {
 	case tagPlacement:
@@ -38,13 +41,13 @@
 		n.relay.Receive(from, b[1:])
 	case tagTally:
 		n.receiveTally(from, b[1:])
-	case tagSuspects:
+	case tagQuarantine:
 		n.quarantine.Receive(from, b[1:])
 	case tagQuota:
 		n.quota.Receive(from, b[1:])
 	case tagUsage:
-		if n.cloud != nil {
-			n.cloud.receive(from, b[1:])
+		if n.dutyWorker != nil {
+			n.dutyWorker.receive(from, b[1:])
 		}
 	case tagVerdict:
 		n.receiveVerdict(from, b[1:])
--- a/cmd/fieldvale-node/cloud_test.go
+++ b/cmd/fieldvale-node/dutyworker_test.go
@@ -14,26 +14,27 @@
 	"fieldvale/platform/sitetest"
 )
 
-// platformCalls stands in for the platform's calls that one instance at a time may make.
-type platformCalls struct {
+// platformAPI is a fake of the platform's API for the holder of the duty.
+type platformAPI struct {
 	*httptest.Server
 	mu sync.Mutex
-	// reports are the distinct bodies by window, holders the names by token.
+	// reports are the distinct bodies of usage reports by window, holders the ids of the
+	// instances that used each fencing token, and highest is the highest token so far.
 	reports map[int64]map[string]bool
 	holders map[int64]map[string]bool
 	highest int64
-	// lose is how many of the next answers are lost.
-	lose int
+	// loseAnswers is how many of the next connections are closed without an answer.
+	loseAnswers int
 }
 
-func newPlatformCalls(t *testing.T) *platformCalls {
-	p := &platformCalls{reports: map[int64]map[string]bool{}, holders: map[int64]map[string]bool{}}
+func newPlatformAPI(t *testing.T) *platformAPI {
+	p := &platformAPI{reports: map[int64]map[string]bool{}, holders: map[int64]map[string]bool{}}
 	p.Server = httptest.NewServer(http.HandlerFunc(p.serve))
 	t.Cleanup(p.Close)
 	return p
 }
 
-func (p *platformCalls) serve(w http.ResponseWriter, r *http.Request) {
+func (p *platformAPI) serve(w http.ResponseWriter, r *http.Request) {
 	b, _ := io.ReadAll(r.Body)
 	var u struct {
 		Window int64          `json:"window"`
@@ -58,14 +59,14 @@
 		}
 		p.reports[u.Window][string(b)] = true
 	}
-	if p.lose > 0 {
-		p.lose--
+	if p.loseAnswers > 0 {
+		p.loseAnswers--
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// sum is what was reported for the customer in all windows.
-func (p *platformCalls) sum(customer string) int {
+// reportedTotal returns the sum of the customer's reported requests in all windows.
+func (p *platformAPI) reportedTotal(customer string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
@@ -81,60 +82,62 @@
 	return n
 }
 
-// Each request that began to run is reported once, by one instance at a time, though
-// answers are lost and the holder of the duty ends in the middle.
+// Guards against usage that is reported twice or not at all. Two answers to reports are lost,
+// so that the holder reports the windows again, and then the holder stops, so that another
+// instance takes over. Each request that began to run must be reported once, and each fencing
+// token used by one instance only.
 func TestUsageIsReportedOnce(t *testing.T) {
-	s := newSite(t)
-	s.replica("a", "v1")
-	p := newPlatformCalls(t)
+	s := newTestEnv(t)
+	s.startReplica("a", "v1")
+	p := newPlatformAPI(t)
 	change := func(n *settings.Node) {
 		n.Cloud, n.ReportsUsage = p.Listener.Addr().String(), true
 		n.UsageWindow, n.UsageLate = time.Second, 8*time.Second
 	}
-	l := []*site{s}
+	l := []*testEnv{s}
 	for i, id := range []string{"n1", "n2", "n3"} {
 		o := s
 		if i > 0 {
-			o = &site{t: t, store: s.store, logs: s.logs, done: make(chan error, 1)}
+			o = &testEnv{t: t, store: s.store, logs: s.logs, done: make(chan error, 1)}
 			l = append(l, o)
 		}
 		o.startWith(func(n *settings.Node) { n.ID = id; change(n) })
 	}
-	s.eventually("somebody holds the duty", func() bool { _, ok := s.node.cloud.tenure.Holder(); return ok })
+	s.eventually("an instance holds the duty", func() bool { _, ok := s.node.dutyWorker.tenure.Holder(); return ok })
 	p.mu.Lock()
-	p.lose = 2
+	p.loseAnswers = 2
 	p.mu.Unlock()
 	const requests = 30
 	for i := range requests {
-		if r := l[i%3].send("POST", "/again/x", "x", key, sitetest.HeaderRequestID+": "+strconv.Itoa(i)); r.status != 200 {
-			t.Fatalf("request %d: %d %s", i, r.status, r.body)
+		if r := l[i%3].send("POST", "/again/x", "x", apiKeyHeader, sitetest.HeaderRequestID+": "+strconv.Itoa(i)); r.status != 200 {
+			t.Fatalf("request %d: got %d %s, want 200", i, r.status, r.body)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	time.Sleep(countsEvery * dutyEvery * 2)
-	h, _ := s.node.cloud.tenure.Holder()
+	time.Sleep(usageReportTicks * dutyInterval * 2)
+	h, _ := s.node.dutyWorker.tenure.Holder()
 	for _, o := range l {
-		if o.node.s.ID == h.ID {
+		if o.node.settings.ID == h.ID {
 			o.stop()
 			<-o.done
 			o.done <- nil
 		}
 	}
-	s.eventually("all are reported", func() bool { return p.sum("acme") >= requests })
+	s.eventually("all requests are reported", func() bool { return p.reportedTotal("acme") >= requests })
 	time.Sleep(2 * time.Second)
-	if n := p.sum("acme"); n != requests {
+	if n := p.reportedTotal("acme"); n != requests {
 		t.Errorf("%d requests were reported, want %d", n, requests)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for w, l := range p.reports {
 		if len(l) > 1 {
-			t.Errorf("window %d was reported in %d ways: %v", w, len(l), l)
+			t.Errorf("window %d was reported with %d different bodies, want 1: %v", w, len(l), l)
 		}
 	}
 	for f, l := range p.holders {
 		if len(l) > 1 {
-			t.Errorf("token %d was used by %v", f, l)
+			t.Errorf("fencing token %d was used by %v, want one instance", f, l)
 		}
 	}
 }
--- a/cmd/fieldvale-node/limit_test.go
+++ b/cmd/fieldvale-node/limit_test.go
@@ -13,34 +13,33 @@
 	"fieldvale/standin/arrivals"
 )
 
-// What users saw: two replicas in need named 1.6 requests a second, and got 30 and 35 in
-// four seconds from seven instances, where 15 were the most that they allowed.
-//
-// Order of events: the replicas name their limit in each answer from one moment on; all
-// instances have such answers within a second; three seconds later, from when on the limit
-// binds, they get as many requests as before.
-//
-// Cause: the figure holds for all instances together, and nothing kept it, neither for
-// one instance nor for all. Evidence: arrivals at the two did not change as they named it
-// (5.2 a second before, 4.4 after), and replica_limited lines of all instances come within
-// a second of the first, with no change of what routed lines show as tried.
+// Guards against a fleet that exceeds the limits advertised by replicas. In an incident two
+// overloaded replicas advertised 1.6 requests a second, and got 30 and 35 requests in four
+// seconds from seven instances, where at most 15 were allowed. The replicas advertised the
+// limit in each answer, so that all instances had received it within a second (as their
+// replica_limited lines showed); three seconds later, when it had to be in force, the rate
+// had hardly changed (5.2 a second before, 4.4 after), nor had the replicas that the routed
+// lines list as tried. This happens if no instance enforces the limit, or if the instances do
+// not divide it: it applies to all of them together.
 
 const (
-	// limitNamed is what the replica in need takes from all instances, in requests a
-	// second, and limitSpan the time in which that is counted.
-	limitNamed = 1.5
-	limitSpan  = 4 * time.Second
-	// heardWithin is how soon after the first answer that names a limit what a replica gets
-	// is within it.
-	heardWithin = time.Second
-	// usedPart of what the replica takes is what it gets at least while there is demand.
-	usedPart = 0.7
+	// limitPerSecond is the advertised limit on requests from all instances together, and
+	// limitWindow is the window in which requests are counted.
+	limitPerSecond = 1.5
+	limitWindow    = 4 * time.Second
+	// enforcementDelay is how soon after the first answer that advertises a limit it must be
+	// enforced.
+	enforcementDelay = time.Second
+	// minUtilization is the minimum fraction of the limit that must be used while there is
+	// demand.
+	minUtilization = 0.7
 )
 
-// counted starts a replica whose arrivals are counted.
-func (s *site) counted(id string) (*sitetest.Replica, *arrivals.Log) {
+// startCountedReplica starts a replica, and returns it with a log of the times at which
+// requests arrive.
+func (s *testEnv) startCountedReplica(id string) (*sitetest.Replica, *arrivals.Log) {
 	a := &arrivals.Log{}
-	r := s.replica(id, "v1")
+	r := s.startReplica(id, "v1")
 	r.Handler = func(c net.Conn, q sitetest.Request) {
 		a.Add(time.Now())
 		time.Sleep(5 * time.Millisecond)
@@ -53,9 +52,9 @@
 	return r, a
 }
 
-// load sends requests of all kinds to the instances until the context ends, and returns
-// how many were not served.
-func load(ctx context.Context, l []*site) func() int {
+// sendLoad sends requests of all kinds to the instances until ctx ends. The function that it
+// returns waits for that and returns how many requests were not served.
+func sendLoad(ctx context.Context, l []*testEnv) func() int {
 	var g sync.WaitGroup
 	var mu sync.Mutex
 	failed := 0
@@ -64,7 +63,7 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				o := l[(i+n)%len(l)]
 				method, path := http.MethodPost, "/again/x"
-				head := []string{key, sitetest.HeaderRequestID + ": " + fmt.Sprint("q", i, "-", n)}
+				head := []string{apiKeyHeader, sitetest.HeaderRequestID + ": " + fmt.Sprint("q", i, "-", n)}
 				switch n % 3 {
 				case 1:
 					path = "/once/x"
@@ -87,23 +86,23 @@
 	}
 }
 
-func TestReplicaGetsWhatItAsksForFromAllInstances(t *testing.T) {
-	s := newSite(t)
-	r, got := s.counted("r0")
+func TestFleetRespectsAndUsesReplicaLimit(t *testing.T) {
+	s := newTestEnv(t)
+	r, got := s.startCountedReplica("r0")
 	for i := range 2 {
-		s.counted(fmt.Sprint("r", i+1))
+		s.startCountedReplica(fmt.Sprint("r", i+1))
 	}
-	l := s.fleet(3)
-	x, cancel := context.WithCancel(t.Context())
+	l := s.startFleet(3)
+	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	wait := load(x, l)
-	// What just started counts as such for some seconds.
+	wait := sendLoad(ctx, l)
+	// Replicas are cold for some seconds after their start, which limits their requests.
 	time.Sleep(6 * time.Second)
 	before := len(got.Between(time.Now().Add(-time.Second), time.Now()))
-	r.SetLimit(fmt.Sprint(limitNamed))
-	named := time.Now()
+	r.SetLimit(fmt.Sprint(limitPerSecond))
+	limitSet := time.Now()
 	time.Sleep(10 * time.Second)
-	over := time.Now()
+	limitEnded := time.Now()
 	r.SetLimit("")
 	time.Sleep(3 * time.Second)
 	cancel()
@@ -113,71 +112,72 @@
 			t.Log(s.logs)
 		}
 	}()
-	limited := got.Between(named.Add(heardWithin), over)
-	most := arrivals.Most(limited, limitSpan)
-	allowed := limitNamed * limitSpan.Seconds()
-	used := float64(len(limited)) / (limitNamed * over.Sub(named.Add(heardWithin)).Seconds())
+	limited := got.Between(limitSet.Add(enforcementDelay), limitEnded)
+	peak := arrivals.Most(limited, limitWindow)
+	allowed := limitPerSecond * limitWindow.Seconds()
+	used := float64(len(limited)) / (limitPerSecond * limitEnded.Sub(limitSet.Add(enforcementDelay)).Seconds())
 	after := len(got.Between(time.Now().Add(-time.Second), time.Now()))
-	t.Logf("%d a second before, most in %s while limited %d, used %.2f of the limit, %d a second after, %d failed", before, limitSpan, most, used, after, failed)
-	if float64(most) > allowed {
-		t.Errorf("%d requests in %s, want %g at most", most, limitSpan, allowed)
+	t.Logf("%d a second before, most in %s while limited %d, used %.2f of the limit, %d a second after, %d failed", before, limitWindow, peak, used, after, failed)
+	if float64(peak) > allowed {
+		t.Errorf("%d requests in %s, want %g at most", peak, limitWindow, allowed)
 	}
-	if used < usedPart {
-		t.Errorf("%.2f of what the replica takes was used, want %g", used, usedPart)
+	if used < minUtilization {
+		t.Errorf("%.2f of the limit was used, want at least %g", used, minUtilization)
 	}
 	if after < before/2 {
-		t.Errorf("%d requests a second after the limit is over, %d before it", after, before)
+		t.Errorf("%d requests a second after the limit was removed, want at least half of the %d before it", after, before)
 	}
 	if failed > 0 {
 		t.Errorf("%d requests failed while two replicas were fit", failed)
 	}
 }
 
-// All replicas of a service are in need at once: each gets what it takes and no more, and is used;
-// whoever has no place is told so at once, that the request did not run, and when to come back:
-// not all at one moment.
-func TestAllReplicasAreLimited(t *testing.T) {
-	s := newSite(t)
+// Guards against overload, and against requests that wait in vain, when all replicas of a
+// service advertise limits. Each replica must get requests up to its limit and no more. A
+// request that exceeds the limits must be refused at once, with a Retry-After that is not
+// the same for all, since otherwise the clients would return at the same moment.
+func TestRequestsAreRefusedWhenAllReplicasAreLimited(t *testing.T) {
+	s := newTestEnv(t)
 	var got []*arrivals.Log
 	for i := range 3 {
-		r, a := s.counted(fmt.Sprint("r", i))
+		r, a := s.startCountedReplica(fmt.Sprint("r", i))
 		r.SetLimit("2")
 		got = append(got, a)
 	}
-	l := s.fleet(3)
+	l := s.startFleet(3)
 	time.Sleep(6 * time.Second)
-	began := time.Now()
-	returns := map[string]int{}
+	start := time.Now()
+	retryAfter := map[string]int{}
 	refused, served := 0, 0
-	for n := 0; time.Since(began) < 9*time.Second; n++ {
+	for n := 0; time.Since(start) < 9*time.Second; n++ {
 		at := time.Now()
-		r := l[n%3].send(http.MethodPost, []string{"/again/x", "/once/x"}[n%2], "x", key, sitetest.HeaderRequestID+": "+fmt.Sprint("q", n))
+		r := l[n%3].send(http.MethodPost, []string{"/again/x", "/once/x"}[n%2], "x", apiKeyHeader, sitetest.HeaderRequestID+": "+fmt.Sprint("q", n))
 		took := time.Since(at)
 		switch {
 		case r.status == http.StatusOK:
 			served++
 		case r.status == http.StatusServiceUnavailable && r.header.Get("Retry-After") != "":
 			refused++
-			returns[r.header.Get("Retry-After")]++
+			retryAfter[r.header.Get("Retry-After")]++
 		default:
-			t.Fatalf("%d %q %v", r.status, r.body, r.err)
+			t.Fatalf("got %d %q %v, want 200, or 503 with Retry-After", r.status, r.body, r.err)
 		}
 		if r.status != http.StatusOK && took > 500*time.Millisecond {
-			t.Errorf("refused after %s", took)
+			t.Errorf("refused after %s, want 500ms at most", took)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Logf("%d served, %d refused with %d different times to return", served, refused, len(returns))
+	t.Logf("%d served, %d refused with %d different values of Retry-After", served, refused, len(retryAfter))
 	for i, a := range got {
-		at := a.Between(began.Add(heardWithin), time.Now())
-		if n := arrivals.Most(at, limitSpan); n > 8 {
-			t.Errorf("r%d got %d in %s, it takes 8", i, n, limitSpan)
+		at := a.Between(start.Add(enforcementDelay), time.Now())
+		if n := arrivals.Most(at, limitWindow); n > 8 {
+			t.Errorf("r%d got %d requests in %s, want 8 at most", i, n, limitWindow)
 		}
 		if len(at) < 11 {
-			t.Errorf("r%d got %d in 8 s, it takes 16", i, len(at))
+			t.Errorf("r%d got %d requests in 8 s, want at least 11 of the 16 allowed", i, len(at))
 		}
 	}
-	if len(returns) < refused/20 {
-		t.Errorf("%d were refused with %d times to return", refused, len(returns))
+	if len(retryAfter) < refused/20 {
+		t.Errorf("%d requests were refused with %d values of Retry-After, want at least a 20th as many values", refused, len(retryAfter))
 	}
 }
--- a/cmd/fieldvale-node/main.go
+++ b/cmd/fieldvale-node/main.go
@@ -1,5 +1,5 @@
-// Fieldvale-node is fieldvale on the users' platform: one process an
-// instance. See description for how to run it.
+// Fieldvale-node routes requests to backend servers on the users' platform. Each process
+// is one instance of the fleet. See description for how to run it.
 package main
 
 import (
@@ -20,24 +20,25 @@
 
 const description = `fieldvale-node answers requests on the users' platform.
 
-It routes by the configuration in the platform's store, keeps to the bounds
-of its settings, and says when it is ready. It keeps nothing.
+It routes by the configuration in the platform's store, enforces the limits
+in its settings, and reports whether it is ready. It stores no data of its own.
 
-SIGTERM or SIGINT stops it in order: it is no longer ready, goes on taking
-requests until the platform has noticed, answers all that run, and exits
+SIGTERM or SIGINT shuts it down gracefully: it stops being ready, accepts
+requests until the platform has noticed, finishes those in progress, and exits
 with 0. SIGHUP reads the settings file again.
 
 The settings file is INI; examples/node.ini has every key with a comment.
 Its path is given by -c or by FIELDVALE_SETTINGS.`
 
-// Exit codes: failed while it ran, or by its command line or settings.
+// Exit codes: exitFailed is for a failure at run time, exitSettings for an invalid command
+// line or invalid settings.
 const (
 	exitOK       = 0
 	exitFailed   = 1
 	exitSettings = 2
 )
 
-// options are what the command line takes.
+// options are the command-line options.
 type options struct {
 	Config string `short:"c" long:"config" value-name:"FILE" description:"settings file"`
 	Check  bool   `long:"check" description:"check the settings, list every fault, and exit"`
@@ -45,11 +46,11 @@
 
 func main() { os.Exit(run()) }
 
-// run reads the command line and the settings and returns the exit code.
+// run reads the command line and the settings, serves, and returns the exit code.
 func run() int {
-	o, err := parse()
+	o, err := parseOptions()
 	if err != nil {
-		return exitOf(err)
+		return exitCode(err)
 	}
 	s, e := settings.LoadNode(o.Config)
 	for _, err := range e {
@@ -65,11 +66,13 @@
 	return serve(s, o.Config)
 }
 
-// errParser says that the options' own description is faulty.
-var errParser = errors.New("the options can't be described")
+// errParser marks an error in the definition of the options, as opposed to an error in the
+// user's command line.
+var errParser = errors.New("invalid definition of the command-line options")
 
-// parse reads the command line; the parser has told of its errors.
-func parse() (options, error) {
+// parseOptions reads the command line. The parser has already printed the error that it
+// returns.
+func parseOptions() (options, error) {
 	var o options
 	p := flags.NewNamedParser("fieldvale-node", flags.Default)
 	p.LongDescription = description
@@ -85,8 +88,9 @@
 	return o, nil
 }
 
-// exitOf is the exit code for a command line that was not taken.
-func exitOf(err error) int {
+// exitCode returns the exit code for an error of parseOptions; a request for help is not a
+// failure.
+func exitCode(err error) int {
 	var f *flags.Error
 	switch {
 	case errors.Is(err, errParser):
@@ -97,7 +101,7 @@
 	return exitSettings
 }
 
-// serve runs the instance until it is told to stop.
+// serve runs the instance until SIGTERM or SIGINT, and returns the exit code.
 func serve(s settings.Node, path string) int {
 	w := logging.NewBounded(os.Stdout)
 	defer w.Close()
@@ -106,11 +110,11 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
 	}
-	x, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	if err := newNode(s, path, l).run(x, hup); err != nil {
+	if err := newNode(s, path, l).run(ctx, hup); err != nil {
 		l.WithError(err).Error("failed")
 		return exitFailed
 	}
--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -36,33 +36,39 @@
 )
 
 const (
-	// honourPart of the time for which a key may be honoured is how long a
-	// confirmation holds; the rest covers the way of a request to its replica
-	// and clocks that run unlike.
-	honourPart = 0.9
-	// repeatPartMargin keeps the repeats below the bound: each instance counts
-	// in windows of its own, whose sum keeps to the bound's, but for what
-	// arrives a little later than it was sent. repeatBurstMargin is of what is
-	// allowed on top: an instance that is started again has forgotten what it
-	// took.
-	repeatPartMargin  = 0.97
-	repeatBurstMargin = 0.7
-	// memoryPart of the instance's memory is where the collector works hard.
-	memoryPart = 0.6
-	// gcPercent trades memory, which is priced, against processor time.
+	// confirmationFraction is the fraction of the HonourFor setting for which a
+	// confirmation of the configuration allows API keys to be honoured. The rest covers
+	// the time that a request takes to its replica, and clocks that run at different
+	// rates.
+	confirmationFraction = 0.9
+	// retryRatioMargin scales the allowed ratio of retries to requests. Each instance
+	// counts in windows of its own, and the sum of all stays within the fleet's bound
+	// except for retries that arrive a little later than they were sent.
+	// retryBurstMargin scales the burst that is allowed in addition: an instance that
+	// restarts has lost its count of the part that it used.
+	retryRatioMargin = 0.97
+	retryBurstMargin = 0.7
+	// memoryLimitFraction is the fraction of the instance's memory that is set as the
+	// soft memory limit, near which the garbage collector runs more often.
+	memoryLimitFraction = 0.6
+	// gcPercent is below Go's default of 100: it saves memory, which is charged for, at
+	// the cost of processor time.
 	gcPercent = 60
 )
 
-// node is one instance on the platform.
+// node is one instance of the fleet. It connects the components to each other and to the
+// network.
 type node struct {
-	s     settings.Node
-	path  string
-	log   log.Interface
-	clock func() time.Time
-	// machine is the clock behind, which finds out when the machine was suspended.
-	machine *clock.Clock
-	// resumedAfter is for how long it was suspended, as timed duties last saw.
-	resumedAfter time.Duration
+	settings     settings.Node
+	settingsPath string
+	log          log.Interface
+	clock        func() time.Time
+	// suspendClock is the source of clock; it also detects that the machine was
+	// suspended.
+	suspendClock *clock.Clock
+	// suspendedTotal is the total time that the machine was suspended, as of the last
+	// call of checkSuspension.
+	suspendedTotal time.Duration
 
 	metrics  *metrics.Registry
 	view     *entry.CurrentView
@@ -72,98 +78,106 @@
 	ingress  *platform.Ingress
 	store    *platform.Store
 	releases *platform.ReleaseWriter
-	// records are releases' progress that is to be written.
-	records chan state.Record
-	// seen is what was last logged of each service's release; only the
-	// goroutine of timed duties uses it.
-	seen map[string]entry.ReleaseTrial
-	// earlier is this instance's announcement as the first look at the list showed it.
-	earlier chan store.Announced
-	// cloud does the duties that one instance at a time has; nil where there are none.
-	cloud *cloud
-	// alone says that none of those on the list answers.
-	alone  chan struct{}
-	pool   *exchange.Pool
-	placer *placement.Node
-	// quarantine is what is believed of requests that bring replicas down; held are
-	// those that are to be written or removed.
-	quarantine *quarantine.Node
-	held       chan heldChange
-	// quota is what replicas ask of the whole fleet.
+	// pendingRecords passes the progress of releases to the goroutine that writes it to
+	// the store.
+	pendingRecords chan state.Record
+	// loggedTrials is the trial of each service's release as last logged. Only the
+	// goroutine of runPeriodicTasks uses it.
+	loggedTrials map[string]entry.ReleaseTrial
+	// earlierAnnouncement passes on the announcement of an earlier run of this instance,
+	// as the first read of the member list found it.
+	earlierAnnouncement chan store.Announced
+	// dutyWorker performs the duties that one instance at a time holds; nil where none is
+	// configured.
+	dutyWorker *dutyWorker
+	// registerNow signals that this instance must register at once, because no
+	// registered member answers.
+	registerNow chan struct{}
+	pool        *exchange.Pool
+	placer      *placement.Node
+	// quarantine tracks the requests that crash replicas; pendingHeld passes changes of
+	// the held ones to the goroutine that writes them to the store.
+	quarantine  *quarantine.Node
+	pendingHeld chan heldChange
+	// quota enforces the limits that replicas set for the whole fleet.
 	quota *quota.Node
-	// notices is what replicas said of themselves to this instance.
+	// notices tracks which replicas reported to this instance that they are draining or
+	// requested backoff.
 	notices *notice.Tracker
-	traffic traffic
-	// stale counts answers by old knowledge.
-	stale    *prometheus.CounterVec
-	socket   *datagram.Socket
-	relay    *relay.Node
-	changes  *relay.ChangeLog
+	traffic peerTraffic
+	// staleAnswers counts requests that were answered by an outdated configuration.
+	staleAnswers *prometheus.CounterVec
+	socket       *datagram.Socket
+	relay        *relay.Node
+	changeLog    *relay.ChangeLog
+	// stopping is closed when a graceful shutdown begins.
 	stopping chan struct{}
 }
 
-// newNode returns an instance that is not serving yet.
+// newNode returns an instance that is not serving yet, and limits the memory of the
+// process.
 func newNode(s settings.Node, path string, l log.Interface) *node {
 	limitMemory(s.MemoryMB)
-	return newNodeBy(clock.New(), s, path, l)
+	return newNodeWithClock(clock.New(), s, path, l)
 }
 
-// newNodeBy returns an instance that goes by the clock.
-func newNodeBy(c *clock.Clock, s settings.Node, path string, l log.Interface) *node {
+// newNodeWithClock returns an instance that takes the time from c.
+func newNodeWithClock(c *clock.Clock, s settings.Node, path string, l log.Interface) *node {
 	n := &node{
-		s: s, path: path, log: l, clock: c.Now, machine: c, metrics: metrics.New(), view: entry.NewCurrentView(),
-		records: make(chan state.Record), seen: map[string]entry.ReleaseTrial{}, earlier: make(chan store.Announced, 1), alone: make(chan struct{}, 1), pool: exchange.New(c.Now), stopping: make(chan struct{}),
+		settings: s, settingsPath: path, log: l, clock: c.Now, suspendClock: c, metrics: metrics.New(), view: entry.NewCurrentView(),
+		pendingRecords: make(chan state.Record), loggedTrials: map[string]entry.ReleaseTrial{}, earlierAnnouncement: make(chan store.Announced, 1), registerNow: make(chan struct{}, 1), pool: exchange.New(c.Now), stopping: make(chan struct{}),
 	}
-	n.lease = lease.New(time.Duration(honourPart*float64(s.HonourFor)), s.ApplyWithin, keyRule(s), n.clock())
-	n.placer = placement.NewNode(s.ID, startID(), tagged{n, tagPlacement}, n.clock, n.event)
-	n.store = platform.NewStore(exchange.New(c.Now), s.Store, c.Now).WithCallObserver(n.storeCalls())
+	n.lease = lease.New(time.Duration(confirmationFraction*float64(s.HonourFor)), s.ApplyWithin, keyExpiryRule(s), n.clock())
+	n.placer = placement.NewNode(s.ID, startID(), taggedTransport{n, tagPlacement}, n.clock, n.logEvent)
+	n.store = platform.NewStore(exchange.New(c.Now), s.Store, c.Now).WithCallObserver(n.registerStoreMetrics())
 	n.traffic = n.newTraffic()
-	n.held = make(chan heldChange, mostHeldWaiting)
-	n.changes = relay.NewChangeLog()
+	n.pendingHeld = make(chan heldChange, pendingHeldLimit)
+	n.changeLog = relay.NewChangeLog()
 	n.relay = relay.NewNode(n.self(), startID(), relay.Ports{
-		ChangeLog: n.changes, Store: n.store, Net: tagged{n, tagRelay}, Fetcher: countedTransfer{handover.NewClient(n.clock), n.traffic}, ListMembers: n.list, Register: n.join, Clock: n.clock, Event: n.event,
+		ChangeLog: n.changeLog, Store: n.store, Net: taggedTransport{n, tagRelay}, Fetcher: countingFetcher{handover.NewClient(n.clock), n.traffic}, ListMembers: n.listMembers, Register: n.requestRegistration, Clock: n.clock, Event: n.logEvent,
 	}, relay.TimingFor(s.ApplyWithin))
-	n.quarantine = quarantine.NewNode(startID(), n.quarantinePorts())
-	n.gaugeQuarantine()
-	n.quota = quota.NewNode(startID(), n.quotaPorts())
-	n.gaugeQuota()
-	n.notices = notice.NewTracker(n.clock, n.s.DrainFor, n.event)
-	n.gaugeNotices()
-	n.state = state.New(n.view, n.lease, n.clock, n.event, n.setMembers)
-	n.gaugeKnowledge()
+	n.quarantine = quarantine.NewNode(startID(), n.quarantineConfig())
+	n.registerQuarantineMetrics()
+	n.quota = quota.NewNode(startID(), n.quotaConfig())
+	n.registerQuotaMetrics()
+	n.notices = notice.NewTracker(n.clock, n.settings.DrainFor, n.logEvent)
+	n.registerNoticeMetrics()
+	n.state = state.New(n.view, n.lease, n.clock, n.logEvent, n.setMembers)
+	n.registerConfigMetrics()
 	n.metrics.Gauge("replicas_cold", "Replicas that have just started, as this instance knows.", func() float64 { return float64(n.state.ColdCount()) })
 	n.metrics.Gauge("data_centres_evacuated", "Data centres whose replicas get nothing.", func() float64 { return float64(n.state.EvacuatedCount()) })
 	n.releases = platform.NewReleaseWriter(n.store)
-	n.cloud = newCloud(n)
+	n.dutyWorker = newDutyWorker(n)
 	n.router = entry.NewRouter(n.routerPorts())
-	n.ingress = platform.NewIngress(platform.IngressConfig{Router: n.router, View: n.view, Lease: n.lease, Clock: n.clock, AwaitConfig: n.state.AwaitFirstConfig, RetryDelay: n.state.StartRetryAfter, OnRouted: n.answered(), OnRefused: n.refused()})
+	n.ingress = platform.NewIngress(platform.IngressConfig{Router: n.router, View: n.view, Lease: n.lease, Clock: n.clock, AwaitConfig: n.state.AwaitFirstConfig, RetryDelay: n.state.StartRetryAfter, OnRouted: n.onRouted(), OnRefused: n.onRefused()})
 	return n
 }
 
-// isCurrent reports whether what the instance knows was confirmed for as long as keys
-// may be honoured by it.
-func (n *node) isCurrent() bool { return n.lease.Fresh(n.clock(), 1) }
+// isConfigConfirmed reports whether the last confirmation of the configuration is recent
+// enough for API keys to be honoured by it.
+func (n *node) isConfigConfirmed() bool { return n.lease.Fresh(n.clock(), 1) }
 
-// keyRule is what the settings say of keys while the configuration can't be
+// keyExpiryRule returns the configured rule for API keys while the configuration can't be
 // confirmed.
-func keyRule(s settings.Node) lease.ExpiryRule {
+func keyExpiryRule(s settings.Node) lease.ExpiryRule {
 	if s.KeysLenient {
 		return lease.Lenient
 	}
 	return lease.Strict
 }
 
-// startID begins an instance's ids, so that they differ from those of its
-// earlier run; it leaves room to count on.
+// startID returns a random start for an instance's sequential ids, so that they differ
+// from those of its earlier runs. It is below 2^48, so that counting up does not overflow.
 func startID() uint64 { return rand.Uint64() >> 16 }
 
-// limitMemory has the collector keep the process within its memory.
+// limitMemory configures the garbage collector for a process with that much memory.
 func limitMemory(megabytes int64) {
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(memoryPart * float64(megabytes) * (1 << 20)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(megabytes) * (1 << 20)))
 }
 
-// setMembers tells those who ask other instances which there are.
+// setMembers passes the registered members to all components that send to other
+// instances.
 func (n *node) setMembers(m []peer.Member) {
 	n.placer.SetMembers(m)
 	n.quarantine.SetMembers(m)
@@ -171,94 +185,96 @@
 	n.relay.SetMembers(m)
 }
 
+// routerPorts returns the components and settings that the router uses.
 func (n *node) routerPorts() entry.Ports {
-	u := platform.NewUpstream(n.pool, n.clock, n.quota, n.unknownHeader).WithNotices(n.notices)
+	u := platform.NewUpstream(n.pool, n.clock, n.quota, n.logUnknownHeader).WithNotices(n.notices)
 	return entry.Ports{
-		View: n.view, Clock: n.clock, Self: n.s.ID, DataCentre: n.s.DataCentre, Regions: n.s.Regions, Placer: n.placer, Rand: rand.NewPCG(rand.Uint64(), rand.Uint64()), Hooks: n.events(),
-		Upstream: u, Prober: u, Quarantine: n.quarantine, AcceptConfidence: n.s.AcceptConfidence,
-		Quota: n.quota, Notices: n.notices, ColdBound: quota.ColdBound{Overage: n.s.ColdOverage, Slack: n.s.ColdSlack},
-		FleetSize: n.relay.FleetSize, Retries: admission.Repeats{Part: repeatPartMargin * n.s.RepeatPart, Burst: repeatBurstMargin * n.s.RepeatBurst},
+		View: n.view, Clock: n.clock, Self: n.settings.ID, DataCentre: n.settings.DataCentre, Regions: n.settings.Regions, Placer: n.placer, Rand: rand.NewPCG(rand.Uint64(), rand.Uint64()), Hooks: n.routerHooks(),
+		Upstream: u, Prober: u, Quarantine: n.quarantine, AcceptConfidence: n.settings.AcceptConfidence,
+		Quota: n.quota, Notices: n.notices, ColdBound: quota.ColdBound{Overage: n.settings.ColdOverage, Slack: n.settings.ColdSlack},
+		FleetSize: n.relay.FleetSize, Retries: admission.Repeats{Part: retryRatioMargin * n.settings.RepeatPart, Burst: retryBurstMargin * n.settings.RepeatBurst},
 	}
 }
 
-// event logs one event with its fields, in pairs of name and value.
-func (n *node) event(event string, fields ...any) {
+// logEvent logs one event with its fields, in pairs of name and value.
+func (n *node) logEvent(event string, fields ...any) {
 	n.log.WithFields(logging.Fields(fields...)).Info(event)
 }
 
-// doors are what the instance is reached by over TCP.
-type doors struct {
-	front   net.Listener
+// listeners are the instance's TCP listeners.
+type listeners struct {
+	clients net.Listener
 	ready   net.Listener
 	metrics net.Listener
-	// peers is where other instances fetch the state.
+	// peers is where other instances fetch the store's changes or a snapshot.
 	peers net.Listener
 }
 
-// close ends the servers at their sockets; those that have ended already
-// say so, which is no news.
-func (d doors) close() {
-	for _, l := range []net.Listener{d.front, d.ready, d.metrics, d.peers} {
+// close closes all listeners, which ends their servers. A listener that is closed already
+// returns an error, which is of no interest.
+func (d listeners) close() {
+	for _, l := range []net.Listener{d.clients, d.ready, d.metrics, d.peers} {
 		_ = l.Close()
 	}
 }
 
-// open opens all that the instance is reached by.
-func (n *node) open() (doors, error) {
-	var d doors
+// openListeners opens the TCP listeners, and the datagram socket for other instances.
+func (n *node) openListeners() (listeners, error) {
+	var d listeners
 	var err error
-	if d.front, err = socket.Open(n.s.Listen); err != nil {
+	if d.clients, err = socket.Open(n.settings.Listen); err != nil {
 		return d, err
 	}
-	if d.ready, err = socket.Open(n.s.Ready); err != nil {
+	if d.ready, err = socket.Open(n.settings.Ready); err != nil {
 		return d, err
 	}
-	if d.metrics, err = socket.Open(n.s.Metrics); err != nil {
+	if d.metrics, err = socket.Open(n.settings.Metrics); err != nil {
 		return d, err
 	}
-	if d.peers, err = socket.Open(n.s.Peers); err != nil {
+	if d.peers, err = socket.Open(n.settings.Peers); err != nil {
 		return d, err
 	}
-	n.socket, err = datagram.Listen(n.s.Peers)
+	n.socket, err = datagram.Listen(n.settings.Peers)
 	return d, err
 }
 
-// run serves until ctx ends and then stops in order.
+// run serves until ctx ends and then shuts down gracefully. A value on hup has the
+// settings read again.
 func (n *node) run(ctx context.Context, hup <-chan os.Signal) error {
-	d, err := n.open()
+	d, err := n.openListeners()
 	if err != nil {
 		return errors.Wrap(err, "node.run")
 	}
-	n.event("started", "peers", n.s.Peers, "listen", d.front.Addr(), "ready", d.ready.Addr(), "metrics", d.metrics.Addr(), "store", n.s.Store, "keys", keyRule(n.s), "honour_for", n.s.HonourFor)
-	x, cancel := context.WithCancel(context.Background())
+	n.logEvent("started", "peers", n.settings.Peers, "listen", d.clients.Addr(), "ready", d.ready.Addr(), "metrics", d.metrics.Addr(), "store", n.settings.Store, "keys", keyExpiryRule(n.settings), "honour_for", n.settings.HonourFor)
+	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g, x := errgroup.WithContext(x)
-	g.Go(func() error { return closed(x, n.ingress.Serve(d.front)) })
-	g.Go(func() error { return closed(x, n.serveReady(d.ready)) })
-	g.Go(func() error { return closed(x, n.metrics.Serve(d.metrics, n.ready)) })
-	g.Go(func() error { return closed(x, handover.Serve(d.peers, countedState{n.relay, n.traffic})) })
-	g.Go(func() error { return n.follow(x) })
-	g.Go(func() error { return n.socket.Serve(x, n.receive) })
-	g.Go(func() error { return n.announce(x) })
-	if n.cloud != nil {
-		g.Go(func() error { return n.cloud.run(x) })
+	g, runCtx := errgroup.WithContext(runCtx)
+	g.Go(func() error { return ignoreClosed(runCtx, n.ingress.Serve(d.clients)) })
+	g.Go(func() error { return ignoreClosed(runCtx, n.serveReady(d.ready)) })
+	g.Go(func() error { return ignoreClosed(runCtx, n.metrics.Serve(d.metrics, n.ready)) })
+	g.Go(func() error { return ignoreClosed(runCtx, handover.Serve(d.peers, countingSource{n.relay, n.traffic})) })
+	g.Go(func() error { return n.followStore(runCtx) })
+	g.Go(func() error { return n.socket.Serve(runCtx, n.receive) })
+	g.Go(func() error { return n.announce(runCtx) })
+	if n.dutyWorker != nil {
+		g.Go(func() error { return n.dutyWorker.run(runCtx) })
 	}
-	g.Go(func() error { return n.duties(x, hup) })
-	g.Go(func() error { return n.tidyAfterStart(x) })
-	g.Go(func() error { return n.write(x) })
-	g.Go(func() error { return n.writeHeld(x) })
+	g.Go(func() error { return n.runPeriodicTasks(runCtx, hup) })
+	g.Go(func() error { return n.freeStartupMemory(runCtx) })
+	g.Go(func() error { return n.writeRecords(runCtx) })
+	g.Go(func() error { return n.writeHeldChanges(runCtx) })
 	g.Go(func() error {
 		defer d.close()
-		return n.stopAfter(ctx, x, cancel)
+		return n.stopAfter(ctx, runCtx, cancel)
 	})
 	err = g.Wait()
-	n.event("stopped")
+	n.logEvent("stopped")
 	return err
 }
 
-// stopAfter stops in order once ctx has ended, and then ends the servers with
-// cancel. If one of them has failed, which ends running, the others end as
-// well, and the process with them.
+// stopAfter shuts down gracefully once ctx has ended, and then ends the servers with
+// cancel. If a server fails, which ends running, it returns at once, so that the caller
+// closes the listeners and the process ends.
 func (n *node) stopAfter(ctx, running context.Context, cancel func()) error {
 	select {
 	case <-ctx.Done():
@@ -270,8 +286,8 @@
 	return err
 }
 
-// closed drops the errors of a server that was stopped.
-func closed(ctx context.Context, err error) error {
+// ignoreClosed returns err, or nil if the server ended because it was stopped.
+func ignoreClosed(ctx context.Context, err error) error {
 	if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 		return nil
 	}
--- a/cmd/fieldvale-node/notice_test.go
+++ b/cmd/fieldvale-node/notice_test.go
@@ -7,25 +7,27 @@
 )
 
 const (
-	// drainFor is how long after its word a leaving replica may still get requests.
+	// drainFor is how long after its notice a draining replica may still get requests.
 	drainFor = 2 * time.Second
-	// restSeconds is how long the resting replica wants no request, restSlack how soon
-	// after its word that holds, and restMost what it may get all the same.
-	restSeconds = "2"
-	restFor     = 2 * time.Second
-	restSlack   = 500 * time.Millisecond
-	restMost    = 2
-	// settled is when replicas no longer count as just started.
-	settled = 6 * time.Second
+	// backoffSeconds and backoffDuration are how long the replica requests backoff,
+	// backoffDelay is how soon after its answer that must be in force, and
+	// maxDuringBackoff is how many requests it may get during a backoff nevertheless.
+	backoffSeconds   = "2"
+	backoffDuration  = 2 * time.Second
+	backoffDelay     = 500 * time.Millisecond
+	maxDuringBackoff = 2
+	// coldPeriod is how long after their start replicas are cold.
+	coldPeriod = 6 * time.Second
 )
 
-// inRest returns the most requests that came in any rest that the replica asked for.
-func inRest(l []time.Time, asked []time.Time) int {
+// requestsDuringBackoff returns the maximum number of requests that were received during one
+// backoff, of those that began at the given times.
+func requestsDuringBackoff(received []time.Time, backoffs []time.Time) int {
 	most := 0
-	for _, a := range asked {
+	for _, a := range backoffs {
 		n := 0
-		for _, t := range l {
-			if t.After(a.Add(restSlack)) && t.Before(a.Add(restFor)) {
+		for _, t := range received {
+			if t.After(a.Add(backoffDelay)) && t.Before(a.Add(backoffDuration)) {
 				n++
 			}
 		}
@@ -34,18 +36,21 @@
 	return most
 }
 
-func TestReplicaThatSaysItLeavesGetsNothingAfterItsDrain(t *testing.T) {
-	s := newSite(t)
-	r, _ := s.counted("r0")
-	s.counted("r1")
-	s.counted("r2")
+// Guards against requests to a replica that has advertised in its answers that it is
+// draining, though the store still lists it as ready: after the drain period it may have
+// stopped.
+func TestDrainingReplicaGetsNoRequestAfterDrain(t *testing.T) {
+	s := newTestEnv(t)
+	r, _ := s.startCountedReplica("r0")
+	s.startCountedReplica("r1")
+	s.startCountedReplica("r2")
 	s.start()
-	x, cancel := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	wait := load(x, []*site{s})
-	time.Sleep(settled)
+	wait := sendLoad(ctx, []*testEnv{s})
+	time.Sleep(coldPeriod)
 	r.SetDraining(true)
-	said := time.Now()
+	drainingSince := time.Now()
 	time.Sleep(drainFor + 3*time.Second)
 	cancel()
 	if n := wait(); n > 0 {
@@ -53,49 +58,51 @@
 	}
 	late := 0
 	for _, q := range r.Requests() {
-		if q.ReceivedAt.After(said.Add(drainFor)) {
+		if q.ReceivedAt.After(drainingSince.Add(drainFor)) {
 			late++
 		}
 	}
 	if late > 0 {
-		t.Errorf("%d requests came more than %s after the replica had said in its answers that it leaves", late, drainFor)
+		t.Errorf("%d requests arrived more than %s after the replica advertised that it is draining, want 0", late, drainFor)
 	}
 }
 
-func TestReplicaThatAsksForRestGetsNone(t *testing.T) {
-	s := newSite(t)
-	r, _ := s.counted("r0")
-	s.counted("r1")
-	s.counted("r2")
+// Guards against further requests to a replica that refuses them with Retry-After, and
+// against a replica that gets none any more after its backoff has ended.
+func TestRequestedBackoffIsRespected(t *testing.T) {
+	s := newTestEnv(t)
+	r, _ := s.startCountedReplica("r0")
+	s.startCountedReplica("r1")
+	s.startCountedReplica("r2")
 	s.start()
-	x, cancel := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	wait := load(x, []*site{s})
-	time.Sleep(settled)
-	r.SetBackoff(restSeconds)
+	wait := sendLoad(ctx, []*testEnv{s})
+	time.Sleep(coldPeriod)
+	r.SetBackoff(backoffSeconds)
 	time.Sleep(5 * time.Second)
 	r.SetBackoff("")
-	over := time.Now()
-	time.Sleep(restFor + 2*time.Second)
+	backoffEnded := time.Now()
+	time.Sleep(backoffDuration + 2*time.Second)
 	cancel()
 	if n := wait(); n > 0 {
 		t.Errorf("%d requests failed while two replicas were fit", n)
 	}
-	var all, asked []time.Time
+	var received, refused []time.Time
 	after := 0
 	for _, q := range r.Requests() {
-		all = append(all, q.ReceivedAt)
+		received = append(received, q.ReceivedAt)
 		if q.BackoffRequested {
-			asked = append(asked, q.ReceivedAt)
+			refused = append(refused, q.ReceivedAt)
 		}
-		if q.ReceivedAt.After(over) {
+		if q.ReceivedAt.After(backoffEnded) {
 			after++
 		}
 	}
-	if most := inRest(all, asked); most > restMost {
-		t.Errorf("%d requests came in a rest of %s, %d allowed", most, restFor, restMost)
+	if most := requestsDuringBackoff(received, refused); most > maxDuringBackoff {
+		t.Errorf("%d requests arrived during a backoff of %s, want %d at most", most, backoffDuration, maxDuringBackoff)
 	}
-	if len(asked) == 0 || after < 10 {
-		t.Errorf("%d times turned away, %d requests after its rest", len(asked), after)
+	if len(refused) == 0 || after < 10 {
+		t.Errorf("%d requests refused with a backoff, want at least 1; %d requests after it, want at least 10", len(refused), after)
 	}
 }
--- a/cmd/fieldvale-node/notices.go
+++ b/cmd/fieldvale-node/noticemetrics.go
@@ -1,6 +1,8 @@
 package main
 
-func (n *node) gaugeNotices() {
+// registerNoticeMetrics registers the counts of draining replicas and of those that
+// requested backoff.
+func (n *node) registerNoticeMetrics() {
 	n.metrics.Gauge("replicas_say_leaving", "Replicas whose answers said that they leave, listed as ready or not.", func() float64 {
 		l, _ := n.notices.Counts()
 		return float64(l)
--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -12,37 +12,39 @@
 	"fieldvale/rollout"
 )
 
-// events logs what the router tells of, and passes bad releases on.
-func (n *node) events() *entry.Hooks {
+// routerHooks returns hooks that log and count the router's events.
+func (n *node) routerHooks() *entry.Hooks {
 	judged := n.metrics.Counter("release_answers_total", "Attempts by release and what they count as when releases are judged.", "service", "release", "verdict")
 	broken := n.metrics.Counter("attempts_failed_total", "Attempts at backend servers that came to nothing, by service and whether an answer had begun.", "service", "began")
 	return &entry.Hooks{
-		RequestStarted: n.began(),
+		RequestStarted: n.requestStartedHook(),
 		AttemptJudged:  func(service, release, verdict string) { judged.WithLabelValues(service, release, verdict).Inc() },
 		AttemptFailed: func(f entry.FailedAttempt) {
 			broken.WithLabelValues(f.Service, strconv.FormatBool(f.AnswerStarted)).Inc()
-			n.event("attempt_failed", "request", f.Request, "content", f.Fingerprint, "replica", f.Replica, "began", f.AnswerStarted, "events", f.Events, "retry_in", retryIn(f.Err, n.clock()), "error", f.Err)
+			n.logEvent("attempt_failed", "request", f.Request, "content", f.Fingerprint, "replica", f.Replica, "began", f.AnswerStarted, "events", f.Events, "retry_in", retryDelay(f.Err, n.clock()), "error", f.Err)
 		},
 		BadReleaseFound: func(r rollout.Release, t rollout.Tally, f rollout.Finding) {
-			n.event("release_bad", append(seen(r, t, f), "cause", f.Cause)...)
+			n.logEvent("release_bad", append(trialFields(r, t, f), "cause", f.Cause)...)
 		},
 	}
 }
 
-// began counts requests that began to run, where usage is reported.
-func (n *node) began() func(customer string, at time.Time) {
-	if n.cloud == nil {
+// requestStartedHook returns a hook that counts the requests that began to run, by
+// customer, for reports of usage; nil where this instance has no duties.
+func (n *node) requestStartedHook() func(customer string, at time.Time) {
+	if n.dutyWorker == nil {
 		return nil
 	}
 	return func(customer string, at time.Time) {
 		if customer != "" {
-			n.cloud.tally.Saw(customer, at)
+			n.dutyWorker.tally.Saw(customer, at)
 		}
 	}
 }
 
-// seen are the fields of what is made of a release.
-func seen(r rollout.Release, t rollout.Tally, f rollout.Finding) []any {
+// trialFields returns the log fields of a release's trial: the counts of answers and the
+// finding based on them.
+func trialFields(r rollout.Release, t rollout.Tally, f rollout.Finding) []any {
 	now, old := t.Totals()
 	return []any{
 		"service", r.Service, "release", r.Target, "order", r.Order, "phase", r.Phase, "origins", f.Reporters,
@@ -52,23 +54,23 @@
 	}
 }
 
-// seeEvery is between lines on what is made of a release under way.
-const seeEvery = time.Second
+// trialLogInterval is the interval at which trials of releases are logged if they changed.
+const trialLogInterval = time.Second
 
-// see logs what this instance makes of releases under way, where it has
-// changed since the last line.
-func (n *node) see() {
+// logTrials logs the trials of the releases in progress that changed since they were last
+// logged.
+func (n *node) logTrials() {
 	for _, t := range n.router.ReleaseTrials() {
-		if n.seen[t.Release.Service] == t {
+		if n.loggedTrials[t.Release.Service] == t {
 			continue
 		}
-		n.seen[t.Release.Service] = t
-		n.event("release_seen", seen(t.Release, t.Seen, t.Finding)...)
+		n.loggedTrials[t.Release.Service] = t
+		n.logEvent("release_seen", trialFields(t.Release, t.Seen, t.Finding)...)
 	}
 }
 
-// answered logs and counts each routed request.
-func (n *node) answered() func(*entry.ForwardResult) {
+// onRouted returns the function that logs and counts each routed request.
+func (n *node) onRouted() func(*entry.ForwardResult) {
 	c := n.metrics.Counter("routed_total", "Routed requests by service and result.", "service", "code")
 	l := n.metrics.Counter("replicas_limited_total", "Replicas that were left out for a request because they name a limit, or are cold, or may be, and got no more then, by service.", "service")
 	d := n.metrics.Histogram("routed_first_seconds", "Time to the answer or to the first event.", "service")
@@ -85,50 +87,53 @@
 		if !f.FirstByteAt.IsZero() {
 			d.WithLabelValues(f.Service).Observe(f.FirstByteAt.Sub(q.ArrivedAt).Seconds())
 		}
-		n.quarantined(f)
+		n.logQuarantined(f)
 		age, _ := n.lease.Age(n.clock())
-		if age >= n.s.ApplyWithin {
-			n.stale.WithLabelValues("routed").Inc()
+		if age >= n.settings.ApplyWithin {
+			n.staleAnswers.WithLabelValues("routed").Inc()
 		}
-		n.event("routed", "request", q.ID, "content", f.Fingerprint, "route", q.Route.Name, "customer", q.Customer.Name, "session", q.Session, "config", q.Table.Version, "config_age", age,
+		n.logEvent("routed", "request", q.ID, "content", f.Fingerprint, "route", q.Route.Name, "customer", q.Customer.Name, "session", q.Session, "config", q.Table.Version, "config_age", age,
 			"service", f.Service, "replica", f.Replica, "tried", f.Tried, "left_out", f.Excluded, "release", f.Release, "model", f.Model, "confidence", f.Confidence, "dropped", f.Dropped, "doubt", f.Escalation,
-			"prompt", q.Prompt.In, "most", q.Prompt.MaxOut, "limited", f.SkippedCount, "passed_over", f.Skipped, "sends", f.Sends, "runs", f.Runs, "events", f.Events, "status", f.Status, "code", code, "run", f.Outcome, "cause", causeText(f.Cause), "stopped", f.StopReason,
-			"first", since(f.FirstByteAt, q.ArrivedAt), "took", f.EndedAt.Sub(q.ArrivedAt), "allowed", q.Deadline.Sub(q.ArrivedAt))
+			"prompt", q.Prompt.In, "most", q.Prompt.MaxOut, "limited", f.SkippedCount, "passed_over", f.Skipped, "sends", f.Sends, "runs", f.Runs, "events", f.Events, "status", f.Status, "code", code, "run", f.Outcome, "cause", errorText(f.Cause), "stopped", f.StopReason,
+			"first", elapsed(f.FirstByteAt, q.ArrivedAt), "took", f.EndedAt.Sub(q.ArrivedAt), "allowed", q.Deadline.Sub(q.ArrivedAt))
 	}
 }
 
-// retryIn is for how long the replica asked not to be asked again; 0 if it did not.
-func retryIn(err error, now time.Time) time.Duration {
+// retryDelay returns for how long the replica requested backoff in its answer; 0 if it did
+// not.
+func retryDelay(err error, now time.Time) time.Duration {
 	var o *outcome.Error
 	if !errors.As(err, &o) {
 		return 0
 	}
-	return since(o.RetryAt, now)
+	return elapsed(o.RetryAt, now)
 }
 
-func causeText(err error) string {
+// errorText returns the text of err, empty for nil.
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
 	return err.Error()
 }
 
-func since(t, start time.Time) time.Duration {
+// elapsed returns the time from start to t; 0 if t is not set.
+func elapsed(t, start time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
 	}
 	return t.Sub(start)
 }
 
-// refused logs and counts each request that was not routed.
-func (n *node) refused() func(id, host, path string, status int, reason string) {
+// onRefused returns the function that logs and counts each request that was not routed.
+func (n *node) onRefused() func(id, host, path string, status int, reason string) {
 	c := n.metrics.Counter("refused_total", "Requests that were not routed, by reason.", "reason")
 	return func(id, host, path string, status int, reason string) {
 		c.WithLabelValues(reason).Inc()
 		age, _ := n.lease.Age(n.clock())
-		if age >= n.s.ApplyWithin && status < http.StatusInternalServerError {
-			n.stale.WithLabelValues("denied").Inc()
+		if age >= n.settings.ApplyWithin && status < http.StatusInternalServerError {
+			n.staleAnswers.WithLabelValues("denied").Inc()
 		}
-		n.event("refused", "request", id, "host", host, "path", path, "status", status, "reason", reason, "config", n.configVersion(), "config_age", age)
+		n.logEvent("refused", "request", id, "host", host, "path", path, "status", status, "reason", reason, "config", n.configVersion(), "config_age", age)
 	}
 }
--- a/cmd/fieldvale-node/quarantine.go
+++ b/cmd/fieldvale-node/quarantine.go
@@ -8,28 +8,33 @@
 	"fieldvale/quarantine"
 )
 
-// mostHeldWaiting bounds the changes that wait for the store. What finds no room is due
-// again: a content that is held ends no more replicas, but is forgotten if all instances
-// are lost before it is written.
-const mostHeldWaiting = 64
+// pendingHeldLimit bounds the changes that wait to be written to the store. A change that
+// exceeds it is dropped until the quarantine reports it again. Meanwhile held requests are
+// still refused and crash no more replicas, but if all instances stop before the change is
+// written, it is lost.
+const pendingHeldLimit = 64
 
-// heldChange is a content that the store is to hold, or no more.
+// heldChange is a request content to be stored as held, or to be removed from the store.
 type heldChange struct {
 	entry quarantine.Entry
-	over  bool
+	// released has the content removed.
+	released bool
 }
 
-func (n *node) quarantinePorts() quarantine.Config {
+// quarantineConfig returns the configuration of the quarantine, which has the changes of
+// held contents written to the store.
+func (n *node) quarantineConfig() quarantine.Config {
 	return quarantine.Config{
-		Self: n.s.ID, Net: tagged{n, tagSuspects}, Clock: n.clock, Followers: n.relay.Followers, Log: n.event,
-		OnHeld: func(e quarantine.Entry) { n.heldDue(heldChange{entry: e}) },
+		Self: n.settings.ID, Net: taggedTransport{n, tagQuarantine}, Clock: n.clock, Followers: n.relay.Followers, Log: n.logEvent,
+		OnHeld: func(e quarantine.Entry) { n.enqueueHeldChange(heldChange{entry: e}) },
 		OnReleased: func(f quarantine.Fingerprint) {
-			n.heldDue(heldChange{entry: quarantine.Entry{Fingerprint: f}, over: true})
+			n.enqueueHeldChange(heldChange{entry: quarantine.Entry{Fingerprint: f}, released: true})
 		},
 	}
 }
 
-func (n *node) gaugeQuarantine() {
+// registerQuarantineMetrics registers the counts of suspect and of held request contents.
+func (n *node) registerQuarantineMetrics() {
 	n.metrics.Gauge("requests_suspect", "Contents that are sent on trial or not at all, as this instance knows.", func() float64 {
 		s, _ := n.quarantine.Counts()
 		return float64(s)
@@ -40,47 +45,50 @@
 	})
 }
 
-// quarantined logs why a request was sent on trial only, or not at all.
-func (n *node) quarantined(f *entry.ForwardResult) {
+// logQuarantined logs why the quarantine allowed a request only as a trial, or refused it;
+// it logs nothing for a request that the quarantine allowed.
+func (n *node) logQuarantined(f *entry.ForwardResult) {
 	v := f.Verdict
 	if v.Decision == quarantine.Allow {
 		return
 	}
 	r := v.Record
-	n.event("request_quarantined", "request", f.Request.ID, "content", f.Fingerprint, "decision", v.Decision, "score", r.Score, "replicas", r.Replicas,
+	n.logEvent("request_quarantined", "request", f.Request.ID, "content", f.Fingerprint, "decision", v.Decision, "score", r.Score, "replicas", r.Replicas,
 		"trials_ended", r.TrialCrashes, "trials_open", r.TrialsWithoutResult, "last_end_ago", n.clock().Sub(r.LastCrashAt), "told_by", r.ReportedBy, "keeper", v.Owner, "retry_at", v.RetryAt)
 }
 
-// heldDue hands a change to the goroutine that writes them.
-func (n *node) heldDue(c heldChange) {
+// enqueueHeldChange passes a change to writeHeldChanges, or drops and logs it if too many
+// wait.
+func (n *node) enqueueHeldChange(c heldChange) {
 	select {
-	case n.held <- c:
+	case n.pendingHeld <- c:
 	default:
-		n.event("held_unwritten", "content", c.entry.Fingerprint, "over", c.over, "reason", "too many wait")
+		n.logEvent("held_unwritten", "content", c.entry.Fingerprint, "over", c.released, "reason", "too many wait")
 	}
 }
 
-// writeHeld writes what is held, one after another, until ctx ends.
-func (n *node) writeHeld(ctx context.Context) error {
+// writeHeldChanges writes the changes of held contents to the store, one after another,
+// until ctx ends.
+func (n *node) writeHeldChanges(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case c := <-n.held:
-			n.recordHeld(ctx, c)
+		case c := <-n.pendingHeld:
+			n.writeHeldChange(ctx, c)
 		}
 	}
 }
 
-// recordHeld writes one content, or removes it.
-func (n *node) recordHeld(ctx context.Context, c heldChange) {
-	x, cancel := context.WithTimeout(ctx, commitTimeout)
+// writeHeldChange writes one held content to the store, or removes it, and logs the result.
+func (n *node) writeHeldChange(ctx context.Context, c heldChange) {
+	callCtx, cancel := context.WithTimeout(ctx, storeWriteTimeout)
 	defer cancel()
-	if c.over {
-		err := platform.NewQuarantineWriter(n.store).Release(x, c.entry.Fingerprint)
-		n.event("held_released", "content", c.entry.Fingerprint, "error", err)
+	if c.released {
+		err := platform.NewQuarantineWriter(n.store).Release(callCtx, c.entry.Fingerprint)
+		n.logEvent("held_released", "content", c.entry.Fingerprint, "error", err)
 		return
 	}
-	won, err := platform.NewQuarantineWriter(n.store).Hold(x, c.entry)
-	n.event("held_record", "content", c.entry.Fingerprint, "score", c.entry.Record.Score, "won", won, "error", err)
+	won, err := platform.NewQuarantineWriter(n.store).Hold(callCtx, c.entry)
+	n.logEvent("held_record", "content", c.entry.Fingerprint, "score", c.entry.Record.Score, "won", won, "error", err)
 }
--- a/cmd/fieldvale-node/quota.go
+++ b/cmd/fieldvale-node/quota.go
@@ -6,14 +6,17 @@
 	"fieldvale/quota"
 )
 
-func (n *node) quotaPorts() quota.Config {
+// quotaConfig returns the configuration of the quota component.
+func (n *node) quotaConfig() quota.Config {
 	return quota.Config{
-		Self: n.s.ID, Net: tagged{n, tagQuota}, Clock: n.clock, FleetSize: n.relay.FleetSize, Followers: n.relay.Followers,
-		IsMembershipCurrent: n.isCurrent, MaxPropagationDelay: n.s.ApplyWithin, Rand: rand.Float64, Log: n.event,
+		Self: n.settings.ID, Net: taggedTransport{n, tagQuota}, Clock: n.clock, FleetSize: n.relay.FleetSize, Followers: n.relay.Followers,
+		IsMembershipCurrent: n.isConfigConfirmed, MaxPropagationDelay: n.settings.ApplyWithin, Rand: rand.Float64, Log: n.logEvent,
 	}
 }
 
-func (n *node) gaugeQuota() {
+// registerQuotaMetrics registers how many replicas advertise a limit, the limits, and how
+// much of each is used.
+func (n *node) registerQuotaMetrics() {
 	n.metrics.Gauge("replicas_limited", "Replicas that name a limit, as this instance knows.", func() float64 { return float64(len(n.quota.LimitedReplicas())) })
 	n.metrics.Gauges("replica_limit_per_second", "What each replica that names a limit takes from all instances together, in requests a second.", "replica", func() map[string]float64 {
 		m := map[string]float64{}
@@ -25,7 +28,7 @@
 	n.metrics.Gauges("replica_limit_used_per_second", "What each of them got in the last four seconds, at the instance that counts.", "replica", n.quota.UsedRates)
 }
 
-// unknownHeader logs that an answer says something that is not understood.
-func (n *node) unknownHeader(replica, name string) {
-	n.event("answer_header_unknown", "replica", replica, "header", name)
+// logUnknownHeader logs that an answer has a header of an unknown name.
+func (n *node) logUnknownHeader(replica, name string) {
+	n.logEvent("answer_header_unknown", "replica", replica, "header", name)
 }
--- a/cmd/fieldvale-node/releases.go
+++ b/cmd/fieldvale-node/releases.go
@@ -11,91 +11,97 @@
 )
 
 const (
-	// turnLength is how long one instance has to write what is due before the
-	// next one does: some store calls, and well below the phases of a release.
-	turnLength = 250 * time.Millisecond
-	// judgesFirst is how much longer instances wait that don't judge the release:
-	// as long as a judge may hold it back in a day of 16 s.
-	judgesFirst = time.Second
-	// commitTimeout bounds a call that writes to the store.
-	commitTimeout = 2 * time.Second
+	// turnInterval is how long one instance has to write a due record before the instance
+	// of the next rank writes it: enough for some store calls, and far less than a phase
+	// of a release.
+	turnInterval = 250 * time.Millisecond
+	// nonJudgeDelay is how much longer instances wait that are not judges of the release:
+	// as long as a judge may hold back the next phase in a scenario that lasts 16 s.
+	nonJudgeDelay = time.Second
+	// storeWriteTimeout bounds one call that writes to the store.
+	storeWriteTimeout = 2 * time.Second
 )
 
-// advance has recorded what is due: releases found bad, again until the store
-// has it, and phases that have lasted. The instances take turns by rank with
-// the latter, so that one of them writes and the next only if it did not.
-func (n *node) advance() {
+// enqueueDueRecords has the due records of releases written: of bad releases at each call
+// until the store holds the record, and of releases whose phase is over. For the latter the
+// instances take turns in the order of their ranks, so that an instance writes only if
+// those ranked before it did not.
+func (n *node) enqueueDueRecords() {
 	bad := map[string]bool{}
 	for _, r := range n.router.BadReleases() {
 		bad[r.Service] = true
 		if c, ok := n.state.TripRecord(r); ok {
-			n.due(c)
+			n.enqueueRecord(c)
 		}
 	}
-	for _, c := range n.state.DueRecords(n.clock(), n.turn) {
+	for _, c := range n.state.DueRecords(n.clock(), n.writeDelay) {
 		if !bad[c.Release.Service] {
-			n.due(n.tried(c))
+			n.enqueueRecord(n.withTrialShare(c))
 		}
 	}
 }
 
-// tried sets the share with which a release is tried, once its trial begins.
-func (n *node) tried(c state.Record) state.Record {
+// withTrialShare returns the record with the share of requests that the release gets during
+// its trial, if the trial has begun and the share is not set yet. The share limits how many
+// requests a bad release gets, by the estimated request rate of the service.
+func (n *node) withTrialShare(c state.Record) state.Record {
 	if r := &c.Release; r.Phase > 0 && r.TrialShare == 0 {
-		b := rollout.ExposureLimit{Fraction: n.s.ExposedPart, Slack: n.s.ExposedSlack}
+		b := rollout.ExposureLimit{Fraction: n.settings.ExposedPart, Slack: n.settings.ExposedSlack}
 		r.TrialShare = r.ComputeTrialShare(b, n.router.SendRate(*r, r.Elapsed))
 	}
 	return c
 }
 
-// due hands a record to the goroutine that writes them; while that one is
-// busy it is due again with the next tick.
-func (n *node) due(c state.Record) {
+// enqueueRecord passes a record to writeRecords. While that is busy it drops the record,
+// which is due again at the next tick.
+func (n *node) enqueueRecord(c state.Record) {
 	select {
-	case n.records <- c:
+	case n.pendingRecords <- c:
 	default:
 	}
 }
 
-// write writes records one after another until ctx ends.
-func (n *node) write(ctx context.Context) error {
+// writeRecords writes records to the store, one after another, until ctx ends.
+func (n *node) writeRecords(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case c := <-n.records:
-			n.record(ctx, c)
+		case c := <-n.pendingRecords:
+			n.writeRecord(ctx, c)
 		}
 	}
 }
 
-// ranked returns the fleet's instances in the order of their duty for the
-// service's release.
-func (n *node) ranked(service string) []peer.Member {
+// rankForRelease returns the registered members in the order of their ranks for the
+// service's release. The first judgeCount are its judges.
+func (n *node) rankForRelease(service string) []peer.Member {
 	return peer.Rank("release/"+service, n.placer.Members())
 }
 
-// turn is how long this instance lets those ranked before it write a record
-// of the service's release. Those that don't judge it, and don't know whether it
-// is suspect, leave the judges time. One that knows no other instance is a judge.
-func (n *node) turn(rel rollout.Release) (wait time.Duration, s rollout.Concerns) {
-	m := n.ranked(rel.Service)
-	i := slices.IndexFunc(m, func(x peer.Member) bool { return x.ID == n.s.ID })
+// writeDelay returns how long this instance waits for the instances ranked before it to
+// write a record of the release, and the concerns about the release here. Instances that
+// don't judge the release can't detect that it is suspect, and wait longer, to give the
+// judges time. An instance that has no other members in its list is a judge.
+func (n *node) writeDelay(rel rollout.Release) (wait time.Duration, s rollout.Concerns) {
+	m := n.rankForRelease(rel.Service)
+	i := slices.IndexFunc(m, func(x peer.Member) bool { return x.ID == n.settings.ID })
 	if i < 0 {
 		i = len(m)
 	}
-	isJudge := i < judges
-	wait = time.Duration(i) * turnLength
+	isJudge := i < judgeCount
+	wait = time.Duration(i) * turnInterval
 	if !isJudge {
-		wait += judgesFirst
+		wait += nonJudgeDelay
 	}
 	return wait, n.router.Standing(rel, isJudge)
 }
 
-// record writes a release's progress, unless another instance did before.
-func (n *node) record(ctx context.Context, c state.Record) {
-	x, cancel := context.WithTimeout(ctx, commitTimeout)
+// writeRecord writes a release's progress to the store, unless another instance has written
+// it before, and logs the result.
+func (n *node) writeRecord(ctx context.Context, c state.Record) {
+	callCtx, cancel := context.WithTimeout(ctx, storeWriteTimeout)
 	defer cancel()
-	ok, err := n.releases.Advance(x, c.Release, c.Version)
-	n.event("release_record", "service", c.Release.Service, "release", c.Release.Target, "phase", c.Release.Phase, "trial", c.Release.TrialShare, "ran", c.Release.Elapsed, "state", c.Release.State, "version", c.Version, "won", ok, "error", err)
+	ok, err := n.releases.Advance(callCtx, c.Release, c.Version)
+	n.logEvent("release_record", "service", c.Release.Service, "release", c.Release.Target, "phase", c.Release.Phase, "trial", c.Release.TrialShare, "ran", c.Release.Elapsed, "state", c.Release.State, "version", c.Version, "won", ok, "error", err)
 }
--- a/cmd/fieldvale-node/releases_test.go
+++ b/cmd/fieldvale-node/releases_test.go
@@ -9,10 +9,13 @@
 	"fieldvale/platform/sitetest"
 )
 
-func TestNodeTakesABadReleaseBack(t *testing.T) {
-	s := newSite(t)
-	s.replica("old", "v1")
-	bad := s.replica("new", "v2")
+// Guards against a bad release that stays in use: all answers of the new release fail, and
+// the first writes of the finding to the store fail as well. The node must repeat the write,
+// and send no request to the release once it is rolled back.
+func TestNodeRollsBackBadRelease(t *testing.T) {
+	s := newTestEnv(t)
+	s.startReplica("old", "v1")
+	bad := s.startReplica("new", "v2")
 	bad.Lock()
 	bad.Handler = func(c net.Conn, q sitetest.Request) {
 		_, _ = io.WriteString(c, bad.ResponseHead(q, "500 Internal Server Error", "Content-Length: 0"))
@@ -20,12 +23,12 @@
 	bad.Unlock()
 	s.start()
 	s.store.OrderRelease("svc", "v2", 600)
-	s.eventually("the operator reads that it runs", func() bool { return strings.Contains(s.store.ReleaseStatus("svc"), sitetest.ReleaseInProgress) })
-	// The finding is written until the store takes it.
+	s.eventually("the release status is in progress", func() bool { return strings.Contains(s.store.ReleaseStatus("svc"), sitetest.ReleaseInProgress) })
+	// The node must write the finding until the store accepts it.
 	s.store.Lock()
 	s.store.FailWrites = 3
 	s.store.Unlock()
-	s.eventually("the operator reads that it was rolled back", func() bool {
+	s.eventually("the release status is rolled back", func() bool {
 		for range 50 {
 			s.send("GET", "/open/", "")
 		}
@@ -36,17 +39,18 @@
 		s.send("GET", "/open/", "")
 	}
 	if len(bad.Requests()) != n {
-		t.Errorf("the bad release got %d requests after it was rolled back", len(bad.Requests())-n)
+		t.Errorf("the bad release got %d requests after it was rolled back, want 0", len(bad.Requests())-n)
 	}
 }
 
-func TestNodeCompletesAGoodRelease(t *testing.T) {
-	s := newSite(t)
-	s.replica("old", "v1")
-	s.replica("new", "v2")
+// Guards against a good release that is never completed.
+func TestNodeCompletesGoodRelease(t *testing.T) {
+	s := newTestEnv(t)
+	s.startReplica("old", "v1")
+	s.startReplica("new", "v2")
 	s.start()
 	s.store.OrderRelease("svc", "v2", 2)
-	s.eventually("the operator reads that it is complete", func() bool {
+	s.eventually("the release status is completed", func() bool {
 		s.send("GET", "/open/", "")
 		return strings.Contains(s.store.ReleaseStatus("svc"), sitetest.ReleaseCompleted)
 	})
--- a/cmd/fieldvale-node/stop.go
+++ b/cmd/fieldvale-node/stop.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// leaveDelay is how long a stopping instance takes new connections after
-	// it stopped being ready: the platform asks each second and believes the
-	// second refusal.
-	leaveDelay = 2500 * time.Millisecond
-	// stopMargin is left of the time for a stop to end the process in.
-	stopMargin = 700 * time.Millisecond
+	// drainDelay is how long a stopping instance accepts new connections after it stopped
+	// being ready: the platform checks the readiness each second, and sends connections
+	// elsewhere after the second failed check.
+	drainDelay = 2500 * time.Millisecond
+	// exitMargin is the part of the StopWithin setting that is reserved for the end of the
+	// process after all requests are finished or cut off.
+	exitMargin = 700 * time.Millisecond
 )
 
-// ready reports whether new connections should come here.
+// ready reports whether the platform should send new connections to this instance.
 func (n *node) ready() bool {
 	select {
 	case <-n.stopping:
@@ -28,7 +29,7 @@
 	}
 }
 
-// serveReady answers the platform's question for readiness.
+// serveReady serves the platform's readiness checks.
 func (n *node) serveReady(l net.Listener) error {
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !n.ready() {
@@ -38,17 +39,18 @@
 	return errors.Wrap(s.Serve(l), "node.serveReady")
 }
 
-// stop is the planned stop: no longer ready, then the answers that run.
+// stop shuts down gracefully: it stops being ready, accepts connections for drainDelay, and
+// waits for the requests in progress until the time for the stop is over.
 func (n *node) stop() error {
-	n.event("stopping")
-	end := n.clock().Add(n.s.StopWithin - stopMargin)
+	n.logEvent("stopping")
+	end := n.clock().Add(n.settings.StopWithin - exitMargin)
 	close(n.stopping)
 	n.ingress.StartDraining()
-	time.Sleep(min(leaveDelay, n.s.StopWithin/2))
-	x, cancel := context.WithTimeout(context.Background(), end.Sub(n.clock()))
+	time.Sleep(min(drainDelay, n.settings.StopWithin/2))
+	ctx, cancel := context.WithTimeout(context.Background(), end.Sub(n.clock()))
 	defer cancel()
-	if err := n.ingress.Shutdown(x); err != nil {
-		n.event("stop_incomplete", "error", err)
+	if err := n.ingress.Shutdown(ctx); err != nil {
+		n.logEvent("stop_incomplete", "error", err)
 	}
 	return nil
 }
--- a/cmd/fieldvale-node/tally.go
+++ b/cmd/fieldvale-node/tally.go
@@ -9,94 +9,97 @@
 )
 
 const (
-	// tellEvery is between reports of what was seen of releases under way;
-	// it adds to the seconds in which a bad one must be stopped. Bad answers are
-	// told with the next tick of timed duties.
-	tellEvery = 400 * time.Millisecond
-	// judges is how many instances are told. Any of them may be cut off, killed or
-	// frozen as the release turns bad; with three, two may be.
-	judges = 3
+	// reportInterval is the interval between reports on releases in progress to other
+	// instances. It adds to the few seconds within which a bad release must be stopped;
+	// so bad answers are reported at the next tick of the periodic tasks instead.
+	reportInterval = 400 * time.Millisecond
+	// judgeCount is how many instances judge a release. A judge may be disconnected,
+	// killed or frozen while the release turns bad; with three judges, two may be.
+	judgeCount = 3
 )
 
-// tell sends what was seen of releases to the instances that judge them. A
-// report that is lost is made good by the next one, as counts only grow.
-func (n *node) tell(l []entry.ReleaseTally) {
+// sendTallies sends tallies of releases to their judges. A lost datagram needs no
+// retransmission: the counts only grow, and the next tally includes them.
+func (n *node) sendTallies(l []entry.ReleaseTally) {
 	for _, t := range l {
-		b, err := encodeReport(n.s.ID, t)
+		b, err := encodeTally(n.settings.ID, t)
 		if err != nil {
-			n.event("tally_unsent", "service", t.Service, "error", err)
+			n.logEvent("tally_unsent", "service", t.Service, "error", err)
 			continue
 		}
-		n.sendAll(tagTally, n.judges(t.Service), b, t.Service)
+		n.sendAll(tagTally, n.otherJudges(t.Service), b, t.Service)
 	}
 }
 
-// sendAll sends the datagram on a service's release to the instances.
+// sendAll sends a datagram about a service's release to each of the members.
 func (n *node) sendAll(tag byte, to []peer.Member, b []byte, service string) {
 	for _, m := range to {
-		if err := (tagged{n, tag}).Send(m.Addr, b); err != nil {
-			n.event("tally_unsent", "service", service, "to", m.ID, "error", err)
+		if err := (taggedTransport{n, tag}).Send(m.Addr, b); err != nil {
+			n.logEvent("tally_unsent", "service", service, "to", m.ID, "error", err)
 		}
 	}
 }
 
-// tellBad tells all instances on the list of releases that are found bad, until the
-// store has it: one that can't write there would be the only one to know.
-func (n *node) tellBad() {
+// reportBadReleases reports releases found bad to all registered members, until the store
+// records them as bad: an instance that can't write to the store would otherwise be the
+// only one that stops using the release.
+func (n *node) reportBadReleases() {
 	for _, r := range n.router.BadReleases() {
-		n.tellVerdict(r, false)
+		n.sendVerdict(r, false)
 	}
 }
 
-// tellDoubt tells all instances on the list of releases that are in doubt: those that
-// don't judge have few answers to see it by, and may record the next phase.
-func (n *node) tellDoubt() {
+// reportDoubtfulReleases reports releases in doubt to all registered members: those that
+// are not judges have too few answers to detect the doubt themselves, and could otherwise
+// record the next phase.
+func (n *node) reportDoubtfulReleases() {
 	for _, r := range n.router.DoubtfulReleases() {
-		n.tellVerdict(r, true)
+		n.sendVerdict(r, true)
 	}
 }
 
-func (n *node) tellVerdict(r rollout.Release, doubt bool) {
-	b, err := encodeVerdict(n.s.ID, r, doubt)
+// sendVerdict reports to all registered members that the release is bad, or only in doubt.
+func (n *node) sendVerdict(r rollout.Release, doubt bool) {
+	b, err := encodeVerdict(n.settings.ID, r, doubt)
 	if err != nil {
-		n.event("verdict_unsent", "service", r.Service, "error", err)
+		n.logEvent("verdict_unsent", "service", r.Service, "error", err)
 		return
 	}
-	n.sendAll(tagVerdict, n.others(n.placer.Members()), b, r.Service)
+	n.sendAll(tagVerdict, n.withoutSelf(n.placer.Members()), b, r.Service)
 }
 
-// judges returns the other instances that judge the service's release.
-func (n *node) judges(service string) []peer.Member {
-	m := n.ranked(service)
-	return n.others(m[:min(judges, len(m))])
+// otherJudges returns the judges of the service's release without this instance.
+func (n *node) otherJudges(service string) []peer.Member {
+	m := n.rankForRelease(service)
+	return n.withoutSelf(m[:min(judgeCount, len(m))])
 }
 
-// others leaves this instance out.
-func (n *node) others(m []peer.Member) []peer.Member {
+// withoutSelf returns the members without this instance.
+func (n *node) withoutSelf(m []peer.Member) []peer.Member {
 	var l []peer.Member
 	for _, x := range m {
-		if x.ID != n.s.ID {
+		if x.ID != n.settings.ID {
 			l = append(l, x)
 		}
 	}
 	return l
 }
 
-// receiveTally takes in what another instance saw.
+// receiveTally handles another instance's tally of a release.
 func (n *node) receiveTally(from string, b []byte) {
-	origin, t, err := decodeReport(b)
+	origin, t, err := decodeTally(b)
 	if err != nil {
-		n.event("datagram_unreadable", "from", from, "error", err)
+		n.logEvent("datagram_unreadable", "from", from, "error", err)
 		return
 	}
 	n.router.RecordPeerTally(origin, t)
 }
 
-// receiveVerdict takes in that another instance found a release bad, or is in doubt.
+// receiveVerdict handles another instance's report that a release is bad or in doubt.
 func (n *node) receiveVerdict(from string, b []byte) {
 	v, err := decodeVerdict(b)
 	if err != nil {
-		n.event("datagram_unreadable", "from", from, "error", err)
+		n.logEvent("datagram_unreadable", "from", from, "error", err)
 		return
 	}
 	if v.Doubt {
@@ -104,6 +107,6 @@
 		return
 	}
 	if n.router.RecordPeerBadRelease(v.Service, v.Order) {
-		n.event("release_bad_told", "service", v.Service, "order", v.Order, "by", v.From)
+		n.logEvent("release_bad_told", "service", v.Service, "order", v.Order, "by", v.From)
 	}
 }
--- a/cmd/fieldvale-node/traffic.go
+++ b/cmd/fieldvale-node/traffic.go
@@ -8,59 +8,63 @@
 	"fieldvale/relay"
 )
 
-// duties of what instances say to each other, as metrics name them.
-var dutyNames = map[byte]string{
+// tagLabels maps each tag of datagrams to its value of the label "duty" in metrics.
+var tagLabels = map[byte]string{
 	tagPlacement: "keepers", tagRelay: "changes", tagTally: "evidence", tagVerdict: "verdicts",
-	tagSuspects: "quarantine", tagQuota: "quota", tagUsage: "usage",
+	tagQuarantine: "quarantine", tagQuota: "quota", tagUsage: "usage",
 }
 
 const (
-	// dutyState is the state that is fetched over connections.
-	dutyState = "state"
-	sent      = "sent"
-	received  = "received"
+	// labelState is the value of the label "duty" for changes and snapshots of the store
+	// that instances fetch from each other over TCP.
+	labelState = "state"
+	// Values of the label "direction".
+	directionSent     = "sent"
+	directionReceived = "received"
 )
 
-// traffic counts what is said to other instances, by duty and direction.
-type traffic struct {
+// peerTraffic counts the bytes and messages between this instance and others.
+type peerTraffic struct {
 	bytes, messages *prometheus.CounterVec
 }
 
-func (n *node) newTraffic() traffic {
-	return traffic{
+// newTraffic registers the counters of traffic between instances.
+func (n *node) newTraffic() peerTraffic {
+	return peerTraffic{
 		bytes:    n.metrics.Counter("peer_bytes_total", "Bytes to and from other instances, by duty.", "duty", "direction"),
 		messages: n.metrics.Counter("peer_messages_total", "Messages to and from other instances, by duty.", "duty", "direction"),
 	}
 }
 
-func (t traffic) count(duty, direction string, bytes int) {
+// count adds a message of so many bytes.
+func (t peerTraffic) count(duty, direction string, bytes int) {
 	t.bytes.WithLabelValues(duty, direction).Add(float64(bytes))
 	t.messages.WithLabelValues(duty, direction).Inc()
 }
 
-// countedTransfer counts what is fetched.
-type countedTransfer struct {
+// countingFetcher counts what this instance fetches from others.
+type countingFetcher struct {
 	relay.Fetcher
-	traffic traffic
+	traffic peerTraffic
 }
 
-// Fetch implements relay.Transfer.
-func (c countedTransfer) Fetch(ctx context.Context, addr string, after int64) ([]byte, error) {
+// Fetch implements relay.Fetcher.
+func (c countingFetcher) Fetch(ctx context.Context, addr string, after int64) ([]byte, error) {
 	b, err := c.Fetcher.Fetch(ctx, addr, after)
-	c.traffic.count(dutyState, received, len(b))
+	c.traffic.count(labelState, directionReceived, len(b))
 	return b, err
 }
 
-// countedState counts what others fetch here.
-type countedState struct {
+// countingSource counts what other instances fetch from this one.
+type countingSource struct {
 	*relay.Node
-	traffic traffic
+	traffic peerTraffic
 }
 
 // Serve implements handover.Source.
-func (c countedState) Serve(ctx context.Context, after int64, write func([]byte) error) error {
+func (c countingSource) Serve(ctx context.Context, after int64, write func([]byte) error) error {
 	return c.Node.Serve(ctx, after, func(b []byte) error {
-		c.traffic.count(dutyState, sent, len(b))
+		c.traffic.count(labelState, directionSent, len(b))
 		return write(b)
 	})
 }
