--- a/process/control.go
+++ b/process/control.go
@@ -23,7 +23,8 @@
 	"fieldvale/peer"
 )
 
-// Control is a running fieldvale-control.
+// Control is the process fieldvale-control, which keeps the configuration and the state that
+// the entry beside it works with.
 type Control struct {
 	settings settings.Control
 	log      log.Interface
@@ -31,7 +32,7 @@
 	metrics  *metrics.Registry
 }
 
-// NewControl puts a control process together.
+// NewControl returns a control process that is not running yet.
 func NewControl(s settings.Control, l log.Interface) *Control {
 	c := &Control{settings: s, log: l, metrics: metrics.New()}
 	k := etcd.New(s.Store)
@@ -50,11 +51,12 @@
 			l.WithFields(logging.Fields(f...)).Info(event)
 		},
 	})
-	c.gauges()
+	c.registerGauges()
 	return c
 }
 
-func (c *Control) gauges() {
+// registerGauges registers the metrics that are read from the state of the process.
+func (c *Control) registerGauges() {
 	c.metrics.Gauge("revision", "Revision of the configuration held.", func() float64 {
 		d, _ := c.node.Document()
 		return float64(d.Revision)
@@ -71,27 +73,28 @@
 	})
 }
 
+// listener is an address with the handler of its requests, and its TLS configuration or nil.
 type listener struct {
 	addr    string
 	handler http.Handler
 	tls     *tls.Config
 }
 
-// Run serves until ctx ends and then stops in order.
+// Run serves until ctx ends and then shuts down gracefully.
 func (c *Control) Run(ctx context.Context) error {
 	t, err := c.settings.TLS.Config()
 	if err != nil {
 		return err
 	}
-	x, cancel := context.WithCancel(context.Background())
+	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g, x := errgroup.WithContext(x)
+	g, runCtx := errgroup.WithContext(runCtx)
 	for _, l := range []listener{
 		{c.settings.LocalListen, rpc.LocalHandler(c.node, c.settings.FleetKey), nil},
 		{c.settings.PeerListen, rpc.PeerHandler(c.node, c.settings.FleetKey), nil},
 		{c.settings.AdminListen, rpc.AdminHandler(c.node, c.settings.Admins), t},
 	} {
-		if err := serveHTTP(x, g, l); err != nil {
+		if err := serveHTTP(runCtx, g, l); err != nil {
 			return err
 		}
 	}
@@ -99,13 +102,13 @@
 	if err != nil {
 		return errors.Wrap(err, "process.Control")
 	}
-	g.Go(func() error { return ignoreClosed(x, c.metrics.Serve(m, func() bool { return true })) })
+	g.Go(func() error { return ignoreClosed(runCtx, c.metrics.Serve(m, func() bool { return true })) })
 	c.log.WithFields(logging.Fields("peers", c.settings.PeerListen, "admin", c.settings.AdminListen, "incarnation", c.node.Incarnation)).Info("started")
-	g.Go(func() error { return c.node.Run(x) })
+	g.Go(func() error { return c.node.Run(runCtx) })
 	g.Go(func() error {
 		select {
 		case <-ctx.Done():
-		case <-x.Done():
+		case <-runCtx.Done():
 			return nil
 		}
 		c.stop()
@@ -137,21 +140,22 @@
 }
 
 const (
-	// entryGrace is how long a stopping control waits for word that its
-	// entry stops too, and how long an entry must be silent to be gone.
-	entryGrace = time.Second
-	entryPoll  = 50 * time.Millisecond
+	// entryStopDelay is how long a stopping control process waits for its entry to report
+	// that it is stopping too, and after how long without a report an entry is taken to
+	// have ended.
+	entryStopDelay    = time.Second
+	entryPollInterval = 50 * time.Millisecond
 )
 
-// stop waits for an entry that stops too, so that its last bills are taken
-// in, and then hands over.
+// stop waits for the entry if that is stopping too, so that its last bills are received, and
+// then stops the node, which hands the bills over.
 func (c *Control) stop() {
 	c.log.Info("stopping")
-	time.Sleep(entryGrace)
-	for c.node.EntryStopping(entryGrace) {
-		time.Sleep(entryPoll)
+	time.Sleep(entryStopDelay)
+	for c.node.EntryStopping(entryStopDelay) {
+		time.Sleep(entryPollInterval)
 	}
-	x, cancel := context.WithTimeout(context.Background(), c.settings.StopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), c.settings.StopWithin)
 	defer cancel()
-	c.node.Stop(x)
+	c.node.Stop(ctx)
 }
--- a/process/entry.go
+++ b/process/entry.go
@@ -1,5 +1,5 @@
-// Package process puts the parts of each of fieldvale's processes together
-// and runs them until they are told to stop.
+// Package process builds the processes fieldvale-entry and fieldvale-control from their
+// components, and runs them until they are stopped.
 package process
 
 import (
@@ -30,7 +30,7 @@
 	"fieldvale/quota"
 )
 
-// Entry is a running fieldvale-entry.
+// Entry is the process fieldvale-entry, which answers callers' requests.
 type Entry struct {
 	settings    settings.Entry
 	log         log.Interface
@@ -39,20 +39,24 @@
 	router      *entry.Router
 	biller      *biller.Biller
 	caller      *caller.Server
-	link        *Link
+	syncer      *Syncer
 	metrics     *metrics.Registry
-	// quarantine knows what this entry saw alone: entries have no way to each other.
+	// quarantine tracks the requests that crash backend servers. It only uses what this
+	// entry observed, since entries do not exchange messages.
 	quarantine *quarantine.Node
-	// quota knows what backend servers ask of all entries; each takes its share.
+	// quota enforces the limits that backend servers set for all entries together: each
+	// entry uses an equal share.
 	quota *quota.Node
-	// notices is what backend servers said of themselves to this entry.
+	// notices tracks which backend servers reported to this entry that they are draining
+	// or requested backoff.
 	notices *notice.Tracker
 }
 
-// backendsDrain is how long backend servers that leave serve on after they said so.
-const backendsDrain = 2 * time.Second
+// backendDrainTime is how long a backend server goes on serving requests after it reported
+// that it is draining.
+const backendDrainTime = 2 * time.Second
 
-// NewEntry puts an entry together.
+// NewEntry returns an entry process that is not running yet.
 func NewEntry(s settings.Entry, l log.Interface) *Entry {
 	e := &Entry{settings: s, log: l, incarnation: uuid.NewString(), view: entry.NewCurrentView(), metrics: metrics.New()}
 	h := httpconn.New()
@@ -66,24 +70,25 @@
 		Self: s.ID, Clock: time.Now, FleetSize: func() int { return max(1, len(e.view.Get().Members)) }, IsMembershipCurrent: func() bool { return true }, Rand: rand.Float64,
 		Log: func(event string, f ...any) { l.WithFields(logging.Fields(f...)).Info(event) },
 	})
-	e.notices = notice.NewTracker(time.Now, backendsDrain, func(event string, f ...any) {
+	e.notices = notice.NewTracker(time.Now, backendDrainTime, func(event string, f ...any) {
 		l.WithFields(logging.Fields(f...)).Info(event)
 	})
 	e.router = entry.NewRouter(entry.Ports{
 		View: e.view, Engines: backend.NewEngines(h).WithLimits(e.quota).WithNotices(e.notices), Services: backend.NewServices(h).WithLimits(e.quota).WithNotices(e.notices), Claims: k,
 		Rater: platform.New(h, "", s.Rating), Biller: e.biller, Clock: time.Now, Self: s.ID,
-		Rand: rand.NewPCG(rand.Uint64(), rand.Uint64()), Hooks: e.events(),
+		Rand: rand.NewPCG(rand.Uint64(), rand.Uint64()), Hooks: e.routerHooks(),
 		Quarantine: e.quarantine, Prober: backend.Prober{}, Quota: e.quota, Notices: e.notices,
 	})
-	e.link = NewLink(k, e.view, e.router, e.biller, e.incarnation, func(event string, f ...any) {
+	e.syncer = NewLink(k, e.view, e.router, e.biller, e.incarnation, func(event string, f ...any) {
 		l.WithFields(logging.Fields(f...)).Info(event)
 	})
-	e.caller = caller.New(e.router, e.view, time.Now, e.observer())
-	e.gauges()
+	e.caller = caller.New(e.router, e.view, time.Now, e.requestObserver())
+	e.registerGauges()
 	return e
 }
 
-func (e *Entry) events() *entry.Hooks {
+// routerHooks returns hooks that log the router's failures.
+func (e *Entry) routerHooks() *entry.Hooks {
 	return &entry.Hooks{
 		AttemptFailed: func(f entry.FailedAttempt) {
 			e.log.WithFields(logging.Fields("request", f.Request, "replica", f.Replica, "error", f.Err)).Warn("attempt_failed")
@@ -97,7 +102,8 @@
 	}
 }
 
-func (e *Entry) observer() caller.Observer {
+// requestObserver returns the function that logs and counts each answered request.
+func (e *Entry) requestObserver() caller.Observer {
 	n := e.metrics.Counter("requests_total", "Requests answered, by path and result.", "path", "code")
 	d := e.metrics.Histogram("request_seconds", "Time to the answer or to the first chunk.", "path")
 	return func(path, code string, status int, took time.Duration, id, customer string) {
@@ -108,15 +114,16 @@
 	}
 }
 
-func (e *Entry) gauges() {
-	e.metrics.Gauge("revision", "Revision of the configuration in force.", func() float64 { return float64(e.link.revision()) })
+// registerGauges registers the metrics that are read from the state of the process.
+func (e *Entry) registerGauges() {
+	e.metrics.Gauge("revision", "Revision of the configuration in force.", func() float64 { return float64(e.syncer.revision()) })
 	e.metrics.Gauge("bills_alone_total", "Bills that no other instance held in time.", func() float64 { return float64(e.biller.Alone.Load()) })
 	e.metrics.Gauge("bills_pending", "Bills that no other instance has seen yet.", func() float64 { return float64(e.biller.Pending()) })
 	e.metrics.Gauge("bills_repeated_total", "Bills left out because the request id was billed before.", func() float64 { return float64(e.biller.Repeats.Load()) })
 }
 
-// Run serves until ctx ends and then stops in order: no more new requests,
-// all that run are answered, the last bills are handed over.
+// Run serves until ctx ends and then shuts down gracefully: it accepts no more requests,
+// answers those in progress, and hands over the last bills.
 func (e *Entry) Run(ctx context.Context) error {
 	l, err := socket.Open(e.settings.Listen)
 	if err != nil {
@@ -131,25 +138,25 @@
 		return err
 	}
 	e.log.WithFields(logging.Fields("listen", l.Addr(), "metrics", m.Addr(), "incarnation", e.incarnation)).Info("started")
-	x, cancel := context.WithCancel(context.Background())
+	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g, x := errgroup.WithContext(x)
+	g, runCtx := errgroup.WithContext(runCtx)
 	g.Go(func() error { return e.caller.Serve(l, t) })
 	g.Go(func() error {
-		return ignoreClosed(x, e.metrics.Serve(m, func() bool { return e.view.Get().IsReady() }))
+		return ignoreClosed(runCtx, e.metrics.Serve(m, func() bool { return e.view.Get().IsReady() }))
 	})
-	g.Go(func() error { return e.router.Run(x) })
-	g.Go(func() error { return e.sweep(x) })
+	g.Go(func() error { return e.router.Run(runCtx) })
+	g.Go(func() error { return e.runPeriodicTasks(runCtx) })
 	g.Go(func() error {
-		e.link.Run(x, e.settings.Sync, func() bool { return ctx.Err() != nil }, func() {
-			e.caller.SetReady(ctx.Err() == nil && e.link.Ready())
+		e.syncer.Run(runCtx, e.settings.Sync, func() bool { return ctx.Err() != nil }, func() {
+			e.caller.SetReady(ctx.Err() == nil && e.syncer.Ready())
 		})
 		return nil
 	})
 	g.Go(func() error {
 		select {
 		case <-ctx.Done():
-		case <-x.Done():
+		case <-runCtx.Done():
 			return nil
 		}
 		err := e.stop()
@@ -162,11 +169,13 @@
 	return err
 }
 
-// sweepEvery is between looks for what the quarantine may forget.
-const sweepEvery = time.Second
+// tickInterval is the interval of the periodic tasks.
+const tickInterval = time.Second
 
-func (e *Entry) sweep(ctx context.Context) error {
-	t := time.NewTicker(sweepEvery)
+// runPeriodicTasks runs the periodic tasks of the quarantine and the quota, and removes the
+// notices of backend servers that are gone, until ctx ends.
+func (e *Entry) runPeriodicTasks(ctx context.Context) error {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -180,6 +189,7 @@
 	}
 }
 
+// ignoreClosed returns err, or nil if the server was stopped by the end of ctx.
 func ignoreClosed(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
@@ -187,17 +197,18 @@
 	return err
 }
 
-// stop is the planned stop.
+// stop shuts down gracefully. It waits for the Drain setting before it accepts no more
+// requests, so that load balancers notice that the entry is not ready.
 func (e *Entry) stop() error {
 	e.log.Info("stopping")
 	e.caller.SetReady(false)
 	time.Sleep(e.settings.Drain)
-	x, cancel := context.WithTimeout(context.Background(), e.settings.StopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), e.settings.StopWithin)
 	defer cancel()
-	if err := e.caller.Shutdown(x); err != nil {
-		return errors.Wrap(err, "process.Entry: requests were cut off")
+	if err := e.caller.Shutdown(ctx); err != nil {
+		return errors.Wrap(err, "process.Entry: shut down before all requests were answered")
 	}
-	e.biller.Settle(x)
-	e.link.Sync(x, true)
+	e.biller.Settle(ctx)
+	e.syncer.Sync(ctx, true)
 	return nil
 }
--- a/process/main.go
+++ b/process/main.go
@@ -21,7 +21,7 @@
 	exitSettings = 2
 )
 
-// Logger is what a process logs to.
+// Logger is the logger of a process.
 type Logger = log.Interface
 
 // Runner is a process that runs until its context ends.
@@ -29,18 +29,20 @@
 	Run(ctx context.Context) error
 }
 
-// Maker puts a process together.
+// Maker returns a process that logs to l.
 type Maker func(l Logger) Runner
 
+// options are the command-line options.
 type options struct {
 	Config string `short:"c" long:"config" required:"true" value-name:"FILE" description:"settings file"`
 	Check  bool   `long:"check" description:"check the settings, list every fault, and exit"`
 }
 
-// Main reads the command line and settings of a process and runs it until
-// SIGTERM or SIGINT. It returns the exit code: 2 for faults of the command
-// line or the settings, 1 for a failure while it ran.
-func Main[S any](name, usage string, load func(string) (S, []error), plan func(S) (id, level string, m Maker)) int {
+// Main reads the command line and the settings of a process and runs it until SIGTERM or
+// SIGINT. load reads the settings file, and configure returns the instance's id, its log
+// level and the function that creates the process. Main returns the exit code: 2 for an
+// invalid command line or invalid settings, 1 for a failure at run time.
+func Main[S any](name, usage string, load func(string) (S, []error), configure func(S) (id, level string, m Maker)) int {
 	var o options
 	p := flags.NewNamedParser(name, flags.Default)
 	p.LongDescription = usage
@@ -65,19 +67,20 @@
 		fmt.Println("settings are sound")
 		return exitOK
 	}
-	return run(name, s, plan)
+	return run(name, s, configure)
 }
 
-func run[S any](name string, s S, plan func(S) (id, level string, m Maker)) int {
-	id, level, m := plan(s)
+// run runs the process until SIGTERM or SIGINT, and returns the exit code.
+func run[S any](name string, s S, configure func(S) (id, level string, m Maker)) int {
+	id, level, m := configure(s)
 	l, err := logging.New(os.Stderr, level, log.Fields{"process": name, "instance": id})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
 	}
-	x, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	if err := m(l).Run(x); err != nil {
+	if err := m(l).Run(ctx); err != nil {
 		l.WithError(err).Error("failed")
 		return exitFailed
 	}
