--- a/cmd/fieldvale-node/announce_test.go
+++ b/cmd/fieldvale-node/announce_test.go
@@ -67,18 +67,18 @@
 	s := newTestEnv(t)
 	s.startReplica("i-1", "v1")
 	s.start()
-	s.eventually("announced", func() bool { return s.store.Announcement(s.node.settings.ID) != "" })
+	s.eventually("the node is announced", func() bool { return s.store.Announcement(s.node.settings.ID) != "" })
 	s.stop()
 	if err := <-s.done; err != nil {
 		t.Fatal(err)
 	}
 	s.done <- nil
-	leases, kept := s.store.CallCount(sitetest.PathLease), s.store.CallCount(sitetest.PathRenew+"1")
+	leases, renewals := s.store.CallCount(sitetest.PathLease), s.store.CallCount(sitetest.PathRenew+"1")
 	again := newNode(s.node.settings, "", s.node.log)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- again.run(ctx, nil) }()
-	s.eventually("renewed", func() bool { return s.store.CallCount(sitetest.PathRenew+"1") > kept })
+	s.eventually("the announcement is renewed", func() bool { return s.store.CallCount(sitetest.PathRenew+"1") > renewals })
 	if n := s.store.CallCount(sitetest.PathLease) - leases; n != 0 {
 		t.Errorf("the restarted node made %d leases, want 0", n)
 	}
--- a/cmd/fieldvale-node/crash_test.go
+++ b/cmd/fieldvale-node/crash_test.go
@@ -15,15 +15,6 @@
 	"fieldvale/platform/sitetest"
 )
 
-// Guards against one request that crashes many replicas, each with up to 60 other requests
-// in progress. In an incident such a request crashed 63 replicas in eight seconds: a replica
-// crashed some 75 ms after it began to run the request, the instance retried it at two more
-// replicas, which crashed too, and answered 502. The client then retried with another
-// request id at any of seven instances. This happens if an instance forgets the crashes
-// once it has answered, or does not report them to the other instances. The log lines of
-// the failed attempts show the cause by the fingerprint of the request content, which is
-// the same at all replicas that crashed.
-
 // crashingBody is the body of the requests that crash replicas.
 const crashingBody = "bring it down"
 
@@ -128,6 +119,14 @@
 	return l
 }
 
+// Guards against one request that crashes many replicas, each with up to 60 other requests
+// in progress. In an incident such a request crashed 63 replicas in eight seconds: a replica
+// crashed some 75 ms after it began to run the request, the instance retried it at two more
+// replicas, which crashed too, and answered 502. The client then retried with another
+// request id at any of seven instances. This happens if an instance forgets the crashes
+// once it has answered, or does not report them to the other instances. The log lines of
+// the failed attempts show the cause by the fingerprint of the request content, which is
+// the same at all replicas that crashed.
 func TestOneRequestCrashesFewReplicas(t *testing.T) {
 	s := newTestEnv(t)
 	c := &crashLog{}
--- a/cmd/fieldvale-node/limit_test.go
+++ b/cmd/fieldvale-node/limit_test.go
@@ -13,15 +13,6 @@
 	"fieldvale/standin/arrivals"
 )
 
-// Guards against a fleet that exceeds the limits advertised by replicas. In an incident two
-// overloaded replicas advertised 1.6 requests a second, and got 30 and 35 requests in four
-// seconds from seven instances, where at most 15 were allowed. The replicas advertised the
-// limit in each answer, so that all instances had received it within a second (as their
-// replica_limited lines showed); three seconds later, when it had to be in force, the rate
-// had hardly changed (5.2 a second before, 4.4 after), nor had the replicas that the routed
-// lines list as tried. This happens if no instance enforces the limit, or if the instances do
-// not divide it: it applies to all of them together.
-
 const (
 	// limitPerSecond is the advertised limit on requests from all instances together, and
 	// limitWindow is the window in which requests are counted.
@@ -86,6 +77,14 @@
 	}
 }
 
+// Guards against a fleet that exceeds the limits advertised by replicas. In an incident two
+// overloaded replicas advertised 1.6 requests a second, and got 30 and 35 requests in four
+// seconds from seven instances, where at most 15 were allowed. The replicas advertised the
+// limit in each answer, so that all instances had received it within a second (as their
+// replica_limited lines showed); three seconds later, when it had to be in force, the rate
+// had hardly changed (5.2 a second before, 4.4 after), nor had the replicas that the routed
+// lines list as tried. This happens if no instance enforces the limit, or if the instances do
+// not divide it: it applies to all of them together.
 func TestFleetRespectsAndUsesReplicaLimit(t *testing.T) {
 	s := newTestEnv(t)
 	r, got := s.startCountedReplica("r0")
@@ -128,7 +127,7 @@
 		t.Errorf("%d requests a second after the limit was removed, want at least half of the %d before it", after, before)
 	}
 	if failed > 0 {
-		t.Errorf("%d requests failed while two replicas were fit", failed)
+		t.Errorf("%d requests failed while two replicas had no limit, want 0", failed)
 	}
 }
 
--- a/cmd/fieldvale-node/notice_test.go
+++ b/cmd/fieldvale-node/notice_test.go
@@ -54,7 +54,7 @@
 	time.Sleep(drainFor + 3*time.Second)
 	cancel()
 	if n := wait(); n > 0 {
-		t.Errorf("%d requests failed while two replicas were fit", n)
+		t.Errorf("%d requests failed while two other replicas were available, want 0", n)
 	}
 	late := 0
 	for _, q := range r.Requests() {
@@ -86,7 +86,7 @@
 	time.Sleep(backoffDuration + 2*time.Second)
 	cancel()
 	if n := wait(); n > 0 {
-		t.Errorf("%d requests failed while two replicas were fit", n)
+		t.Errorf("%d requests failed while two other replicas were available, want 0", n)
 	}
 	var received, refused []time.Time
 	after := 0
