--- a/process/process_test.go
+++ b/process/process_test.go
@@ -237,13 +237,13 @@
 	r.startControl()
 	r.startEntry()
 	var err error
-	r.eventually("the policy change is accepted", func() bool {
+	r.eventually("accept", func() bool {
 		if err = r.acceptPolicy("root"); err != nil {
 			r.lastError = err.Error()
 		}
 		return err == nil
 	})
-	r.eventually("the entry is ready", r.isReady)
+	r.eventually("ready", r.isReady)
 	r.eventually("a chat is served", func() bool { s, _ := r.sendChat(false); return s == 200 })
 }
 
