--- a/entry/assign.go
+++ b/entry/assign.go
@@ -117,14 +117,14 @@
 	}
 	w.r.firstEventDelays.Observe(w.result.Service, p.firstEventMs, w.r.clock().Sub(sent))
 	if w.closePrompt(p) {
-		w.r.placer.Read(p.ticket)
+		w.r.placer.ReportPrefilled(p.ticket)
 	}
 }
 
 // abandonPrompt removes a prompt that was not read from its replica's pending work.
 func (w *forwarding) abandonPrompt(p *assignment, fault placement.Fault) {
 	if w.closePrompt(p) {
-		w.r.placer.Lost(p.ticket, fault)
+		w.r.placer.ReportAborted(p.ticket, fault)
 	}
 }
 
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -102,9 +102,9 @@
 	bad := a.mayHaveRun && !a.succeeded && (failed || w.result.Status >= 500)
 	w.abandonPrompt(a.assignment, a.placementFault(err, bad))
 	if isUnreachable(err) {
-		r.quota.Return(a.assignment.permit)
+		r.quota.ReleasePermit(a.assignment.permit)
 		if w.coldPerSecond() > 0 {
-			r.quota.Unreached(w.result.Service, a.replica.ID)
+			r.quota.ReportUnreachable(w.result.Service, a.replica.ID)
 		}
 	}
 	r.backends.doneOpaque(a.replica.ID, bad, isUnreachable(err), r.clock())
--- a/entry/deadline.go
+++ b/entry/deadline.go
@@ -38,5 +38,5 @@
 func (w *forwarding) releaseAssignment(p *assignment) {
 	w.abandonPrompt(p, placement.NoFault)
 	w.r.backends.release(p.replica.ID)
-	w.r.quota.Return(p.permit)
+	w.r.quota.ReleasePermit(p.permit)
 }
--- a/entry/forward_test.go
+++ b/entry/forward_test.go
@@ -106,8 +106,8 @@
 	return placement.Choice{WaitMs: float64(p)}, placement.Ticket{}, true
 }
 
-func (busyPlacer) Read(placement.Ticket)                  {}
-func (busyPlacer) Lost(placement.Ticket, placement.Fault) {}
+func (busyPlacer) ReportPrefilled(placement.Ticket)                {}
+func (busyPlacer) ReportAborted(placement.Ticket, placement.Fault) {}
 
 // placer is nil where the script states no waiting work.
 func (s *forwardScript) placer() Placer {
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -139,8 +139,8 @@
 	w.maybeNotice()
 	return placement.Choice{Index: max(0, i)}, placement.Ticket{}, i >= 0
 }
-func (w *noticingReplicas) Read(placement.Ticket)                  {}
-func (w *noticingReplicas) Lost(placement.Ticket, placement.Fault) {}
+func (w *noticingReplicas) ReportPrefilled(placement.Ticket)                {}
+func (w *noticingReplicas) ReportAborted(placement.Ticket, placement.Fault) {}
 
 // drawnQuota bounds every other replica and lets a notice arrive during a permit request.
 type drawnQuota struct {
@@ -148,11 +148,11 @@
 	w *noticingReplicas
 }
 
-func (s drawnQuota) IsQuiet() bool { return false }
+func (s drawnQuota) IsUnrestricted() bool { return false }
 func (s drawnQuota) Bound(id string, _ float64, _ bool) quota.Bound {
 	return quota.Bound{IsLimited: id[1]%2 == 0, PerSecond: 1}
 }
-func (s drawnQuota) Take(_ context.Context, a quota.PermitRequest) quota.PermitResult {
+func (s drawnQuota) AcquirePermit(_ context.Context, a quota.PermitRequest) quota.PermitResult {
 	s.w.maybeNotice()
 	return quota.PermitResult{Index: rapid.IntRange(-1, len(a.Candidates)-1).Draw(s.w.t, "permit")}
 }
@@ -160,12 +160,12 @@
 // drawnQuarantine allows some contents only on trial and lets a notice arrive during the check.
 type drawnQuarantine struct{ w *noticingReplicas }
 
-func (s drawnQuarantine) IsQuiet() bool { return false }
-func (s drawnQuarantine) Ask(context.Context, quarantine.Fingerprint) quarantine.Verdict {
+func (s drawnQuarantine) IsEmpty() bool { return false }
+func (s drawnQuarantine) Check(context.Context, quarantine.Fingerprint) quarantine.Verdict {
 	s.w.maybeNotice()
 	return quarantine.Verdict{Decision: rapid.SampledFrom([]quarantine.Decision{quarantine.Allow, quarantine.AllowTrial}).Draw(s.w.t, "trial")}
 }
-func (s drawnQuarantine) Tell(quarantine.Fingerprint, quarantine.AttemptResult) {}
+func (s drawnQuarantine) ReportAttempt(quarantine.Fingerprint, quarantine.AttemptResult) {}
 
 // router returns a router for the replicas, with random other dependencies.
 func (w *noticingReplicas) router() (*Router, *CurrentView) {
--- a/entry/ports.go
+++ b/entry/ports.go
@@ -83,10 +83,10 @@
 // false if that state is unavailable; that none of the replicas may be used is a valid choice.
 type Placer interface {
 	Choose(ctx context.Context, group string, a placement.Request) (placement.Choice, placement.Ticket, bool)
-	// Read reports that the replica has read the prompt, Lost that the attempt failed before
+	// ReportPrefilled reports that the replica has read the prompt, Lost that the attempt failed before
 	// that.
-	Read(t placement.Ticket)
-	Lost(t placement.Ticket, fault placement.Fault)
+	ReportPrefilled(t placement.Ticket)
+	ReportAborted(t placement.Ticket, fault placement.Fault)
 }
 
 // ForwardSink writes an answer to the client.
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -14,12 +14,12 @@
 // Quarantine tracks request contents that crash the replicas that run them, across attempts and
 // instances.
 type Quarantine interface {
-	// IsQuiet reports whether no content is suspected.
-	IsQuiet() bool
-	// Ask decides whether a request with the content may be sent once more.
-	Ask(ctx context.Context, f quarantine.Fingerprint) quarantine.Verdict
-	// Tell reports the result of an attempt.
-	Tell(f quarantine.Fingerprint, e quarantine.AttemptResult)
+	// IsEmpty reports whether no content is suspected.
+	IsEmpty() bool
+	// Check decides whether a request with the content may be sent once more.
+	Check(ctx context.Context, f quarantine.Fingerprint) quarantine.Verdict
+	// ReportAttempt reports the result of an attempt.
+	ReportAttempt(f quarantine.Fingerprint, e quarantine.AttemptResult)
 }
 
 // Prober checks whether a replica that closed a connection is down.
@@ -48,10 +48,10 @@
 // check decides whether the request may be sent to one more replica.
 func (w *quarantineCheck) check(ctx context.Context) error {
 	w.onTrial = false
-	if w.quarantine == nil || w.quarantine.IsQuiet() {
+	if w.quarantine == nil || w.quarantine.IsEmpty() {
 		return nil
 	}
-	v := w.quarantine.Ask(ctx, w.fingerprint())
+	v := w.quarantine.Check(ctx, w.fingerprint())
 	if v.Decision == quarantine.Allow {
 		return nil
 	}
@@ -83,7 +83,7 @@
 
 func (w *quarantineCheck) send(e quarantine.AttemptResult) {
 	e.OnTrial = w.onTrial
-	w.quarantine.Tell(w.fingerprint(), e)
+	w.quarantine.ReportAttempt(w.fingerprint(), e)
 }
 
 // checkQuarantine decides whether the opaque request may be sent to one more replica.
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -14,33 +14,33 @@
 // Quota enforces fleet-wide limits on replicas that advertise a limit, are cold, or may be cold.
 // Every request to such a replica needs its permit, whatever path it takes.
 type Quota interface {
-	// IsQuiet reports whether no replica advertises a limit or may be cold.
-	IsQuiet() bool
+	// IsUnrestricted reports whether no replica advertises a limit or may be cold.
+	IsUnrestricted() bool
 	// Bound returns the replica's bound. coldPerSecond is the rate that it bears while cold, 0
 	// for any, and isCold whether it reports to be cold.
 	Bound(replica string, coldPerSecond float64, isCold bool) quota.Bound
-	// IsResting reports whether the replica currently gets no permits, according to this
+	// IsExhausted reports whether the replica currently gets no permits, according to this
 	// instance's last permit request.
-	IsResting(replica string) bool
-	// Take requests a permit to send the request to one of its candidates.
-	Take(ctx context.Context, a quota.PermitRequest) quota.PermitResult
-	// Return returns an unused permit.
-	Return(t quota.Ticket)
-	// Unreached reports that a replica could not be connected to, so that it may be cold again.
-	Unreached(service, replica string)
+	IsExhausted(replica string) bool
+	// AcquirePermit requests a permit to send the request to one of its candidates.
+	AcquirePermit(ctx context.Context, a quota.PermitRequest) quota.PermitResult
+	// ReleasePermit returns an unused permit.
+	ReleasePermit(t quota.Ticket)
+	// ReportUnreachable reports that a replica could not be connected to, so that it may be cold again.
+	ReportUnreachable(service, replica string)
 }
 
 // noQuota is a Quota without limits.
 type noQuota struct{}
 
-func (noQuota) IsQuiet() bool                           { return true }
+func (noQuota) IsUnrestricted() bool                    { return true }
 func (noQuota) Bound(string, float64, bool) quota.Bound { return quota.Bound{} }
-func (noQuota) IsResting(string) bool                   { return false }
-func (noQuota) Take(context.Context, quota.PermitRequest) quota.PermitResult {
+func (noQuota) IsExhausted(string) bool                 { return false }
+func (noQuota) AcquirePermit(context.Context, quota.PermitRequest) quota.PermitResult {
 	return quota.PermitResult{}
 }
-func (noQuota) Return(quota.Ticket)      {}
-func (noQuota) Unreached(string, string) {}
+func (noQuota) ReleasePermit(quota.Ticket)       {}
+func (noQuota) ReportUnreachable(string, string) {}
 
 // maxPermitCandidates bounds the replicas in one permit request. Each request names different
 // ones: with 100 requests a second and 112 limited replicas, a free permit is found after about
@@ -58,7 +58,7 @@
 // splitByBound separates the unlimited replicas from the bounded ones.
 func (w *forwarding) splitByBound(l []*pool.Replica) (free, bounded []*pool.Replica) {
 	cold := w.coldPerSecond()
-	if cold <= 0 && w.r.quota.IsQuiet() {
+	if cold <= 0 && w.r.quota.IsUnrestricted() {
 		return l, nil
 	}
 	now := w.r.clock()
@@ -85,7 +85,7 @@
 func (w *forwarding) withPossiblePermit(bounded []*pool.Replica) []*pool.Replica {
 	now := w.r.clock()
 	return slices.DeleteFunc(slices.Clone(bounded), func(r *pool.Replica) bool {
-		return w.r.quota.IsResting(r.ID) || w.q.Prompt.IsNone() && w.r.quota.Bound(r.ID, w.coldPerSecond(), r.IsCold(now)).ColdPerSecond > 0
+		return w.r.quota.IsExhausted(r.ID) || w.q.Prompt.IsNone() && w.r.quota.Bound(r.ID, w.coldPerSecond(), r.IsCold(now)).ColdPerSecond > 0
 	})
 }
 
@@ -105,7 +105,7 @@
 	if onlyBounded {
 		c = w.addCandidates(c, bounded)
 	}
-	v := w.r.quota.Take(ctx, w.permitRequest(c, onlyBounded))
+	v := w.r.quota.AcquirePermit(ctx, w.permitRequest(c, onlyBounded))
 	if v.Index == 0 {
 		p.permit = v.Ticket
 		return p
@@ -125,7 +125,7 @@
 func (w *forwarding) assignWithPermit(ctx context.Context, allowed []*pool.Replica, r *pool.Replica, t quota.Ticket) *assignment {
 	p := w.assignIgnoringQuota(ctx, allowed, []*pool.Replica{r})
 	if p == nil {
-		w.r.quota.Return(t)
+		w.r.quota.ReleasePermit(t)
 		return nil
 	}
 	p.permit = t
@@ -193,13 +193,13 @@
 			return nil, earliest(retryAt, r.backoffEndsAt(l))
 		}
 		v := quota.PermitResult{}
-		if !r.quota.IsQuiet() && r.quota.Bound(b.ID, 0, false).IsBounded() {
-			v = r.quota.Take(ctx, r.permitRequest(service, []*pool.Replica{b}, 0, priority, false))
+		if !r.quota.IsUnrestricted() && r.quota.Bound(b.ID, 0, false).IsBounded() {
+			v = r.quota.AcquirePermit(ctx, r.permitRequest(service, []*pool.Replica{b}, 0, priority, false))
 		}
 		if v.Index == 0 && r.notices.AdmitRequest(b.ID, r.clock()) {
 			return b, retryAt
 		}
-		r.quota.Return(v.Ticket)
+		r.quota.ReleasePermit(v.Ticket)
 		r.backends.release(b.ID)
 		tried = append(slices.Clip(tried), b.ID)
 		retryAt = earliest(retryAt, v.RetryAt)
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -33,7 +33,7 @@
 	retryAt  time.Time
 }
 
-func (g *quotaFake) IsQuiet() bool { return len(g.limited)+len(g.suspect) == 0 }
+func (g *quotaFake) IsUnrestricted() bool { return len(g.limited)+len(g.suspect) == 0 }
 func (g *quotaFake) Bound(r string, coldPerSecond float64, isCold bool) quota.Bound {
 	b := quota.Bound{IsLimited: g.limited[r], PerSecond: 1}
 	if isCold || g.suspect[r] {
@@ -41,8 +41,8 @@
 	}
 	return b
 }
-func (g *quotaFake) IsResting(r string) bool { return g.resting[r] }
-func (g *quotaFake) Take(_ context.Context, a quota.PermitRequest) quota.PermitResult {
+func (g *quotaFake) IsExhausted(r string) bool { return g.resting[r] }
+func (g *quotaFake) AcquirePermit(_ context.Context, a quota.PermitRequest) quota.PermitResult {
 	g.asked = append(g.asked, a)
 	if g.grants == 0 {
 		reason := quota.Limited
@@ -60,8 +60,8 @@
 	}
 	return quota.PermitResult{Index: last}
 }
-func (g *quotaFake) Return(t quota.Ticket)       { g.returned = append(g.returned, t) }
-func (g *quotaFake) Unreached(_, replica string) { g.suspect[replica] = true }
+func (g *quotaFake) ReleasePermit(t quota.Ticket)        { g.returned = append(g.returned, t) }
+func (g *quotaFake) ReportUnreachable(_, replica string) { g.suspect[replica] = true }
 
 // firstPlacer chooses the first candidate.
 type firstPlacer struct{ busyPlacer }
@@ -297,11 +297,11 @@
 // alwaysTrial allows every attempt as a trial.
 type alwaysTrial struct{}
 
-func (alwaysTrial) IsQuiet() bool { return false }
-func (alwaysTrial) Ask(context.Context, quarantine.Fingerprint) quarantine.Verdict {
+func (alwaysTrial) IsEmpty() bool { return false }
+func (alwaysTrial) Check(context.Context, quarantine.Fingerprint) quarantine.Verdict {
 	return quarantine.Verdict{Decision: quarantine.AllowTrial}
 }
-func (alwaysTrial) Tell(quarantine.Fingerprint, quarantine.AttemptResult) {}
+func (alwaysTrial) ReportAttempt(quarantine.Fingerprint, quarantine.AttemptResult) {}
 
 // A suspected request sent on trial has a permit for each attempt.
 func TestTrialsHaveAPermit(t *testing.T) {
--- a/placement/node.go
+++ b/placement/node.go
@@ -80,11 +80,13 @@
 	return c, Ticket{owner: o.ID, addr: o.Addr, id: c.Ticket}, true
 }
 
-// Read reports that the replica has prefilled the prompt.
-func (n *Node) Read(t Ticket) { n.report(t, message{Prefilled: t.id}) }
+// ReportPrefilled reports that the replica has prefilled the prompt.
+func (n *Node) ReportPrefilled(t Ticket) { n.report(t, message{Prefilled: t.id}) }
 
-// Lost reports that the replica did not serve the prompt, and why.
-func (n *Node) Lost(t Ticket, why Fault) { n.report(t, message{Aborted: t.id, Fault: int(why)}) }
+// ReportAborted reports that the replica did not serve the prompt, and why.
+func (n *Node) ReportAborted(t Ticket, why Fault) {
+	n.report(t, message{Aborted: t.id, Fault: int(why)})
+}
 
 // report sends the end of the ticket to its owner.
 func (n *Node) report(t Ticket, m message) {
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -252,7 +252,7 @@
 
 // send has the instance try one replica, if the quarantine allows it.
 func (f *fleet) send(w *request, n *quarantine.Node) {
-	v := n.Ask(context.Background(), w.fingerprint)
+	v := n.Check(context.Background(), w.fingerprint)
 	if !v.IsAllowed() {
 		if w.culprit == nil && !w.refused {
 			w.refused = true
@@ -331,7 +331,7 @@
 		// The instances notice the crash one after another.
 		incarnation := r.incarnation
 		f.after(f.randomBetween(time.Millisecond, 10*time.Millisecond), func() {
-			t.node.Tell(t.request.fingerprint, quarantine.AttemptResult{Outcome: quarantine.ReplicaCrashed, Replica: incarnation, OnTrial: t.onTrial})
+			t.node.ReportAttempt(t.request.fingerprint, quarantine.AttemptResult{Outcome: quarantine.ReplicaCrashed, Replica: incarnation, OnTrial: t.onTrial})
 			if t.request.attemptsLeft > 0 {
 				f.send(t.request, t.node)
 				return
@@ -342,8 +342,8 @@
 }
 
 func (f *fleet) report(t *attempt, w quarantine.Outcome) {
-	if !t.node.IsQuiet() {
-		t.node.Tell(t.request.fingerprint, quarantine.AttemptResult{Outcome: w, OnTrial: t.onTrial})
+	if !t.node.IsEmpty() {
+		t.node.ReportAttempt(t.request.fingerprint, quarantine.AttemptResult{Outcome: w, OnTrial: t.onTrial})
 	}
 }
 
--- a/quarantine/fuzz_test.go
+++ b/quarantine/fuzz_test.go
@@ -26,7 +26,7 @@
 		n.SetMembers([]peer.Member{{ID: "n1"}, {ID: "n2"}, {ID: "n3"}})
 		n.Receive("n2", b)
 		n.Tick()
-		v := n.Ask(t.Context(), content)
+		v := n.Check(t.Context(), content)
 		if v.Decision.String() == "" || v.IsAllowed() && !v.RetryAt.IsZero() {
 			t.Errorf("got verdict %+v, want a named decision, and a zero RetryAt if the request is allowed", v)
 		}
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -103,12 +103,12 @@
 // IsAllowed reports whether the request may be sent.
 func (v Verdict) IsAllowed() bool { return v.Decision == Allow || v.Decision == AllowTrial }
 
-// IsQuiet reports whether there are no records, so that all requests may be sent.
-func (n *Node) IsQuiet() bool { return n.records.Len() == 0 }
+// IsEmpty reports whether there are no records, so that all requests may be sent.
+func (n *Node) IsEmpty() bool { return n.records.Len() == 0 }
 
-// Ask decides whether a request with the content may be sent now. A content without a record may be
+// Check decides whether a request with the content may be sent now. A content without a record may be
 // sent; for others an owner is asked. If no owner answers, this instance decides by its own record.
-func (n *Node) Ask(ctx context.Context, f Fingerprint) Verdict {
+func (n *Node) Check(ctx context.Context, f Fingerprint) Verdict {
 	if n.records.Get(f).Score == 0 {
 		return Verdict{Decision: Allow}
 	}
@@ -153,8 +153,8 @@
 	return wireAnswer{}, false
 }
 
-// Tell records the result of an attempt, here and at the owners of the content.
-func (n *Node) Tell(f Fingerprint, e AttemptResult) {
+// ReportAttempt records the result of an attempt, here and at the owners of the content.
+func (n *Node) ReportAttempt(f Fingerprint, e AttemptResult) {
 	e.ReportedBy = n.Self
 	n.addResult(f, e)
 	m := encode(message{Attempt: &wireAttempt{Fingerprint: f.String(), Outcome: e.Outcome, Replica: e.Replica, OnTrial: e.OnTrial}, From: n.Self})
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -134,7 +134,7 @@
 	e := quarantine.Entry{Fingerprint: c, Record: quarantine.Record{Score: 5, TrialCrashes: 2, LastCrashAt: now}}
 	for _, n := range f.nodes {
 		n.PutHeld(e)
-		n.Tell(c, quarantine.AttemptResult{Replica: "r9"})
+		n.ReportAttempt(c, quarantine.AttemptResult{Replica: "r9"})
 	}
 	f.now = now.Add(time.Second)
 	for _, n := range f.nodes {
@@ -146,7 +146,7 @@
 	f.now = now.Add(3 * time.Second)
 	for i, n := range f.nodes {
 		n.Tick()
-		if v := n.Ask(t.Context(), c); v.Decision != quarantine.Allow {
+		if v := n.Check(t.Context(), c); v.Decision != quarantine.Allow {
 			t.Errorf("n%d: got decision %s for the removed content, want free", i, v.Decision)
 		}
 	}
--- a/quota/cold_test.go
+++ b/quota/cold_test.go
@@ -67,7 +67,7 @@
 		n := singleNode(&now, c.isCurrent)
 		got := ""
 		for range c.want {
-			got += grantedIndex(n.Take(t.Context(), coldRequest(3, true)))
+			got += grantedIndex(n.AcquirePermit(t.Context(), coldRequest(3, true)))
 			now = now.Add(100 * time.Millisecond)
 			n.Tick()
 		}
@@ -94,7 +94,7 @@
 		got := 0
 		for range 10 {
 			b := n.Bound("cold", 3, false)
-			if !b.IsBounded() || n.Take(t.Context(), coldRequest(b.ColdPerSecond, false)).Index == 0 {
+			if !b.IsBounded() || n.AcquirePermit(t.Context(), coldRequest(b.ColdPerSecond, false)).Index == 0 {
 				got++
 			}
 		}
@@ -109,7 +109,7 @@
 	if g := count(); g != 10 {
 		t.Errorf("got %d permits before the replica was unreachable, want all 10", g)
 	}
-	n.Unreached("s", "cold")
+	n.ReportUnreachable("s", "cold")
 	if g := count(); g != 0 {
 		t.Errorf("got %d permits at the time that the replica was unreachable, want none", g)
 	}
@@ -225,7 +225,7 @@
 			req.Candidates = append(req.Candidates, quota.Candidate{Replica: x, Bound: quota.Bound{ColdPerSecond: coldBound.PerOwner(coldCapacity)}, ReportsCold: true})
 		}
 		r.Shuffle(len(req.Candidates), func(i, j int) { req.Candidates[i], req.Candidates[j] = req.Candidates[j], req.Candidates[i] })
-		if v := f.nodes[id].Take(context.Background(), req); v.Index >= 0 {
+		if v := f.nodes[id].AcquirePermit(context.Background(), req); v.Index >= 0 {
 			x := req.Candidates[v.Index].Replica
 			got[x] = append(got[x], time.Now())
 			sent++
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -39,7 +39,7 @@
 			for _, r := range []string{"a", "b"} {
 				req.Candidates = append(req.Candidates, quota.Candidate{Replica: r, Bound: n.Bound(r, 0, false)})
 			}
-			v := n.Take(t.Context(), req)
+			v := n.AcquirePermit(t.Context(), req)
 			if v.Index >= 0 {
 				served[priority]++
 				return
@@ -112,7 +112,7 @@
 			x := name((first + i) % replicas)
 			req.Candidates = append(req.Candidates, quota.Candidate{Replica: x, Bound: n.Bound(x, 0, false)})
 		}
-		if v := n.Take(t.Context(), req); v.Index >= 0 {
+		if v := n.AcquirePermit(t.Context(), req); v.Index >= 0 {
 			x := req.Candidates[v.Index].Replica
 			got[x] = append(got[x], now)
 			served++
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -228,7 +228,7 @@
 	}
 	if b := n.Bound("r0", 0, false); b.IsBounded() {
 		req := quota.PermitRequest{Service: "s", Candidates: []quota.Candidate{{Replica: "r0", Bound: b}}}
-		v := n.Take(context.Background(), req)
+		v := n.AcquirePermit(context.Background(), req)
 		if v.Index < 0 {
 			return
 		}
--- a/quota/fuzz_test.go
+++ b/quota/fuzz_test.go
@@ -25,6 +25,6 @@
 				t.Errorf("%s: got a limit of %g a second, want 0 to 1e6", r, x.PerSecond)
 			}
 		}
-		n.Take(t.Context(), coldRequest(3, true))
+		n.AcquirePermit(t.Context(), coldRequest(3, true))
 	})
 }
--- a/quota/node.go
+++ b/quota/node.go
@@ -89,9 +89,9 @@
 	n.handleChange(n.records.update(replica, func(r LimitRecord) LimitRecord { return r.WithReport(w, n.Self).withService(service) }))
 }
 
-// Unreached records that the service's replica could not be connected to. It may have restarted,
+// ReportUnreachable records that the service's replica could not be connected to. It may have restarted,
 // and be cold without having reported it yet.
-func (n *Node) Unreached(service, replica string) {
+func (n *Node) ReportUnreachable(service, replica string) {
 	now := n.Clock()
 	c := n.records.update(replica, func(r LimitRecord) LimitRecord { return r.withMaybeCold(now.Add(MaybeColdFor)).withService(service) })
 	if !now.Before(c.Before.MaybeColdUntil) {
@@ -127,9 +127,9 @@
 	}
 }
 
-// IsQuiet reports whether there are no records, so that, as far as this instance knows, no replica
+// IsUnrestricted reports whether there are no records, so that, as far as this instance knows, no replica
 // has a limit or may be cold.
-func (n *Node) IsQuiet() bool { return n.records.len() == 0 }
+func (n *Node) IsUnrestricted() bool { return n.records.len() == 0 }
 
 // LimitedReplicas returns the records of the replicas that are limited now.
 func (n *Node) LimitedReplicas() map[string]LimitRecord { return n.records.limited() }
@@ -166,8 +166,8 @@
 	return x
 }
 
-// IsResting reports whether the replica's permits are exhausted, by the owner's last answer.
-func (n *Node) IsResting(replica string) bool {
+// IsExhausted reports whether the replica's permits are exhausted, by the owner's last answer.
+func (n *Node) IsExhausted(replica string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.Clock().Before(n.exhaustedUntil[replica])
--- a/quota/permit.go
+++ b/quota/permit.go
@@ -49,9 +49,9 @@
 	service, replica string
 }
 
-// Take asks the owner for a permit to send the request to one of the candidates. If this instance
+// AcquirePermit asks the owner for a permit to send the request to one of the candidates. If this instance
 // is isolated, it uses its share instead.
-func (n *Node) Take(ctx context.Context, req PermitRequest) PermitResult {
+func (n *Node) AcquirePermit(ctx context.Context, req PermitRequest) PermitResult {
 	now := n.Clock()
 	if n.Net != nil {
 		if v, ok := n.takeFromOwner(ctx, req); ok {
@@ -176,8 +176,8 @@
 	return res
 }
 
-// Return returns a permit whose request did not reach the replica.
-func (n *Node) Return(t Ticket) {
+// ReleasePermit returns a permit whose request did not reach the replica.
+func (n *Node) ReleasePermit(t Ticket) {
 	switch t.owner {
 	case "":
 	case n.Self:
