--- a/cmd/fieldvale-control/main.go
+++ b/cmd/fieldvale-control/main.go
@@ -20,7 +20,7 @@
 The settings file is INI; examples/control.ini has every key with a comment.`
 
 func main() {
-	os.Exit(process.Main("fieldvale-control", usage, settings.LoadControl, func(s settings.Control) (string, string, process.Maker) {
+	os.Exit(process.Main("fieldvale-control", usage, settings.LoadControl, func(s settings.Control) (string, string, process.RunnerFactory) {
 		return s.ID, s.Level, func(l process.Logger) process.Runner { return process.NewControl(s, l) }
 	}))
 }
--- a/cmd/fieldvale-entry/main.go
+++ b/cmd/fieldvale-entry/main.go
@@ -20,7 +20,7 @@
 The settings file is INI; examples/entry.ini has every key with a comment.`
 
 func main() {
-	os.Exit(process.Main("fieldvale-entry", usage, settings.LoadEntry, func(s settings.Entry) (string, string, process.Maker) {
+	os.Exit(process.Main("fieldvale-entry", usage, settings.LoadEntry, func(s settings.Entry) (string, string, process.RunnerFactory) {
 		return s.ID, s.Level, func(l process.Logger) process.Runner { return process.NewEntry(s, l) }
 	}))
 }
--- a/process/main.go
+++ b/process/main.go
@@ -29,8 +29,8 @@
 	Run(ctx context.Context) error
 }
 
-// Maker returns a process that logs to l.
-type Maker func(l Logger) Runner
+// RunnerFactory returns a process that logs to l.
+type RunnerFactory func(l Logger) Runner
 
 // options are the command-line options.
 type options struct {
@@ -42,7 +42,7 @@
 // SIGINT. load reads the settings file, and configure returns the instance's id, its log
 // level and the function that creates the process. Main returns the exit code: 2 for an
 // invalid command line or invalid settings, 1 for a failure at run time.
-func Main[S any](name, usage string, load func(string) (S, []error), configure func(S) (id, level string, m Maker)) int {
+func Main[S any](name, usage string, load func(string) (S, []error), configure func(S) (id, level string, m RunnerFactory)) int {
 	var o options
 	p := flags.NewNamedParser(name, flags.Default)
 	p.LongDescription = usage
@@ -71,7 +71,7 @@
 }
 
 // run runs the process until SIGTERM or SIGINT, and returns the exit code.
-func run[S any](name string, s S, configure func(S) (id, level string, m Maker)) int {
+func run[S any](name string, s S, configure func(S) (id, level string, m RunnerFactory)) int {
 	id, level, m := configure(s)
 	l, err := logging.New(os.Stderr, level, log.Fields{"process": name, "instance": id})
 	if err != nil {
