--- a/process/entry.go
+++ b/process/entry.go
@@ -79,7 +79,7 @@
 		Rand: rand.NewPCG(rand.Uint64(), rand.Uint64()), Hooks: e.routerHooks(),
 		Quarantine: e.quarantine, Prober: backend.Prober{}, Quota: e.quota, Notices: e.notices,
 	})
-	e.syncer = NewLink(k, e.view, e.router, e.biller, e.incarnation, func(event string, f ...any) {
+	e.syncer = NewSyncer(k, e.view, e.router, e.biller, e.incarnation, func(event string, f ...any) {
 		l.WithFields(logging.Fields(f...)).Info(event)
 	})
 	e.caller = caller.New(e.router, e.view, time.Now, e.requestObserver())
--- a/process/syncer.go
+++ b/process/syncer.go
@@ -38,8 +38,8 @@
 	controlSettled bool
 }
 
-// NewLink returns a syncer for the entry's incarnation.
-func NewLink(c ControlClient, v *entry.CurrentView, r *entry.Router, b *biller.Biller, incarnation string, log func(string, ...any)) *Syncer {
+// NewSyncer returns a syncer for the entry's incarnation.
+func NewSyncer(c ControlClient, v *entry.CurrentView, r *entry.Router, b *biller.Biller, incarnation string, log func(string, ...any)) *Syncer {
 	return &Syncer{control: c, view: v, router: r, biller: b, incarnation: incarnation, log: log}
 }
 
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -164,7 +164,7 @@
 		View: i.View, Engines: &engineLink{w, p}, Services: &serviceLink{w, p}, Claims: &claimLink{w, i}, Rater: &rateLink{w, p},
 		Biller: i.Biller, Clock: w.clock(p), Self: i.ID, Rand: rand.NewPCG(uint64(n), 1),
 	})
-	l := process.NewLink(&localLink{w, i}, i.View, i.Router, i.Biller, inc, func(event string, f ...any) { w.log(i.ID, event, f...) })
+	l := process.NewSyncer(&localLink{w, i}, i.View, i.Router, i.Biller, inc, func(event string, f ...any) { w.log(i.ID, event, f...) })
 	x := i.context()
 	i.done.Go(func() { _ = i.Router.Run(x) })
 	i.done.Go(func() { l.Run(x, syncEvery, i.isStopping, func() {}) })
