--- a/cmd/fieldvale-node/releases.go
+++ b/cmd/fieldvale-node/releases.go
@@ -94,7 +94,7 @@
 	if !isJudge {
 		wait += nonJudgeDelay
 	}
-	return wait, n.router.Standing(rel, isJudge)
+	return wait, n.router.Concerns(rel, isJudge)
 }
 
 // writeRecord writes a release's progress to the store, unless another instance has written
--- a/entry/releases.go
+++ b/entry/releases.go
@@ -236,11 +236,11 @@
 // be lost.
 const peerDoubtLasts = 1300 * time.Millisecond
 
-// Standing returns the concerns about a running release by the answers counted here, and any
+// Concerns returns the concerns about a running release by the answers counted here, and any
 // doubt reported by other instances. An instance that does not judge the release ignores its own
 // doubt unless most instances report to it, as its own answers are too few. A judging instance
 // uses its own doubt even if few report to it.
-func (r *Router) Standing(rel rollout.Release, judges bool) rollout.Concerns {
+func (r *Router) Concerns(rel rollout.Release, judges bool) rollout.Concerns {
 	s := r.releases
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -163,7 +163,7 @@
 
 func (f *trialFleet) standing(rel rollout.Release) (s rollout.Concerns) {
 	for _, r := range f.routers {
-		x := r.Standing(rel, false)
+		x := r.Concerns(rel, false)
 		s.Suspect, s.Inconclusive = s.Suspect || x.Suspect, s.Inconclusive || x.Inconclusive
 	}
 	return s
@@ -347,10 +347,10 @@
 		r.releases.endHeadWait(rel, w, true, w.startedAt)
 	}
 	r.releases.record(rel, observation{release: "v1", verdict: verdictGood}, time.Now(), r.hooks)
-	if s := r.Standing(rel, false); s.Inconclusive {
+	if s := r.Concerns(rel, false); s.Inconclusive {
 		t.Error("an instance that does not judge the release is in doubt, want no doubt")
 	}
-	if s := r.Standing(rel, true); !s.Inconclusive {
+	if s := r.Concerns(rel, true); !s.Inconclusive {
 		t.Error("a judge without reports has no doubt about a release without answers, want doubt")
 	}
 }
