--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -45,7 +45,7 @@
 func (g *quotaFake) AcquirePermit(_ context.Context, a quota.PermitRequest) quota.PermitResult {
 	g.asked = append(g.asked, a)
 	if g.grants == 0 {
-		reason := quota.Limited
+		reason := quota.ReasonLimited
 		if a.Candidates[0].ReportsCold {
 			reason = quota.ReasonCold
 		}
--- a/quota/bound.go
+++ b/quota/bound.go
@@ -47,7 +47,7 @@
 // The reasons.
 const (
 	ReasonNone           Reason = ""
-	Limited              Reason = "limited"
+	ReasonLimited              Reason = "limited"
 	ReasonCold           Reason = "cold"
 	ReasonNoOwner        Reason = "nobody who counts can be reached"
 	ReasonHigherPriority Reason = "wanted for more urgent requests"
@@ -73,15 +73,15 @@
 	n := math.Floor(perSecond*limitWindow.Seconds() + rounding)
 	if n >= 1 {
 		return []window{
-			{time.Second, int(math.Ceil(perSecond - rounding)), Limited},
-			{limitWindow + transitMargin, int(n), Limited},
+			{time.Second, int(math.Ceil(perSecond - rounding)), ReasonLimited},
+			{limitWindow + transitMargin, int(n), ReasonLimited},
 		}
 	}
 	every := probeInterval
 	if x := 1 / perSecond; x < probeInterval.Seconds() {
 		every = time.Duration(x * float64(time.Second))
 	}
-	return []window{{every + transitMargin, 1, Limited}}
+	return []window{{every + transitMargin, 1, ReasonLimited}}
 }
 
 // Decision is whether a replica may get one more request now.
