--- a/quota/bound.go
+++ b/quota/bound.go
@@ -47,7 +47,7 @@
 // The reasons.
 const (
 	ReasonNone           Reason = ""
-	ReasonLimited              Reason = "limited"
+	ReasonLimited        Reason = "limited"
 	ReasonCold           Reason = "cold"
 	ReasonNoOwner        Reason = "nobody who counts can be reached"
 	ReasonHigherPriority Reason = "wanted for more urgent requests"
