--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -1,6 +1,7 @@
-// Package discovery keeps the list of replicas that an instance may send
-// work to. Replicas' entries lapse by themselves while the store is away; an
-// entry that is missing right after its return may only not be back yet.
+// Package discovery keeps the set of replicas to which an instance may send
+// requests. A replica registers itself by an entry in the store. Entries expire
+// while the store is unreachable, so that an entry that is missing shortly after
+// the store has returned may only not have been registered again yet.
 package discovery
 
 import (
@@ -11,36 +12,40 @@
 	"fieldvale/pool"
 )
 
-// ReturnWithin is how long after the store's return a living replica's entry
-// may still be missing: the users' platform states about two seconds.
-const ReturnWithin = 2200 * time.Millisecond
+// ReregisterWithin is how long after the store has returned the entry of a running
+// replica may still be missing. The platform states about two seconds.
+const ReregisterWithin = 2200 * time.Millisecond
 
-// Set is the replicas known, by the platform's name. It is not safe for concurrent
-// use.
+// Set is a set of replicas by the name that the platform uses for them. It is not
+// safe for concurrent use.
 type Set struct {
-	// replicas are shared with the views made of them, and replaced, never changed.
+	// replicas are shared with callers of Replicas. They are replaced, never
+	// modified.
 	replicas map[string]*pool.Replica
-	// names are those of replicas in their order; nil if they have to be sorted
-	// again.
+	// names are the sorted names of replicas, or nil if they must be sorted again.
 	names []string
-	// assumed are the replicas taken to be cold without their word for it.
-	assumed map[string]bool
-	// missing are replicas whose entry went while that proves nothing.
+	// assumedCold are the replicas that are assumed to be cold although their entries
+	// don't report it.
+	assumedCold map[string]bool
+	// missing are the replicas whose entry disappeared while the store was
+	// unreachable or during the grace period after it.
 	missing map[string]bool
-	// doubtUntil is when a missing entry means again that the replica went;
-	// doubting lasts without an end while the store is away.
-	doubtUntil time.Time
-	away       bool
+	// graceUntil is the end of the grace period in which a missing entry does not
+	// mean that the replica has stopped. While the store is unreachable, the
+	// period has no end.
+	graceUntil time.Time
+	storeLost  bool
 }
 
 // NewSet returns an empty set.
 func NewSet() *Set {
-	return &Set{replicas: map[string]*pool.Replica{}, assumed: map[string]bool{}, missing: map[string]bool{}}
+	return &Set{replicas: map[string]*pool.Replica{}, assumedCold: map[string]bool{}, missing: map[string]bool{}}
 }
 
-// Put adds a replica or takes its newer entry, and returns the entry before it, if
-// there was one. One that is assumed to be cold stays so until it has said itself
-// that it was: an entry that says warm may be older than what made it cold.
+// Put adds a replica or replaces it by its newer entry. It returns the replica's
+// previous state, if it was in the set. A replica that is assumed to be cold
+// remains so until one of its entries reports that it is, or it has a new id: an
+// entry that reports it warm may be older than the event that made it cold.
 func (s *Set) Put(r pool.Replica) (was pool.Replica, known bool) {
 	name := r.PlatformName()
 	p, known := s.replicas[name]
@@ -51,8 +56,8 @@
 	}
 	switch {
 	case !r.ColdUntil.IsZero() || was.ID != r.ID:
-		delete(s.assumed, name)
-	case s.assumed[name]:
+		delete(s.assumedCold, name)
+	case s.assumedCold[name]:
 		r.ColdUntil = was.ColdUntil
 	}
 	s.replicas[name] = &r
@@ -60,8 +65,9 @@
 	return was, known
 }
 
-// AssumeCold takes the data centre's replicas to be cold for as long as cold says
-// of each; it returns how many are.
+// AssumeCold marks the replicas of the data centre as cold, each for the duration
+// that cold returns for it, unless it is already cold for longer. It returns how
+// many it marked.
 func (s *Set) AssumeCold(dataCentre string, now time.Time, cold func(pool.Replica) time.Duration) int {
 	n := 0
 	for name, r := range s.replicas {
@@ -71,35 +77,36 @@
 		}
 		c := r.WithColdUntil(until)
 		s.replicas[name] = &c
-		s.assumed[name] = true
+		s.assumedCold[name] = true
 		n++
 	}
 	return n
 }
 
-// Remove takes a replica out whose entry went at now. One that had not said
-// that it leaves is kept while its entry may be back soon.
+// Remove removes a replica whose entry disappeared at now. During the grace period
+// a replica that is not draining is kept, because its entry may be registered
+// again.
 func (s *Set) Remove(name string, now time.Time) {
 	r, ok := s.replicas[name]
 	if !ok {
 		return
 	}
-	if s.doubts(now) && !r.Draining {
+	if s.inGracePeriod(now) && !r.Draining {
 		s.missing[name] = true
 		return
 	}
 	s.Drop(name)
 }
 
-// Drop takes a replica out.
+// Drop removes a replica at once.
 func (s *Set) Drop(name string) {
 	delete(s.replicas, name)
-	delete(s.assumed, name)
+	delete(s.assumedCold, name)
 	delete(s.missing, name)
 	s.names = nil
 }
 
-// Retain removes all replicas but those with the given names.
+// Retain calls Remove for all replicas except those with the given names.
 func (s *Set) Retain(names map[string]bool, now time.Time) {
 	for name := range s.replicas {
 		if !names[name] {
@@ -108,24 +115,25 @@
 	}
 }
 
-// Away says that the store is not reached; Back that it is again.
-func (s *Set) Away() { s.away = true }
+// Away starts a grace period without an end, because the store is unreachable.
+func (s *Set) Away() { s.storeLost = true }
 
-// Back starts the time in which missing entries may return.
+// Back limits the grace period, because the store is reachable again.
 func (s *Set) Back(now time.Time) {
-	s.away = false
-	s.doubtUntil = now.Add(ReturnWithin)
+	s.storeLost = false
+	s.graceUntil = now.Add(ReregisterWithin)
 }
 
-// doubts reports whether a missing entry proves nothing at now.
-func (s *Set) doubts(now time.Time) bool {
-	return s.away || now.Before(s.doubtUntil)
+// inGracePeriod reports whether a missing entry at now does not mean that the
+// replica has stopped.
+func (s *Set) inGracePeriod(now time.Time) bool {
+	return s.storeLost || now.Before(s.graceUntil)
 }
 
-// Settle drops the replicas that are still missing once the doubt is over,
-// and returns their names.
+// Settle removes the replicas that are still missing after the grace period and
+// returns their names.
 func (s *Set) Settle(now time.Time) []string {
-	if len(s.missing) == 0 || s.doubts(now) {
+	if len(s.missing) == 0 || s.inGracePeriod(now) {
 		return nil
 	}
 	gone := slices.Collect(maps.Keys(s.missing))
@@ -135,10 +143,10 @@
 	return gone
 }
 
-// Len returns how many replicas there are.
+// Len returns the number of replicas.
 func (s *Set) Len() int { return len(s.replicas) }
 
-// Replicas returns the replicas in the order of their names. They must not be changed.
+// Replicas returns the replicas sorted by name. They must not be modified.
 func (s *Set) Replicas() []*pool.Replica {
 	if s.names == nil {
 		s.names = slices.Sorted(maps.Keys(s.replicas))
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -10,6 +10,7 @@
 
 var noon = time.Unix(1_700_000_000, 0)
 
+// has reports whether the set has the replica with the id.
 func has(s *discovery.Set, id string) bool {
 	for _, r := range s.Replicas() {
 		if r.ID == id {
@@ -19,7 +20,10 @@
 	return false
 }
 
-func TestEntriesThatLapseWhileTheStoreIsAway(t *testing.T) {
+// Guards against replicas that are removed, although they are running, because their
+// entries expired while the store was unreachable, and against keeping those that
+// were draining or don't register again in time.
+func TestEntriesThatExpireWhileTheStoreIsUnreachable(t *testing.T) {
 	s := discovery.NewSet()
 	for _, id := range []string{"back", "gone", "leaving"} {
 		s.Put(pool.Replica{ID: id, Draining: id == "leaving"})
@@ -30,33 +34,35 @@
 		s.Remove(id, noon.Add(100*time.Millisecond))
 	}
 	if !has(s, "back") || !has(s, "gone") {
-		t.Error("an entry that lapsed while the store was away may return")
+		t.Errorf("got %v, want the replicas kept whose entries expired while the store was unreachable", s.Replicas())
 	}
 	if has(s, "leaving") {
-		t.Error("a replica that had said that it leaves is kept")
+		t.Error("got a draining replica kept after its entry disappeared, want it removed")
 	}
 	s.Put(pool.Replica{ID: "back"})
 	if l := s.Settle(noon.Add(time.Second)); len(l) != 0 {
-		t.Errorf("%v dropped too early", l)
+		t.Errorf("got %v removed within the grace period, want none", l)
 	}
-	if l := s.Settle(noon.Add(discovery.ReturnWithin)); len(l) != 1 || l[0] != "gone" {
-		t.Errorf("dropped %v, want gone", l)
+	if l := s.Settle(noon.Add(discovery.ReregisterWithin)); len(l) != 1 || l[0] != "gone" {
+		t.Errorf("got %v removed, want [gone]", l)
 	}
 	if !has(s, "back") || has(s, "gone") {
-		t.Errorf("left %v", s.Replicas())
+		t.Errorf("got %v left, want back and not gone", s.Replicas())
 	}
 }
 
-func TestEntriesThatGoWithASoundStore(t *testing.T) {
+// Guards against replicas that are kept although their entry disappeared, or is not
+// in the complete list, while the store was reachable.
+func TestEntriesThatDisappearWhileTheStoreIsReachable(t *testing.T) {
 	s := discovery.NewSet()
 	s.Put(pool.Replica{ID: "a"})
 	s.Put(pool.Replica{ID: "b"})
 	s.Remove("a", noon)
 	if has(s, "a") {
-		t.Error("a replica whose entry went is kept")
+		t.Error("got a replica kept whose entry disappeared, want it removed")
 	}
 	s.Retain(map[string]bool{}, noon)
 	if has(s, "b") {
-		t.Error("a replica that is not in the whole list is kept")
+		t.Error("got a replica kept that is not in the complete list, want it removed")
 	}
 }
