--- a/bill/bill.go
+++ b/bill/bill.go
@@ -103,8 +103,8 @@
 	return l.markSettled(seq)
 }
 
-// markSettled returns l with the number settled. Upto advances over numbers that
-// are settled without a gap.
+// markSettled returns l with the number settled. The number up to which all records
+// are settled advances over those that follow it without a gap.
 func (l Ledger) markSettled(seq uint64) Ledger {
 	l.Changes++
 	a := maps.Clone(l.Above)
--- a/bill/held.go
+++ b/bill/held.go
@@ -19,9 +19,9 @@
 const maxDeliveryDelay = time.Second
 
 // IsDuplicate reports whether the record must not be counted, given the responses
-// of the holders that were reached. If two records reach the holders at the same
-// time in different order, both owners decide for the record of the owner with the
-// lower name.
+// of the holders that were reached. Two records of one request can reach the holders
+// at the same time, in a different order at each. Both owners then decide that the
+// record of the owner with the lower name is counted.
 func IsDuplicate(mine Record, w []Word) bool {
 	first, lower := false, false
 	for _, x := range w {
--- a/biller/biller_test.go
+++ b/biller/biller_test.go
@@ -141,9 +141,9 @@
 }
 
 // Guards against a planned stop of an isolated instance that ends early and counts its
-// records although there is time left to offer them. That happens if the
-// stop finds the list of pending records empty while the background loop has taken
-// them out to offer them.
+// records although there is time left to offer them. That happens if the stop finds
+// the list of pending records empty while the background loop has taken them out to
+// offer them.
 func TestSettleOfAnIsolatedInstanceUsesAllItsTime(t *testing.T) {
 	for i := range 8000 {
 		synctest.Test(t, func(t *testing.T) {
--- a/config/active.go
+++ b/config/active.go
@@ -13,13 +13,13 @@
 // Active is a compiled configuration document: its policies are compiled and its
 // caller keys indexed. It is immutable and shared by all requests of an entry.
 type Active struct {
-	doc       Document
-	ring      session.Ring
-	callers   map[string]Caller
-	tables    map[string]*policy.Table
-	services  map[string]catalog.Service
-	withdrawn map[version.ID]bool
-	costs     map[version.ID]catalog.Version
+	doc          Document
+	sessionKeys  session.Ring
+	callers      map[string]Caller
+	tables       map[string]*policy.Table
+	services     map[string]catalog.Service
+	withdrawn    map[version.ID]bool
+	declarations map[version.ID]catalog.Version
 }
 
 // Caller is a customer and the team that it belongs to.
@@ -32,13 +32,13 @@
 // policies were checked when operators submitted them has none.
 func Activate(d Document) (*Active, []error) {
 	a := &Active{
-		doc:       d,
-		ring:      session.NewRing(d.SessionKeys...),
-		callers:   map[string]Caller{},
-		tables:    map[string]*policy.Table{},
-		services:  map[string]catalog.Service{},
-		withdrawn: map[version.ID]bool{},
-		costs:     map[version.ID]catalog.Version{},
+		doc:          d,
+		sessionKeys:  session.NewRing(d.SessionKeys...),
+		callers:      map[string]Caller{},
+		tables:       map[string]*policy.Table{},
+		services:     map[string]catalog.Service{},
+		withdrawn:    map[version.ID]bool{},
+		declarations: map[version.ID]catalog.Version{},
 	}
 	var e []error
 	for _, t := range d.Teams() {
@@ -64,7 +64,7 @@
 		a.services[p.Team+"/"+s.Name] = s
 	}
 	for _, v := range p.Source.Catalog.Versions {
-		a.costs[v.ID] = v
+		a.declarations[v.ID] = v
 	}
 	for _, v := range p.Withdrawn {
 		a.withdrawn[v] = true
@@ -87,7 +87,7 @@
 func (a *Active) Revision() uint64 { return a.doc.Revision }
 
 // Ring returns the key ring that signs and verifies session tokens.
-func (a *Active) Ring() session.Ring { return a.ring }
+func (a *Active) Ring() session.Ring { return a.sessionKeys }
 
 // Caller returns the customer whose API key this is.
 func (a *Active) Caller(key string) (Caller, bool) {
@@ -133,7 +133,7 @@
 }
 
 // Cost returns the version's declaration, which has the prices of a call.
-func (a *Active) Cost(v version.ID) catalog.Version { return a.costs[v] }
+func (a *Active) Cost(v version.ID) catalog.Version { return a.declarations[v] }
 
 // Withdrawn lists the withdrawn versions of all teams.
 func (a *Active) Withdrawn() []version.ID {
@@ -158,8 +158,8 @@
 	if !ok {
 		return v, false
 	}
-	r, under := p.Rollout(model)
-	if under && r.State == rollout.Running && r.From == v && !tripped(r.To) {
+	r, hasRollout := p.Rollout(model)
+	if hasRollout && r.State == rollout.Running && r.From == v && !tripped(r.To) {
 		if n := r.VersionFor(s.ID); a.MayRun(c, n) {
 			return n, true
 		}
--- a/peer/message.go
+++ b/peer/message.go
@@ -6,8 +6,9 @@
 type Message struct {
 	From        string
 	Incarnation string
-	// Since is the stamp up to which the sender has the receiver's updates.
-	// Stamps are counted by the receiver's incarnation SinceIncarnation.
+	// Since is the stamp, the sequence number in the receiver's table, up to which
+	// the sender has the receiver's updates. The stamps are those of the receiver's
+	// incarnation SinceIncarnation.
 	Since            uint64
 	SinceIncarnation string
 	// Revision is the revision of the configuration that the sender has in force.
