--- a/adapter/exchange/events.go
+++ b/adapter/exchange/events.go
@@ -10,21 +10,22 @@
 	"fieldvale/entry"
 )
 
-// maxEvent bounds one event in bytes; the largest known have some hundred.
-const maxEvent = 1 << 20
+// maxEventBytes bounds the length of one event; the largest known events have a few
+// hundred bytes.
+const maxEventBytes = 1 << 20
 
-// Events splits a body into whole events.
+// Events splits the body of a stream of server-sent events into complete events.
 type Events struct {
 	r *bufio.Reader
 }
 
-// NewEvents reads events from the body.
+// NewEvents returns a reader of the body's events.
 func NewEvents(body io.Reader) *Events {
-	return &Events{r: bufio.NewReaderSize(body, bufferSize)}
+	return &Events{r: bufio.NewReaderSize(body, readBufferSize)}
 }
 
-// Next returns the next event with the empty line that ends it; io.EOF after
-// the last one. A body that ends within an event was broken off.
+// Next returns the next event with the empty line that ends it, and io.EOF after
+// the last event. It returns io.ErrUnexpectedEOF if the body ends within an event.
 func (e *Events) Next() (entry.Event, error) {
 	var v entry.Event
 	for {
@@ -39,8 +40,8 @@
 		case err != nil:
 			return v, err
 		}
-		if len(v.Data) > maxEvent {
-			return v, errors.Newf("an event is longer than %d bytes", maxEvent)
+		if len(v.Data) > maxEventBytes {
+			return v, errors.Newf("event is longer than %d bytes", maxEventBytes)
 		}
 		if err != nil {
 			continue
--- a/adapter/exchange/exchange.go
+++ b/adapter/exchange/exchange.go
@@ -14,87 +14,95 @@
 	"fieldvale/outcome"
 )
 
-// Request is one request as it goes out. Target and the header's names and
-// values are sent as they are; the body's length is added.
+// Request is one HTTP request. Target and the header's names and values are
+// sent unchanged; only Host and Content-Length are added.
 type Request struct {
 	Method string
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine reports whether an answer's header belongs to this request; one
-	// that does not is skipped. nil takes any.
+	// Mine reports whether a response with this header belongs to the request. A
+	// response for which it returns false is skipped. nil accepts any response.
 	Mine func(http.Header) bool
 }
 
-// Response is an answer whose body is still to be read. Close must be called.
+// Response is a response whose body has not been read yet. The caller must call
+// Close.
 type Response struct {
 	Status int
 	Header http.Header
 
-	body    io.ReadCloser
-	pool    *Pool
-	addr    string
-	conn    *conn
-	stop    func() bool
-	written chan error
-	keep    time.Duration
-	ended   bool
+	body io.ReadCloser
+	pool *Pool
+	addr string
+	conn *conn
+	// stopCancel ends the cancellation by the request's context, and returns false
+	// if the context was done before.
+	stopCancel func() bool
+	// bodyWrite receives the result of writing a long request body; nil if the body
+	// was written together with the header.
+	bodyWrite chan error
+	// idleTimeout is how long the connection may stay idle after this response.
+	idleTimeout time.Duration
+	// bodyRead is set once the response's body was read to its end.
+	bodyRead bool
 }
 
-// maxStrays bounds how many answers of other requests are skipped.
-const maxStrays = 2
+// maxSkipped bounds how many responses to other requests are skipped.
+const maxSkipped = 2
 
-// ErrStray says that a connection held answers of other requests only.
-var ErrStray = errors.New("the answer is another request's")
+// ErrUnmatched is returned if more than maxSkipped responses belong to other requests.
+var ErrUnmatched = errors.New("response belongs to another request")
 
-// Do sends the request and reads the answer's head. A failure is an
-// *outcome.Error: NotRun if no byte was sent.
+// Do sends the request and reads the response's header. A failure is an
+// *outcome.Error of kind NotRun if no byte was sent, else Unknown.
 func (p *Pool) Do(ctx context.Context, addr string, q *Request) (*Response, error) {
-	c, err := p.conn(ctx, addr)
+	c, err := p.getConn(ctx, addr)
 	if err != nil {
 		return nil, outcome.New(outcome.NotRun, "dial", addr, err)
 	}
 	if d, ok := ctx.Deadline(); ok {
-		_ = c.c.SetDeadline(d)
+		_ = c.netConn.SetDeadline(d)
 	}
-	s := &Response{pool: p, addr: addr, conn: c, keep: idleFor}
-	s.stop = context.AfterFunc(ctx, func() { _ = c.c.SetDeadline(time.Unix(1, 0)) })
-	if err := s.send(q); err != nil {
+	s := &Response{pool: p, addr: addr, conn: c, idleTimeout: defaultIdleTimeout}
+	s.stopCancel = context.AfterFunc(ctx, func() { _ = c.netConn.SetDeadline(time.Unix(1, 0)) })
+	if err := s.writeRequest(q); err != nil {
 		s.Close()
 		return nil, outcome.New(outcome.Unknown, "write", addr, err)
 	}
-	if err := s.readHead(q); err != nil {
+	if err := s.readHeader(q); err != nil {
 		s.Close()
 		return nil, outcome.New(outcome.Unknown, "read", addr, err)
 	}
 	return s, nil
 }
 
-// inlineBody is the longest body, in bytes, that goes out with its head in
-// one write. A longer one is written beside the reading, since a server may
-// answer before it has read the body.
-const inlineBody = 2 << 10
+// maxInlineBody is the longest body, in bytes, that is sent in one write with its
+// header. A longer body is written concurrently with reading the response, since a
+// server may respond before it has read the body.
+const maxInlineBody = 2 << 10
 
-func (s *Response) send(q *Request) error {
-	b := q.head()
-	if len(q.Body) <= inlineBody {
-		_, err := s.conn.c.Write(append(b, q.Body...))
+// writeRequest writes the request's header, and writes or starts writing its body.
+func (s *Response) writeRequest(q *Request) error {
+	b := q.encodeHeader()
+	if len(q.Body) <= maxInlineBody {
+		_, err := s.conn.netConn.Write(append(b, q.Body...))
 		return err
 	}
-	if _, err := s.conn.c.Write(b); err != nil {
+	if _, err := s.conn.netConn.Write(b); err != nil {
 		return err
 	}
-	s.written = make(chan error, 1)
+	s.bodyWrite = make(chan error, 1)
 	go func() {
-		_, err := s.conn.c.Write(q.Body)
-		s.written <- err
+		_, err := s.conn.netConn.Write(q.Body)
+		s.bodyWrite <- err
 	}()
 	return nil
 }
 
-// head returns the request's head with the empty line.
-func (q *Request) head() []byte {
+// encodeHeader returns the request line and header with the empty line that ends them.
+func (q *Request) encodeHeader() []byte {
 	var b bytes.Buffer
 	b.WriteString(q.Method + " " + q.Target + " HTTP/1.1\r\nHost: " + q.Host + "\r\n")
 	for n, l := range q.Header {
@@ -109,9 +117,11 @@
 	return b.Bytes()
 }
 
-func (s *Response) readHead(q *Request) error {
-	for range maxStrays + 1 {
-		r, err := http.ReadResponse(s.conn.r, &http.Request{Method: q.Method})
+// readHeader reads the header of the response to the request. It skips
+// informational responses and those to other requests.
+func (s *Response) readHeader(q *Request) error {
+	for range maxSkipped + 1 {
+		r, err := http.ReadResponse(s.conn.reader, &http.Request{Method: q.Method})
 		if err != nil {
 			return err
 		}
@@ -125,54 +135,56 @@
 			continue
 		}
 		s.Status, s.Header, s.body = r.StatusCode, r.Header, r.Body
-		s.keep = keepFor(r)
+		s.idleTimeout = idleTimeoutOf(r)
 		return nil
 	}
-	return ErrStray
+	return ErrUnmatched
 }
 
-// keepFor is how long the connection may be kept after the answer.
-func keepFor(r *http.Response) time.Duration {
+// idleTimeoutOf returns how long the connection may stay idle after the response; 0 or
+// less if it must be closed.
+func idleTimeoutOf(r *http.Response) time.Duration {
 	if r.Close {
 		return 0
 	}
 	_, t, ok := strings.Cut(r.Header.Get("Keep-Alive"), "timeout=")
 	if !ok {
-		return idleFor
+		return defaultIdleTimeout
 	}
 	t, _, _ = strings.Cut(t, ",")
 	n, err := strconv.Atoi(strings.TrimSpace(t))
 	if err != nil {
-		return idleFor
+		return defaultIdleTimeout
 	}
 	return time.Duration(n)*time.Second - idleMargin
 }
 
-// Read reads the body.
+// Read implements io.Reader on the response's body.
 func (s *Response) Read(b []byte) (int, error) {
 	n, err := s.body.Read(b)
-	s.ended = s.ended || errors.Is(err, io.EOF)
+	s.bodyRead = s.bodyRead || errors.Is(err, io.EOF)
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept if the answer was read to
-// its end and the request was written whole; else closing it cancels.
+// Close ends the exchange. The connection goes back to the pool if the response was
+// read and the request written completely. Otherwise Close closes the connection,
+// which cancels the request.
 func (s *Response) Close() {
-	quiet := s.stop()
-	if s.ended && quiet && s.writtenWhole() {
-		s.pool.put(s.addr, s.conn, s.keep)
+	notCanceled := s.stopCancel()
+	if s.bodyRead && notCanceled && s.bodyWritten() {
+		s.pool.putIdle(s.addr, s.conn, s.idleTimeout)
 		return
 	}
-	_ = s.conn.c.Close()
+	_ = s.conn.netConn.Close()
 }
 
-// writtenWhole reports whether the request's body is out by now.
-func (s *Response) writtenWhole() bool {
-	if s.written == nil {
+// bodyWritten reports whether the request's body has been written without an error.
+func (s *Response) bodyWritten() bool {
+	if s.bodyWrite == nil {
 		return true
 	}
 	select {
-	case err := <-s.written:
+	case err := <-s.bodyWrite:
 		return err == nil
 	default:
 		return false
--- a/adapter/exchange/exchange_test.go
+++ b/adapter/exchange/exchange_test.go
@@ -16,12 +16,13 @@
 	"fieldvale/outcome"
 )
 
-// closes at the end of an answer says that the connection closes after it.
-const closes = "\x00"
+// closeMark at the end of a scripted response makes the server close the connection
+// after it.
+const closeMark = "\x00"
 
-// scripted answers each connection's requests with the given bytes, one after
-// another.
-func scripted(t *testing.T, answers ...string) string {
+// startScripted starts a server that sends the given responses, one for each request of
+// a connection, and returns its address.
+func startScripted(t *testing.T, responses ...string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,11 +37,11 @@
 			go func() {
 				defer c.Close()
 				b := make([]byte, 64<<10)
-				for _, a := range answers {
+				for _, a := range responses {
 					if _, err := c.Read(b); err != nil {
 						return
 					}
-					a, end := strings.CutSuffix(a, closes)
+					a, end := strings.CutSuffix(a, closeMark)
 					_, _ = io.WriteString(c, a)
 					if end {
 						return
@@ -67,42 +68,48 @@
 
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nId: a\r\n\r\nok"
 
-func TestAnswersOfOtherRequestsAreSkipped(t *testing.T) {
+// A response to another request, left on a reused connection, must not be returned as
+// the response to this one.
+func TestSkipsResponsesToOtherRequests(t *testing.T) {
 	stray := strings.ReplaceAll(ok, "Id: a", "Id: b")
 	mine := func(h http.Header) bool { return h.Get("Id") == "a" }
-	if b, err := get(New(time.Now), scripted(t, stray+ok), mine); err != nil || b != "ok" {
-		t.Errorf("%q, %v", b, err)
+	if b, err := get(New(time.Now), startScripted(t, stray+ok), mine); err != nil || b != "ok" {
+		t.Errorf("got body %q and error %v, want body ok and no error", b, err)
 	}
-	if _, err := get(New(time.Now), scripted(t, stray+stray+stray), mine); !errors.Is(err, ErrStray) {
-		t.Errorf("strays only: %v", err)
+	if _, err := get(New(time.Now), startScripted(t, stray+stray+stray), mine); !errors.Is(err, ErrUnmatched) {
+		t.Errorf("only responses to other requests: got error %v, want ErrUnmatched", err)
 	}
 }
 
-func TestConnectionsAreKeptOnlyWhenClean(t *testing.T) {
+// A connection must not be reused if the server closes it or if bytes follow the
+// response, since the next request would then fail or get a wrong response.
+func TestReusesOnlyCleanConnections(t *testing.T) {
 	for _, c := range []struct {
-		name, answer string
-		// dialed is how many connections two requests need
+		name, response string
+		// dialed is how many connections two requests need.
 		dialed int
 	}{
 		{"clean", ok, 1},
 		{"surplus bytes", ok + "more", 2},
 		{"closing", strings.ReplaceAll(ok, "Id:", "Connection: close\r\nId:"), 2},
-		{"no time to keep", strings.ReplaceAll(ok, "Id:", "Keep-Alive: timeout=0\r\nId:"), 2},
+		{"idle timeout of zero", strings.ReplaceAll(ok, "Id:", "Keep-Alive: timeout=0\r\nId:"), 2},
 	} {
 		p := New(time.Now)
-		a := scripted(t, c.answer, c.answer)
+		a := startScripted(t, c.response, c.response)
 		for range 2 {
 			if b, err := get(p, a, nil); err != nil || b != "ok" {
-				t.Fatalf("%s: %q, %v", c.name, b, err)
+				t.Fatalf("%s: got body %q and error %v, want body ok and no error", c.name, b, err)
 			}
 		}
 		if p.Dialed() != c.dialed {
-			t.Errorf("%s: %d connections, want %d", c.name, p.Dialed(), c.dialed)
+			t.Errorf("%s: got %d connections opened, want %d", c.name, p.Dialed(), c.dialed)
 		}
 	}
 }
 
-func TestFailuresSayWhetherBytesWereSent(t *testing.T) {
+// A failure must be NotRun only if no byte was sent: a caller retries NotRun failures
+// elsewhere, which would run a request twice if the server had received it.
+func TestFailuresReportWhetherBytesWereSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -110,19 +117,19 @@
 	a := l.Addr().String()
 	_ = l.Close()
 	if _, err := get(New(time.Now), a, nil); outcome.Of(err) != outcome.NotRun {
-		t.Errorf("nobody listens: %v", err)
+		t.Errorf("no listener: got error %v, want outcome NotRun", err)
 	}
-	if _, err := get(New(time.Now), scripted(t, closes), nil); outcome.Of(err) != outcome.Unknown {
-		t.Errorf("no answer: %v", err)
+	if _, err := get(New(time.Now), startScripted(t, closeMark), nil); outcome.Of(err) != outcome.Unknown {
+		t.Errorf("no response: got error %v, want outcome Unknown", err)
 	}
-	if _, err := get(New(time.Now), scripted(t, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"+closes), nil); err == nil {
-		t.Error("half an answer is taken for a whole one")
+	if _, err := get(New(time.Now), startScripted(t, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"+closeMark), nil); err == nil {
+		t.Error("truncated response: got no error, want one")
 	}
 }
 
-// A server may answer before it has read a long body; the rest of the body
-// must not become the next request.
-func TestEarlyAnswerToALongBody(t *testing.T) {
+// A server may respond before it has read a long request body. If the connection were
+// reused, the server would read the rest of that body as the next request.
+func TestEarlyResponseToLongBody(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -147,16 +154,18 @@
 			t.Fatal(err)
 		}
 		if b, err := io.ReadAll(r); err != nil || string(b) != "ok" {
-			t.Fatalf("%q, %v", b, err)
+			t.Fatalf("got body %q and error %v, want body ok and no error", b, err)
 		}
 		r.Close()
 	}
 	if p.Dialed() != 2 {
-		t.Errorf("%d connections, want 2: the first one's body was not written whole", p.Dialed())
+		t.Errorf("got %d connections opened, want 2: the first request's body was not written completely", p.Dialed())
 	}
 }
 
-func TestEventsAreWhole(t *testing.T) {
+// A stream that is cut within an event must not yield the partial event, nor end as if it
+// were complete.
+func TestEventsAreComplete(t *testing.T) {
 	for _, c := range []struct {
 		name, body string
 		ids        string
@@ -179,12 +188,13 @@
 			l = append(l, v.ID)
 		}
 		if g := strings.Join(l, " "); g != c.ids || !errors.Is(err, c.end) {
-			t.Errorf("%s: %q then %v, want %q then %v", c.name, g, err, c.ids, c.end)
+			t.Errorf("%s: got ids %q then %v, want %q then %v", c.name, g, err, c.ids, c.end)
 		}
 	}
 }
 
-// The events and what is left over make up the body, whatever it is.
+// For any body, the returned events together must be a prefix of it, and all of it if the
+// body ends at an event's end.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: x\n\nid: 2\n\n"))
 	f.Add([]byte("\n\n\r\n"))
@@ -195,14 +205,14 @@
 			v, err := e.Next()
 			if err != nil {
 				if errors.Is(err, io.EOF) && !bytes.Equal(got, b) {
-					t.Fatalf("%q ended as whole with %q", b, got)
+					t.Fatalf("got events %q and io.EOF, want all of the body %q", got, b)
 				}
 				break
 			}
 			got = append(got, v.Data...)
 		}
 		if !bytes.HasPrefix(b, got) {
-			t.Fatalf("%q came as %q", b, got)
+			t.Fatalf("got events %q, want a prefix of the body %q", got, b)
 		}
 	})
 }
--- a/adapter/exchange/pool.go
+++ b/adapter/exchange/pool.go
@@ -1,7 +1,8 @@
-// Package exchange sends HTTP/1.1 requests to backend servers over
-// connections that it owns. It repeats nothing by itself, says of each
-// failure whether bytes were sent, keeps an answer of another request apart,
-// and cancels by closing. net/http's client hides all four.
+// Package exchange is an HTTP/1.1 client for backend servers with a connection
+// pool of its own. It never retries a request, reports for each failure whether
+// bytes were sent, skips responses that belong to another request, and cancels
+// a request by closing its connection. net/http's client gives no control over
+// any of the four.
 package exchange
 
 import (
@@ -19,48 +20,51 @@
 )
 
 const (
-	// dialTimeout bounds one attempt to connect; a sound replica in the same
-	// region takes a few milliseconds.
+	// dialTimeout bounds one attempt to connect. A healthy replica in the same
+	// region accepts within a few milliseconds.
 	dialTimeout = 700 * time.Millisecond
-	// idleFor is how long a connection is kept whose server states no time.
-	idleFor = 20 * time.Second
-	// idleMargin is how much before the server's stated time a connection is
-	// given up, so that it is not used while the server closes it.
+	// defaultIdleTimeout is how long an idle connection is kept if the server
+	// states no timeout in a Keep-Alive header.
+	defaultIdleTimeout = 20 * time.Second
+	// idleMargin is subtracted from the idle timeout that the server states, so
+	// that no request is sent while the server closes the connection.
 	idleMargin = 700 * time.Millisecond
-	// idlePerPeer bounds the idle connections to one server.
-	idlePerPeer = 24
-	// probeIdle, probeEvery and probeCount find a server that went silent
-	// within about three seconds; userTimeout does it for unsent bytes.
-	probeIdle   = time.Second
-	probeEvery  = time.Second
-	probeCount  = 2
-	userTimeout = 3 * time.Second
-	bufferSize  = 4 << 10
+	// maxIdlePerAddr bounds the idle connections to one address.
+	maxIdlePerAddr = 24
+	// keepAliveIdle, keepAliveInterval and keepAliveProbes detect an unreachable
+	// server on a connection without traffic within about three seconds.
+	// userTimeout bounds the same case while sent bytes are unacknowledged.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
+	userTimeout       = 3 * time.Second
+	readBufferSize    = 4 << 10
 )
 
-// Pool keeps connections to servers by address. It is safe for concurrent
+// Pool holds idle connections by server address. It is safe for concurrent
 // use.
 type Pool struct {
 	mu   sync.Mutex
 	idle map[string][]*conn
-	// dialed counts the connections opened; each has a price.
+	// dialed counts the connections opened, since each costs a handshake.
 	dialed int
-	// probes are the looks at addresses under way.
+	// probes merges concurrent probes of one address.
 	probes singleflight.Group
-	// sweepAt is when idle connections are looked through again.
-	sweepAt time.Time
-	clock   func() time.Time
+	// nextSweep is when expired idle connections are next closed.
+	nextSweep time.Time
+	clock     func() time.Time
 }
 
-// conn is a connection and what was read of it ahead.
+// conn is a connection with its read buffer.
 type conn struct {
-	c net.Conn
-	r *bufio.Reader
-	// expires is when the server may close the idle connection.
+	netConn net.Conn
+	reader  *bufio.Reader
+	// expires is when the idle connection must no longer be reused, since the
+	// server may close it.
 	expires time.Time
 }
 
-// New returns a pool with no connections.
+// New returns an empty pool.
 func New(clock func() time.Time) *Pool { return &Pool{idle: map[string][]*conn{}, clock: clock} }
 
 // Dialed returns how many connections were opened.
@@ -70,17 +74,17 @@
 	return p.dialed
 }
 
-// sweepEvery is between looks through the idle connections for those whose
-// time is over: servers come and go for as long as the process runs.
-const sweepEvery = 5 * time.Second
+// sweepInterval is the least time between two sweeps. Without sweeps, connections
+// to servers that no longer exist would stay open as long as the process runs.
+const sweepInterval = 5 * time.Second
 
-// sweep closes the idle connections that can't be used any more. The caller
-// holds the lock.
+// sweep closes expired idle connections, at most once per sweepInterval. The
+// caller must hold p.mu.
 func (p *Pool) sweep(now time.Time) {
-	if now.Before(p.sweepAt) {
+	if now.Before(p.nextSweep) {
 		return
 	}
-	p.sweepAt = now.Add(sweepEvery)
+	p.nextSweep = now.Add(sweepInterval)
 	for addr, l := range p.idle {
 		k := l[:0]
 		for _, c := range l {
@@ -88,7 +92,7 @@
 				k = append(k, c)
 				continue
 			}
-			_ = c.c.Close()
+			_ = c.netConn.Close()
 		}
 		p.idle[addr] = k
 		if len(k) == 0 {
@@ -97,26 +101,27 @@
 	}
 }
 
-func (p *Pool) conn(ctx context.Context, addr string) (*conn, error) {
-	if c := p.take(addr); c != nil {
+// getConn returns an idle connection to the address, or else a new one.
+func (p *Pool) getConn(ctx context.Context, addr string) (*conn, error) {
+	if c := p.takeIdle(addr); c != nil {
 		return c, nil
 	}
 	d := net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes},
 		Control:         setUserTimeout,
 	}
 	k, err := d.DialContext(ctx, "tcp4", addr)
 	if err != nil {
-		return nil, errors.Wrap(err, "exchange")
+		return nil, errors.Wrap(err, "exchange: connect")
 	}
 	p.mu.Lock()
 	p.dialed++
 	p.mu.Unlock()
-	return &conn{c: k, r: bufio.NewReaderSize(k, bufferSize)}, nil
+	return &conn{netConn: k, reader: bufio.NewReaderSize(k, readBufferSize)}, nil
 }
 
-// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
+// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall doesn't define.
 const tcpUserTimeout = 18
 
 // setUserTimeout sets userTimeout on a socket before it connects.
@@ -131,9 +136,10 @@
 	return e
 }
 
-// take returns an idle connection that is open and has nothing to read, the
-// one used last first.
-func (p *Pool) take(addr string) *conn {
+// takeIdle removes the most recently used idle connection from the pool and
+// returns it; nil if there is none. It closes connections that have expired,
+// were closed by the server or have unread bytes.
+func (p *Pool) takeIdle(addr string) *conn {
 	for {
 		p.mu.Lock()
 		l := p.idle[addr]
@@ -144,23 +150,24 @@
 		c := l[len(l)-1]
 		p.idle[addr] = l[:len(l)-1]
 		p.mu.Unlock()
-		if p.clock().Before(c.expires) && httpconn.Quiet(c.c) {
+		if p.clock().Before(c.expires) && httpconn.Quiet(c.netConn) {
 			return c
 		}
-		_ = c.c.Close()
+		_ = c.netConn.Close()
 	}
 }
 
-// put keeps a connection whose answer was read to its end. Bytes beyond it
-// belong to no request.
-func (p *Pool) put(addr string, c *conn, keep time.Duration) {
-	_ = c.c.SetDeadline(time.Time{})
-	c.expires = p.clock().Add(keep)
+// putIdle returns a connection to the pool after its response was read to the
+// end. It closes the connection instead if there are buffered bytes beyond the
+// response, since they belong to no request, or if the pool is full.
+func (p *Pool) putIdle(addr string, c *conn, idleTimeout time.Duration) {
+	_ = c.netConn.SetDeadline(time.Time{})
+	c.expires = p.clock().Add(idleTimeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweep(p.clock())
-	if c.r.Buffered() > 0 || keep <= 0 || len(p.idle[addr]) >= idlePerPeer {
-		_ = c.c.Close()
+	if c.reader.Buffered() > 0 || idleTimeout <= 0 || len(p.idle[addr]) >= maxIdlePerAddr {
+		_ = c.netConn.Close()
 		return
 	}
 	p.idle[addr] = append(p.idle[addr], c)
--- a/adapter/exchange/probe.go
+++ b/adapter/exchange/probe.go
@@ -7,16 +7,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Refuses reports whether nothing listens at the address: the host answers, and refuses the
-// connection. Those who ask at once share one look; a connection that is made is kept for
-// the next request.
+// Refuses reports whether the host is reachable and refuses TCP connections at the address,
+// so that no server listens there. Concurrent calls for one address share one probe. A
+// connection that the probe opens goes to the pool for the next request.
 func (p *Pool) Refuses(ctx context.Context, addr string) bool {
 	v, _, _ := p.probes.Do(addr, func() (any, error) {
-		c, err := p.conn(ctx, addr)
+		c, err := p.getConn(ctx, addr)
 		if err != nil {
 			return errors.Is(err, syscall.ECONNREFUSED), nil
 		}
-		p.put(addr, c, idleFor)
+		p.putIdle(addr, c, defaultIdleTimeout)
 		return false, nil
 	})
 	return v.(bool)
--- a/adapter/exchange/probe_test.go
+++ b/adapter/exchange/probe_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// A crash counts against a request only if the backend server's port refuses connections,
+// so Refuses must tell a listening server from one that is gone.
 func TestRefuses(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -13,18 +15,18 @@
 	}
 	p, addr := New(time.Now), l.Addr().String()
 	if p.Refuses(t.Context(), addr) {
-		t.Error("a server that listens counts as ended")
+		t.Error("listening server: got true, want false")
 	}
 	if p.Refuses(t.Context(), addr) || p.Dialed() != 1 {
-		t.Errorf("%d connections were opened, want the first one kept", p.Dialed())
+		t.Errorf("second probe of a listening server: got %d connections opened, want false and 1 reused connection", p.Dialed())
 	}
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	// The kept connection was closed with the server's queue, or is still open: either
-	// way the next look goes to the port.
+	// The idle connection may outlive the listener. A new pool has none, so that the
+	// probe has to connect to the port.
 	p = New(time.Now)
 	if !p.Refuses(t.Context(), addr) {
-		t.Error("a server that is gone does not count as ended")
+		t.Error("server without a listener: got false, want true")
 	}
 }
