--- a/adapter/backend/engine.go
+++ b/adapter/backend/engine.go
@@ -1,4 +1,5 @@
-// Package backend calls model engines, by the OpenAI API, and plain services.
+// Package backend sends requests to model engines, which serve the OpenAI API, and to
+// plain services.
 package backend
 
 import (
@@ -22,61 +23,68 @@
 	"fieldvale/pool"
 )
 
-// Headers between the router and backend servers.
+// Headers of requests to backend servers and of their responses.
 const (
+	// HeaderAttempt carries the id of an attempt. An engine repeats it in its response.
 	HeaderAttempt  = "X-Request-Id"
 	HeaderPriority = "X-Priority"
 	HeaderDeadline = "X-Deadline-Unix-Ms"
-	HeaderResume   = "X-Resume-Chunks"
-	// HeaderNotRun is set to "true" by a backend server on a refusal by
-	// which it says that it did not start the work.
-	HeaderNotRun = "X-Not-Run"
-	HeaderKey    = "Idempotency-Key"
+	// HeaderResume is the number of chunks that the caller of a resumed stream has
+	// received already. The engine continues after them.
+	HeaderResume = "X-Resume-Chunks"
+	// HeaderNotRun is "true" in the response of a backend server that refuses a
+	// request without having started it.
+	HeaderNotRun         = "X-Not-Run"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 const chatPath = "/v1/chat/completions"
 
-// stepAnswer is the step of failures that show in the answer itself.
+// stepAnswer is the outcome.Error step of failures found in the response.
 const stepAnswer = "answer"
 
-// Engines implements entry.Engines.
+// Engines is a client of model engines. It implements entry.Engines.
 type Engines struct {
 	http *httpconn.Client
-	hearing
+	responseObservers
 }
 
 var _ entry.Engines = (*Engines)(nil)
 
-// NewEngines returns a client of model engines.
+// NewEngines returns a client of model engines that sends its requests with c.
 func NewEngines(c *httpconn.Client) *Engines {
 	return &Engines{http: c}
 }
 
-// WithLimits returns the client with l told what answers say of their engines.
-func (e Engines) WithLimits(l Limits) *Engines {
+// WithLimits returns a copy of the client that passes the rate limits in responses to l.
+func (e Engines) WithLimits(l LimitObserver) *Engines {
 	e.limits = l
 	return &e
 }
 
-// WithNotices returns the client with n told what answers say of their engines.
-func (e Engines) WithNotices(n Notices) *Engines {
+// WithNotices returns a copy of the client that passes the draining and backoff notices in
+// responses to n.
+func (e Engines) WithNotices(n NoticeObserver) *Engines {
 	e.notices = n
 	return &e
 }
 
-// hearAnswer hands on what an answer says, if it is surely this attempt's.
-func (e *Engines) hearAnswer(r *pool.Replica, a entry.Attempt, p *fasthttp.Response, sentAt time.Time) {
+// observeResponse passes on the limit and the notice in a response if its header has the
+// id of this attempt.
+func (e *Engines) observeResponse(r *pool.Replica, a entry.Attempt, p *fasthttp.Response, sentAt time.Time) {
 	if string(p.Header.Peek(HeaderAttempt)) == a.ID {
-		e.hear(r, a.ID, p, sentAt)
+		e.observe(r, a.ID, p, sentAt)
 	}
 }
 
-type wireUsage struct {
+// tokenUsage is the usage field of a chat completion.
+type tokenUsage struct {
 	In  uint64 `json:"prompt_tokens"`
 	Out uint64 `json:"completion_tokens"`
 }
 
-type wireChat struct {
+// chatCompletion is a chat completion of the OpenAI API, or one chunk of a streamed one.
+type chatCompletion struct {
 	ID      string `json:"id"`
 	Model   string `json:"model"`
 	Choices []struct {
@@ -88,12 +96,12 @@
 		} `json:"delta"`
 		Finish *string `json:"finish_reason"`
 	} `json:"choices"`
-	Usage *wireUsage `json:"usage"`
+	Usage *tokenUsage `json:"usage"`
 }
 
 // Chat implements entry.Engines.
 func (e *Engines) Chat(ctx context.Context, r *pool.Replica, a entry.Attempt) (entry.Answer, error) {
-	q, p, err := request(r, a, false)
+	q, p, err := newRequest(r, a, false)
 	if err != nil {
 		return entry.Answer{}, err
 	}
@@ -103,24 +111,26 @@
 	if err := e.http.Do(ctx, r.Addr, q, p); err != nil {
 		return entry.Answer{}, withContext(ctx, err)
 	}
-	e.hearAnswer(r, a, p, sentAt)
-	if err := checkHead(r, a, p); err != nil {
+	e.observeResponse(r, a, p, sentAt)
+	if err := checkHeader(r, a, p); err != nil {
 		return entry.Answer{}, err
 	}
 	b := append([]byte(nil), p.Body()...)
 	return readChat(r, a, b)
 }
 
+// readChat parses a response that isn't streamed. It rejects a response of another model
+// and one without a finish_reason.
 func readChat(r *pool.Replica, a entry.Attempt, b []byte) (entry.Answer, error) {
-	var w wireChat
+	var w chatCompletion
 	if err := json.Unmarshal(b, &w); err != nil {
-		return entry.Answer{}, broken(r, err)
+		return entry.Answer{}, invalidResponse(r, err)
 	}
 	if w.Model != a.Version.String() {
-		return entry.Answer{}, broken(r, errors.Newf("answer is of model %q, asked %q", w.Model, a.Version))
+		return entry.Answer{}, invalidResponse(r, errors.Newf("response is of model %q, want %q", w.Model, a.Version))
 	}
 	if len(w.Choices) == 0 || w.Choices[0].Finish == nil {
-		return entry.Answer{}, broken(r, errors.New("answer has no finish_reason"))
+		return entry.Answer{}, invalidResponse(r, errors.New("response has no finish_reason"))
 	}
 	n := entry.Answer{Body: b, Text: w.Choices[0].Message.Content}
 	if w.Usage != nil {
@@ -131,7 +141,7 @@
 
 // Stream implements entry.Engines.
 func (e *Engines) Stream(ctx context.Context, r *pool.Replica, a entry.Attempt, sink func([]byte) error) (entry.Answer, error) {
-	q, p, err := request(r, a, true)
+	q, p, err := newRequest(r, a, true)
 	if err != nil {
 		return entry.Answer{}, err
 	}
@@ -143,8 +153,8 @@
 		return entry.Answer{}, withContext(ctx, err)
 	}
 	defer l.Close()
-	e.hearAnswer(r, a, p, sentAt)
-	if err := checkHead(r, a, p); err != nil {
+	e.observeResponse(r, a, p, sentAt)
+	if err := checkHeader(r, a, p); err != nil {
 		return entry.Answer{}, err
 	}
 	n, err := readStream(r, a, l, sink)
@@ -159,8 +169,8 @@
 
 const doneEvent = "[DONE]"
 
-// readStream passes events on until the stream's end marker. A stream that
-// stops before it, or of which no chunk had a finish_reason, is broken.
+// readStream passes each chunk to sink until the stream's end marker. It fails if the
+// stream ends before the marker or if no chunk had a finish_reason.
 func readStream(r *pool.Replica, a entry.Attempt, l *httpconn.Call, sink func([]byte) error) (entry.Answer, error) {
 	s := bufio.NewScanner(l.Body())
 	s.Buffer(make([]byte, 0, 4096), maxChunk)
@@ -176,35 +186,36 @@
 		if string(d) == doneEvent {
 			n.Text = t.String()
 			if !finished {
-				return n, broken(r, errors.New("stream ended without a finish_reason"))
+				return n, invalidResponse(r, errors.New("stream ended without a finish_reason"))
 			}
-			drain(s)
+			discardRest(s)
 			return n, s.Err()
 		}
-		var w wireChat
+		var w chatCompletion
 		if err := json.Unmarshal(d, &w); err != nil {
-			return n, broken(r, err)
+			return n, invalidResponse(r, err)
 		}
 		if w.Model != a.Version.String() || w.ID != a.ID {
-			return n, broken(r, errors.Newf("chunk is of model %q and request %q, asked %q and %q", w.Model, w.ID, a.Version, a.ID))
+			return n, invalidResponse(r, errors.Newf("chunk is of model %q and request %q, want %q and %q", w.Model, w.ID, a.Version, a.ID))
 		}
-		finished = finished || gather(w, &n, &t)
+		finished = finished || appendChunk(w, &n, &t)
 		if err := sink(d); err != nil {
 			return n, err
 		}
 	}
-	return n, outcome.New(outcome.Unknown, "stream", r.ID, errors.Wrap(cmp.Or(s.Err(), io.ErrUnexpectedEOF), "cut before its end"))
+	return n, outcome.New(outcome.Unknown, "stream", r.ID, errors.Wrap(cmp.Or(s.Err(), io.ErrUnexpectedEOF), "stream ended before its end marker"))
 }
 
-// drain reads what follows the end marker, so that the connection is clean.
-func drain(s *bufio.Scanner) {
+// discardRest reads the body after the end marker, so that the connection can be reused.
+func discardRest(s *bufio.Scanner) {
 	for s.Scan() {
 		continue
 	}
 }
 
-// gather adds a chunk to the answer and reports whether it was the last.
-func gather(w wireChat, n *entry.Answer, t *strings.Builder) bool {
+// appendChunk adds a chunk to the answer n and its text t, and reports whether the chunk
+// has a finish_reason.
+func appendChunk(w chatCompletion, n *entry.Answer, t *strings.Builder) bool {
 	if w.Usage != nil {
 		n.TokensIn, n.TokensOut = w.Usage.In, w.Usage.Out
 	}
@@ -215,11 +226,14 @@
 	return w.Choices[0].Finish != nil
 }
 
-func broken(r *pool.Replica, err error) error {
+// invalidResponse returns the error for a response that can't be used. The request may have
+// run.
+func invalidResponse(r *pool.Replica, err error) error {
 	return outcome.New(outcome.Unknown, stepAnswer, r.ID, err)
 }
 
-// withContext marks a failure that came of the request's own deadline.
+// withContext marks an outcome.Error with the context's error if ctx is done, so that
+// errors.Is finds a deadline or a cancellation of the request itself.
 func withContext(ctx context.Context, err error) error {
 	var o *outcome.Error
 	if err == nil || ctx.Err() == nil || !errors.As(err, &o) {
@@ -230,10 +244,10 @@
 	return &c
 }
 
-// request makes the engine's request out of the caller's: the model is
-// replaced by the version, all else is passed on.
-func request(r *pool.Replica, a entry.Attempt, stream bool) (*fasthttp.Request, *fasthttp.Response, error) {
-	b, err := rewrite(a, stream)
+// newRequest returns the request of an attempt to the engine r, and a response to fill. The
+// caller must release both.
+func newRequest(r *pool.Replica, a entry.Attempt, stream bool) (*fasthttp.Request, *fasthttp.Response, error) {
+	b, err := rewriteBody(a, stream)
 	if err != nil {
 		return nil, nil, outcome.New(outcome.NotRun, "request", r.ID, err)
 	}
@@ -251,14 +265,16 @@
 	return q, p, nil
 }
 
-func rewrite(a entry.Attempt, stream bool) ([]byte, error) {
+// rewriteBody returns the caller's request body with the model replaced by the attempt's
+// version and the stream fields set. All other fields stay unchanged.
+func rewriteBody(a entry.Attempt, stream bool) ([]byte, error) {
 	var m map[string]json.RawMessage
 	if err := json.Unmarshal(a.Body, &m); err != nil {
-		return nil, errors.Wrap(err, "backend.rewrite")
+		return nil, errors.Wrap(err, "backend: parse the request body")
 	}
 	v, err := json.Marshal(a.Version.String())
 	if err != nil {
-		return nil, errors.Wrap(err, "backend.rewrite")
+		return nil, errors.Wrap(err, "backend: encode the version")
 	}
 	m["model"] = v
 	if stream {
@@ -271,18 +287,21 @@
 	return json.Marshal(m)
 }
 
-// checkHead turns a status other than 200 into what is known by it, and
-// refuses the answer to another attempt.
-func checkHead(r *pool.Replica, a entry.Attempt, p *fasthttp.Response) error {
+// checkHeader returns an error if the response's status isn't 200 or if the response is to
+// another attempt.
+func checkHeader(r *pool.Replica, a entry.Attempt, p *fasthttp.Response) error {
 	if err := checkStatus(r, p, fasthttp.StatusOK, fasthttp.StatusOK); err != nil {
 		return err
 	}
 	if g := string(p.Header.Peek(HeaderAttempt)); g != a.ID {
-		return broken(r, errors.Newf("answer belongs to request %q, asked %q", g, a.ID))
+		return invalidResponse(r, errors.Newf("response belongs to request %q, want %q", g, a.ID))
 	}
 	return nil
 }
 
+// checkStatus returns an error if the response's status is not between from and to. The
+// outcome is NotRun if the backend server states that it did not start the request, else
+// Unknown. The error has the time of a Retry-After header, if any.
 func checkStatus(r *pool.Replica, p *fasthttp.Response, from, to int) error {
 	s := p.StatusCode()
 	if s >= from && s <= to {
@@ -292,7 +311,7 @@
 	if string(p.Header.Peek(HeaderNotRun)) == "true" {
 		e = outcome.New(outcome.NotRun, "refusal", r.ID, errors.Newf("status %d", s))
 	}
-	if t, err := notice.ParseRetryAfter(values(p, headerRetryAfter), time.Now()); err == nil {
+	if t, err := notice.ParseRetryAfter(headerValues(p, headerRetryAfter), time.Now()); err == nil {
 		e = e.WithRetryAt(t)
 	}
 	return e.WithStatus(s)
--- a/adapter/backend/limit.go
+++ b/adapter/backend/limit.go
@@ -10,63 +10,67 @@
 	"fieldvale/quota"
 )
 
-// HeaderLimit names how many requests a second a backend server takes from all instances
-// together, as a decimal number, for as long as its answers have it.
+// HeaderLimit is the number of requests per second, as a decimal number, that a backend
+// server accepts from all instances together. The limit holds as long as the server's
+// responses have the header.
 const HeaderLimit = "X-Requests-Per-Second"
 
-// Limits takes what backend servers say of how much they take.
-type Limits interface {
+// LimitObserver receives the rate limits that backend servers advertise.
+type LimitObserver interface {
 	Observe(service, replica string, w quota.LimitReport)
-	// Unreadable says that an answer names a limit that can't be read.
+	// Unreadable reports that a response has a HeaderLimit that can't be parsed.
 	Unreadable(replica string, err error)
 }
 
-// Headers by which a backend server says that it leaves, as a truth value, and with status 503
-// for how long it wants no request from this entry, in seconds or as a date of HTTP.
+// HeaderLeaving is a boolean by which a backend server advertises that it is draining.
+// headerRetryAfter, in a response with status 503, is for how long the server requests that
+// this entry sends it no request, in seconds or as an HTTP date.
 const (
 	HeaderLeaving    = "X-Leaving"
 	headerRetryAfter = "Retry-After"
 )
 
-// Notices takes what backend servers say of themselves.
-type Notices interface {
+// NoticeObserver receives the draining and backoff notices of backend servers.
+type NoticeObserver interface {
 	Observe(n notice.Notice)
-	// Unreadable says that a header of an answer has no meaning.
+	// Unreadable reports that the named header of a response can't be parsed.
 	Unreadable(replica, header string, err error)
 }
 
-// hearing are those who are told what answers say of their backend servers; each may be nil.
-type hearing struct {
-	limits  Limits
-	notices Notices
+// responseObservers receive the limits and notices in responses; each may be nil.
+type responseObservers struct {
+	limits  LimitObserver
+	notices NoticeObserver
 }
 
-// hear hands on what an answer to the request sent at that moment says.
-func (h hearing) hear(r *pool.Replica, request string, p *fasthttp.Response, sentAt time.Time) {
+// observe passes on the limit and the notice in the response to a request sent at sentAt.
+func (h responseObservers) observe(r *pool.Replica, request string, p *fasthttp.Response, sentAt time.Time) {
 	if h.limits != nil {
-		hearLimit(h.limits, r, p, sentAt)
+		observeLimit(h.limits, r, p, sentAt)
 	}
 	if h.notices != nil {
-		heed(h.notices, r, request, p, sentAt)
+		observeNotice(h.notices, r, request, p, sentAt)
 	}
 }
 
-func heed(l Notices, r *pool.Replica, request string, p *fasthttp.Response, sentAt time.Time) {
-	n := notice.Notice{Replica: r.ID, Service: r.Service, Request: request, Refused: refusal(p), SentAt: sentAt, ReceivedAt: time.Now()}
+// observeNotice passes on a response's draining flag and, with status 503, its requested
+// backoff.
+func observeNotice(l NoticeObserver, r *pool.Replica, request string, p *fasthttp.Response, sentAt time.Time) {
+	n := notice.Notice{Replica: r.ID, Service: r.Service, Request: request, Refused: isRefusal(p), SentAt: sentAt, ReceivedAt: time.Now()}
 	var err error
-	if n.Draining, err = notice.ParseDraining(values(p, HeaderLeaving)); err != nil {
+	if n.Draining, err = notice.ParseDraining(headerValues(p, HeaderLeaving)); err != nil {
 		l.Unreadable(r.ID, HeaderLeaving, err)
 	}
 	if p.StatusCode() == fasthttp.StatusServiceUnavailable {
-		if n.BackoffUntil, err = notice.ParseRetryAfter(values(p, headerRetryAfter), n.ReceivedAt); err != nil {
+		if n.BackoffUntil, err = notice.ParseRetryAfter(headerValues(p, headerRetryAfter), n.ReceivedAt); err != nil {
 			l.Unreadable(r.ID, headerRetryAfter, err)
 		}
 	}
 	l.Observe(n)
 }
 
-// values returns the header's values.
-func values(p *fasthttp.Response, header string) []string {
+// headerValues returns all values of the header.
+func headerValues(p *fasthttp.Response, header string) []string {
 	var l []string
 	for _, b := range p.Header.PeekAll(header) {
 		l = append(l, string(b))
@@ -74,14 +78,14 @@
 	return l
 }
 
-// hearLimit hands on what an answer says of its server's limit. One that turns the request
-// away can name a limit, but not end one.
-func hearLimit(l Limits, r *pool.Replica, p *fasthttp.Response, sentAt time.Time) {
-	w, err := quota.ParseLimitReport(values(p, HeaderLimit), sentAt, time.Now())
+// observeLimit passes on the rate limit in a response, or that it has none. A refusal without
+// the header is ignored: a refusal can set a limit, but can't end one.
+func observeLimit(l LimitObserver, r *pool.Replica, p *fasthttp.Response, sentAt time.Time) {
+	w, err := quota.ParseLimitReport(headerValues(p, HeaderLimit), sentAt, time.Now())
 	switch {
 	case err != nil:
 		l.Unreadable(r.ID, err)
-	case w.HasLimit || !refusal(p):
+	case w.HasLimit || !isRefusal(p):
 		l.Observe(r.Service, r.ID, w)
 	}
 }
--- a/adapter/backend/service.go
+++ b/adapter/backend/service.go
@@ -12,33 +12,35 @@
 	"fieldvale/pool"
 )
 
-// Services implements entry.Services.
+// Services is a client of plain services. It implements entry.Services.
 type Services struct {
 	http *httpconn.Client
-	hearing
+	responseObservers
 }
 
 var _ entry.Services = (*Services)(nil)
 
-// NewServices returns a client of plain services.
+// NewServices returns a client of plain services that sends its requests with c.
 func NewServices(c *httpconn.Client) *Services {
 	return &Services{http: c}
 }
 
-// WithLimits returns the client with l told what answers say of their backend servers.
-func (s Services) WithLimits(l Limits) *Services {
+// WithLimits returns a copy of the client that passes the rate limits in responses to l.
+func (s Services) WithLimits(l LimitObserver) *Services {
 	s.limits = l
 	return &s
 }
 
-// WithNotices returns the client with n told what answers say of their backend servers.
-func (s Services) WithNotices(n Notices) *Services {
+// WithNotices returns a copy of the client that passes the draining and backoff notices in
+// responses to n.
+func (s Services) WithNotices(n NoticeObserver) *Services {
 	s.notices = n
 	return &s
 }
 
-// Call implements entry.Services. Any answer below status 500 is the
-// service's own and is passed on.
+// Call implements entry.Services. Any response with a status below 500 that isn't a refusal
+// is the service's own answer and is returned. A call that may run only once is sent over a
+// new connection.
 func (s *Services) Call(ctx context.Context, r *pool.Replica, c entry.ServiceCall) (entry.ServiceAnswer, error) {
 	q, p := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
@@ -48,7 +50,7 @@
 	q.Header.SetContentType(c.ContentType)
 	q.Header.Set(HeaderDeadline, strconv.FormatInt(c.Deadline.UnixMilli(), 10))
 	if c.IdempotencyKey != "" {
-		q.Header.Set(HeaderKey, c.IdempotencyKey)
+		q.Header.Set(HeaderIdempotencyKey, c.IdempotencyKey)
 	}
 	q.SetBodyRaw(c.Body)
 	do := s.http.Do
@@ -59,8 +61,8 @@
 	if err := do(ctx, r.Addr, q, p); err != nil {
 		return entry.ServiceAnswer{}, withContext(ctx, err)
 	}
-	s.hear(r, c.IdempotencyKey, p, sentAt)
-	if p.StatusCode() >= fasthttp.StatusInternalServerError || refusal(p) {
+	s.observe(r, c.IdempotencyKey, p, sentAt)
+	if p.StatusCode() >= fasthttp.StatusInternalServerError || isRefusal(p) {
 		return entry.ServiceAnswer{}, checkStatus(r, p, 0, 0)
 	}
 	return entry.ServiceAnswer{
@@ -70,6 +72,7 @@
 	}, nil
 }
 
-func refusal(p *fasthttp.Response) bool {
+// isRefusal reports whether the backend server refused the request without starting it.
+func isRefusal(p *fasthttp.Response) bool {
 	return string(p.Header.Peek(HeaderNotRun)) == "true"
 }
--- a/adapter/exchange/exchange_test.go
+++ b/adapter/exchange/exchange_test.go
@@ -205,14 +205,14 @@
 			v, err := e.Next()
 			if err != nil {
 				if errors.Is(err, io.EOF) && !bytes.Equal(got, b) {
-					t.Fatalf("got events %q and io.EOF, want all of the body %q", got, b)
+					t.Fatalf("body %q: got io.EOF after events %q, want all of the body", b, got)
 				}
 				break
 			}
 			got = append(got, v.Data...)
 		}
 		if !bytes.HasPrefix(b, got) {
-			t.Fatalf("got events %q, want a prefix of the body %q", got, b)
+			t.Fatalf("body %q: got events %q, want a prefix of the body", b, got)
 		}
 	})
 }
