--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -167,7 +167,7 @@
 
 // A limit must be observed in every kind of response: complete ones, streams, errors and
 // refusals, of engines and of plain services. A response to another request must be ignored,
-// since it may come from another server, and a refusal without a limit must not end one.
+// and a refusal without a limit must not end one.
 func TestResponsesAdvertiseLimits(t *testing.T) {
 	for _, c := range []struct {
 		name, id, limit, want string
@@ -227,7 +227,7 @@
 }
 
 // Draining must be observed in every kind of response, and a requested backoff only with
-// status 503: with status 429, Retry-After is for the caller, not for the whole instance.
+// status 503. A response to another request must be ignored.
 func TestResponsesReportDrainingAndBackoff(t *testing.T) {
 	for _, c := range []struct {
 		name, id, draining, retryAfter, want string
--- a/adapter/caller/caller_test.go
+++ b/adapter/caller/caller_test.go
@@ -35,7 +35,8 @@
 	"fieldvale/version"
 )
 
-// newServer serves the example policy with one engine.
+// newServer starts a server with the example policy and one engine. It returns the server's
+// address, the engine and the server's view.
 func newServer(t testing.TB) (string, *engine.Engine, *entry.CurrentView) {
 	f, err := policyfile.ReadDir("../../examples/shared-memory")
 	if err != nil {
@@ -72,6 +73,7 @@
 	return n.Addr().String(), x, v
 }
 
+// listen serves h on a local port until the test ends.
 func listen(t testing.TB, h fasthttp.RequestHandler) *serve.Listener {
 	l, err := serve.On("127.0.0.1:0", h)
 	if err != nil {
@@ -81,8 +83,9 @@
 	return l
 }
 
-// Each file of testdata is a raw request with the status and code that must
-// come back. "@N" in it stands for N bytes.
+// An invalid request must get its status and error code, and must not stop the server. Each
+// file in the archive has the wanted status and code in its first line and then the request;
+// see expand.
 func TestBadInput(t *testing.T) {
 	addr, _, _ := newServer(t)
 	a, err := txtar.ParseFile("testdata/bad.txtar")
@@ -99,11 +102,12 @@
 		})
 	}
 	if p, err := http.Get("http://" + addr + "/readyz"); err != nil || p.StatusCode != 200 {
-		t.Errorf("not ready after bad input: %v", err)
+		t.Errorf("/readyz after bad input: got error %v or another status, want status 200", err)
 	}
 }
 
-// expand makes a raw request of its readable form.
+// expand returns the raw request for its readable form: "@N" becomes N bytes and "@KEY" a
+// header with a valid API key, and the Host and Content-Length headers are added.
 func expand(q string) []byte {
 	head, body, _ := strings.Cut(strings.TrimSuffix(q, "\n"), "\n\n")
 	for _, n := range []int{2_000_000, 20_000} {
@@ -117,6 +121,7 @@
 	return []byte(strings.ReplaceAll(head, "\n", "\r\n") + "\r\nHost: x\r\n\r\n" + body)
 }
 
+// exchange sends a raw request and returns the status and the code of the error response.
 func exchange(t *testing.T, addr string, q []byte) (int, string) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -133,11 +138,12 @@
 		Error struct{ Code, Type, Message string }
 	}
 	if err := json.Unmarshal(b, &w); err != nil || w.Error.Type == "" || w.Error.Message == "" {
-		t.Errorf("not an error of the API: %s", b)
+		t.Errorf("got body %s, want a JSON error with type and message", b)
 	}
 	return p.StatusCode, w.Error.Code
 }
 
+// post sends a chat request with a valid API key and returns the response and its body.
 func post(t *testing.T, addr string, body string, header map[string]string) (*http.Response, string) {
 	q, err := http.NewRequest("POST", "http://"+addr+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -159,43 +165,48 @@
 	return p, string(b)
 }
 
-func TestAnswerSaysWhatAnsweredAndSessionIsKept(t *testing.T) {
+// A response must state the request id, version and policy revision, and have a session token
+// that the next request can use. Without the token, a conversation could move to another
+// version.
+func TestResponseHeadersAndSession(t *testing.T) {
 	addr, _, v := newServer(t)
 	p, b := post(t, addr, `{"model":"auto","messages":[{"role":"user","content":"<m> hi"}]}`, map[string]string{"X-Request-Id": "mine"})
 	if p.StatusCode != 200 || !strings.Contains(b, `\u003cm\u003e lingua-`) {
-		t.Fatalf("%d %s", p.StatusCode, b)
+		t.Fatalf("got status %d and body %s, want status 200 and an answer of lingua that starts with <m>", p.StatusCode, b)
 	}
 	got := map[string]string{}
-	for _, h := range []string{caller.HeaderRequestID, caller.HeaderRevision, caller.HeaderVersion} {
+	for _, h := range []string{caller.HeaderRequestID, caller.HeaderPolicyRevision, caller.HeaderVersion} {
 		got[h] = p.Header.Get(h)
 	}
-	if d := cmp.Diff(map[string]string{caller.HeaderRequestID: "mine", caller.HeaderRevision: "7", caller.HeaderVersion: "1"}, got); d != "" {
-		t.Error(d)
+	if d := cmp.Diff(map[string]string{caller.HeaderRequestID: "mine", caller.HeaderPolicyRevision: "7", caller.HeaderVersion: "1"}, got); d != "" {
+		t.Errorf("headers (-want +got):\n%s", d)
 	}
 	s, err := v.Get().Active.Ring().Open(p.Header.Get(caller.HeaderSession), time.Now())
 	if err != nil || s.Customer != "skye-strings" || len(s.Pins) == 0 {
-		t.Errorf("session %+v, %v", s, err)
+		t.Errorf("got session %+v and error %v, want a session of skye-strings with pins and no error", s, err)
 	}
 }
 
-// A stream that breaks for good ends in an error event and has no end marker.
-func TestBrokenStreamIsNotPassedOffAsWhole(t *testing.T) {
+// A caller must not take a truncated stream for a complete answer: a stream that fails and
+// can't be resumed must end with an error event and without the end marker.
+func TestFailedStreamHasNoEndMarker(t *testing.T) {
 	addr, x, _ := newServer(t)
 	body := `{"model":"lingua-small","stream":true,"messages":[{"role":"user","content":"<m> hi"}]}`
 	_, whole := post(t, addr, body, nil)
 	if !strings.HasSuffix(whole, "data: [DONE]\n\n") {
-		t.Fatalf("a whole stream ends with %q", whole[max(0, len(whole)-80):])
+		t.Fatalf("complete stream: got end %q, want the end marker", whole[max(0, len(whole)-80):])
 	}
 	s := x.Faults.Get()
 	s.CutAfter = 3
 	x.Faults.Put(s)
 	_, cut := post(t, addr, body, nil)
 	if strings.Contains(cut, "[DONE]") || !strings.Contains(cut, `"error"`) || !strings.Contains(cut, `"run":"unknown"`) {
-		t.Errorf("a cut stream came as %q", cut)
+		t.Errorf("truncated stream: got %q, want an error event with run unknown and no end marker", cut)
 	}
 }
 
-func TestModelsAreThoseOfTheCustomer(t *testing.T) {
+// The list of models must hold only the versions that the policy allows the customer.
+func TestModelsOfCustomer(t *testing.T) {
 	addr, _, _ := newServer(t)
 	for key, want := range map[string]string{"skye-strings": "auto lingua-large@1 lingua-small@1 lingua-small@2", "galloway-gloss": "auto lingua-small@1 lingua-small@2"} {
 		q, _ := http.NewRequest("GET", "http://"+addr+"/v1/models", nil)
@@ -211,11 +222,12 @@
 			l = append(l, m.ID)
 		}
 		if g := strings.Join(l, " "); g != want {
-			t.Errorf("%s may use %q, want %q", key, g, want)
+			t.Errorf("models of %s: got %q, want %q", key, g, want)
 		}
 	}
 }
 
+// No body of a chat request may cause an internal error.
 func FuzzChat(f *testing.F) {
 	addr, _, _ := newServer(f)
 	b, err := os.ReadFile("testdata/bad.txtar")
@@ -234,7 +246,7 @@
 		_, _ = io.Copy(io.Discard, p.Body)
 		_ = p.Body.Close()
 		if p.StatusCode == 500 {
-			t.Errorf("internal fault on %q", body)
+			t.Errorf("body %q: got status 500, want any other", body)
 		}
 	})
 }
--- a/adapter/caller/chat.go
+++ b/adapter/caller/chat.go
@@ -15,19 +15,21 @@
 	"fieldvale/ring"
 )
 
-// bytesPerToken is the estimate by which a prompt's size class is found.
+// bytesPerToken estimates the number of a prompt's tokens, from which its size class
+// follows.
 const bytesPerToken = 4
 
-// wireChat is what is read of a chat request; all else is passed on.
-type wireChat struct {
+// chatRequest has the fields of a chat request that the router needs. The engine gets the
+// original body with all other fields.
+type chatRequest struct {
 	Model    string            `json:"model"`
 	Messages []json.RawMessage `json:"messages"`
 	Stream   bool              `json:"stream"`
 }
 
-// parseChat reads a chat request's body.
-func parseChat(b []byte) (wireChat, *apiError) {
-	var w wireChat
+// parseChat parses the body of a chat request.
+func parseChat(b []byte) (chatRequest, *apiError) {
+	var w chatRequest
 	if err := json.Unmarshal(b, &w); err != nil {
 		return w, invalid("body", "the body is not a chat request: "+err.Error())
 	}
@@ -37,6 +39,7 @@
 	return w, nil
 }
 
+// chat handles POST /v1/chat/completions.
 func (s *Server) chat(c *fasthttp.RequestCtx, k *call) *apiError {
 	w, e := parseChat(c.PostBody())
 	if e != nil {
@@ -58,7 +61,7 @@
 	}
 	a, r, err := s.router.Chat(context.Background(), q)
 	if err != nil {
-		return fromFailure(err)
+		return toAPIError(err)
 	}
 	s.setResult(c, r)
 	c.SetContentType("application/json")
@@ -66,119 +69,128 @@
 	return nil
 }
 
-// setResult tells the caller what answered.
+// setResult sets the response headers that state the model, version and policy revision of
+// the answer, and the session's token.
 func (s *Server) setResult(c *fasthttp.RequestCtx, r entry.Result) {
 	h := &c.Response.Header
 	h.Set(HeaderModel, r.Version.Model)
 	h.Set(HeaderVersion, r.Version.Name)
-	h.Set(HeaderRevision, strconv.FormatUint(r.Revision, 10))
+	h.Set(HeaderPolicyRevision, strconv.FormatUint(r.Revision, 10))
 	if t := s.view.Get().Active.Ring().Mint(r.Session); t != "" {
 		h.Set(HeaderSession, t)
 	}
 	if r.SessionMoved {
-		h.Set(HeaderMoved, "version-withdrawn")
+		h.Set(HeaderSessionMoved, "version-withdrawn")
 	}
 	if r.BelowTarget {
 		h.Set(HeaderBelowTarget, "true")
 	}
 }
 
-// chunkRing bounds the chunks between the engine's reader and the caller's
-// writer.
-const chunkRing = 64
+// maxBufferedChunks bounds the chunks that were read from the engine but not yet written to
+// the caller.
+const maxBufferedChunks = 64
 
-// pipe carries a stream from the router to the caller's connection.
+// pipe carries a stream from the router to the caller's connection. It implements
+// entry.Sink.
 type pipe struct {
-	head   chan entry.Result
+	// result receives what the router reports before the first chunk.
+	result chan entry.Result
 	chunks *ring.Ring[[]byte]
-	gone   context.Context
-	end    chan error
+	// ctx is done once the caller has closed the connection.
+	ctx context.Context
+	// done receives the stream's final error or nil.
+	done chan error
 }
 
 // Head implements entry.Sink.
 func (p *pipe) Head(r entry.Result) error {
-	p.head <- r
+	p.result <- r
 	return nil
 }
 
-var errGone = errors.New("caller closed the connection")
+var errCallerClosed = errors.New("caller closed the connection")
 
-// Chunk implements entry.Sink. It waits for room, so that a slow caller
-// slows its own stream only.
+// Chunk implements entry.Sink. It blocks while the buffer is full, so that a slow caller
+// slows down no stream but its own.
 func (p *pipe) Chunk(b []byte) error {
-	if !p.chunks.Put(p.gone, append([]byte(nil), b...)) {
-		return errGone
+	if !p.chunks.Put(p.ctx, append([]byte(nil), b...)) {
+		return errCallerClosed
 	}
 	return nil
 }
 
-// stream starts the router in a goroutine of its own and answers as soon as
-// it is known whether there will be a stream.
+// stream runs the router in a separate goroutine. It responds with an error if the router
+// fails before the stream starts, else it streams the chunks as the response body.
 func (s *Server) stream(c *fasthttp.RequestCtx, k *call, q entry.Request) *apiError {
 	x, cancel := context.WithCancel(context.Background())
-	p := &pipe{head: make(chan entry.Result, 1), chunks: ring.New[[]byte](chunkRing), gone: x, end: make(chan error, 1)}
-	go func() { p.end <- s.router.Stream(x, q, p) }()
+	p := &pipe{result: make(chan entry.Result, 1), chunks: ring.New[[]byte](maxBufferedChunks), ctx: x, done: make(chan error, 1)}
+	go func() { p.done <- s.router.Stream(x, q, p) }()
 	select {
-	case r := <-p.head:
+	case r := <-p.result:
 		s.setResult(c, r)
-	case err := <-p.end:
+	case err := <-p.done:
 		select {
-		case r := <-p.head:
+		case r := <-p.result:
 			s.setResult(c, r)
-			p.end <- err
+			p.done <- err
 		default:
 			cancel()
-			return fromFailure(err)
+			return toAPIError(err)
 		}
 	}
 	c.SetContentType("text/event-stream")
 	c.Response.Header.Set("Cache-Control", "no-cache")
 	c.SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer cancel()
-		s.write(w, p, k)
+		s.writeStream(w, p, k)
 	})
 	return nil
 }
 
-// write sends chunks as they come, and the end marker only after the router
-// said that the answer is whole.
-func (s *Server) write(w *bufio.Writer, p *pipe, k *call) {
+// writeStream writes chunks as they arrive, and the end marker only after the router reports
+// that the answer is complete.
+func (s *Server) writeStream(w *bufio.Writer, p *pipe, k *call) {
 	for {
 		select {
 		case b := <-p.chunks.Chan():
-			if !event(w, b) {
+			if !writeEvent(w, b) {
 				return
 			}
-		case err := <-p.end:
-			s.finish(w, p, err, k)
+		case err := <-p.done:
+			s.finishStream(w, p, err, k)
 			return
 		}
 	}
 }
 
-// event writes one event and reports whether the caller is still there.
-func event(w *bufio.Writer, b []byte) bool {
+// writeEvent writes one server-sent event and reports whether the caller's connection is
+// still open.
+func writeEvent(w *bufio.Writer, b []byte) bool {
 	_, _ = w.WriteString("data: ")
 	_, _ = w.Write(b)
 	_, _ = w.WriteString("\n\n")
 	return w.Flush() == nil
 }
 
-func (s *Server) finish(w *bufio.Writer, p *pipe, err error, k *call) {
-	for _, b := range p.chunks.Drain(chunkRing) {
-		if !event(w, b) {
+// finishStream writes the buffered chunks, and then the end marker or an error event.
+func (s *Server) finishStream(w *bufio.Writer, p *pipe, err error, k *call) {
+	for _, b := range p.chunks.Drain(maxBufferedChunks) {
+		if !writeEvent(w, b) {
 			return
 		}
 	}
 	if err == nil {
-		event(w, []byte("[DONE]"))
+		writeEvent(w, []byte("[DONE]"))
 		return
 	}
-	e := fromFailure(err)
+	e := toAPIError(err)
 	s.observe("stream_end", e.code, e.status, s.clock().Sub(k.started), k.id, k.caller.Customer.Name)
-	event(w, e.body(s.clock()))
+	writeEvent(w, e.body(s.clock()))
 }
 
+// models handles GET /v1/models. It lists the automatic choice and the versions that the
+// caller's customer may use.
 func (s *Server) models(c *fasthttp.RequestCtx, k *call) *apiError {
 	type model struct {
 		ID      string `json:"id"`
--- a/adapter/caller/errors.go
+++ b/adapter/caller/errors.go
@@ -12,7 +12,7 @@
 	"fieldvale/outcome"
 )
 
-// Kinds of error, as the OpenAI API names them.
+// Values of an error's type field in the OpenAI API.
 const (
 	invalidRequest = "invalid_request_error"
 	authentication = "authentication_error"
@@ -20,26 +20,29 @@
 	serverError    = "server_error"
 )
 
-// notRun is the word by which a refusal says that nothing was done.
+// notRun is the value of an error's run field if no part of the request was run.
 const notRun = "not_run"
 
-// apiError is an error in the API's own shape. run says whether the request
-// was run: "not_run", "unknown" or "ran".
+// apiError is an error of the caller API.
 type apiError struct {
 	status  int
 	code    string
 	kind    string
 	param   string
 	message string
+	// run states whether the request was run: "not_run", "unknown" or "ran".
 	run     string
 	retryAt time.Time
 }
 
+// invalid returns the error for a request that is rejected before it is routed.
 func invalid(param, message string) *apiError {
 	return &apiError{status: fasthttp.StatusBadRequest, code: "invalid_request", kind: invalidRequest, param: param, message: message, run: notRun}
 }
 
-type wireError struct {
+// errorBody is an error in the JSON form of the OpenAI API with the fields run and
+// retry_after_ms added.
+type errorBody struct {
 	Message      string  `json:"message"`
 	Type         string  `json:"type"`
 	Param        *string `json:"param"`
@@ -48,22 +51,24 @@
 	RetryAfterMs int64   `json:"retry_after_ms,omitempty"`
 }
 
+// body returns the error's response body.
 func (e apiError) body(now time.Time) []byte {
-	w := wireError{Message: e.message, Type: e.kind, Code: e.code, Run: e.run}
+	w := errorBody{Message: e.message, Type: e.kind, Code: e.code, Run: e.run}
 	if e.param != "" {
 		w.Param = &e.param
 	}
 	if !e.retryAt.IsZero() {
 		w.RetryAfterMs = max(1, e.retryAt.Sub(now).Milliseconds())
 	}
-	b, err := json.Marshal(map[string]wireError{"error": w})
+	b, err := json.Marshal(map[string]errorBody{"error": w})
 	if err != nil {
 		return []byte(`{"error":{"message":"internal fault","type":"server_error","code":"internal","param":null}}`)
 	}
 	return b
 }
 
-func (s *Server) fail(c *fasthttp.RequestCtx, e apiError) {
+// writeError sets the response to the error.
+func (s *Server) writeError(c *fasthttp.RequestCtx, e apiError) {
 	n := s.clock()
 	c.SetStatusCode(e.status)
 	c.SetContentType("application/json")
@@ -74,7 +79,7 @@
 	c.SetBody(e.body(n))
 }
 
-// statuses of failures that have one of their own.
+// statuses are the HTTP statuses of the router's failures.
 var statuses = map[entry.Code]int{
 	entry.NotReady:               fasthttp.StatusServiceUnavailable,
 	entry.ModelNotAllowed:        fasthttp.StatusForbidden,
@@ -90,8 +95,9 @@
 	entry.Quarantined:            fasthttp.StatusServiceUnavailable,
 }
 
-// fromFailure puts the router's last word in the API's shape.
-func fromFailure(err error) *apiError {
+// toAPIError converts the router's error to an error of the API. A request that failed at the
+// backend servers without having run gets status 503 instead of 502.
+func toAPIError(err error) *apiError {
 	var f *entry.Failure
 	if !errors.As(err, &f) {
 		return &apiError{status: fasthttp.StatusBadGateway, code: string(entry.BackendFailed), kind: serverError, message: err.Error(), run: outcome.Of(err).String()}
@@ -109,8 +115,8 @@
 	return e
 }
 
-// badRequest answers what fasthttp could not read.
-func (s *Server) badRequest(c *fasthttp.RequestCtx, err error) {
+// handleReadError responds to a request that fasthttp failed to read.
+func (s *Server) handleReadError(c *fasthttp.RequestCtx, err error) {
 	var b *fasthttp.ErrSmallBuffer
 	var t interface{ Timeout() bool }
 	e := invalid("", "the request can't be read: "+err.Error())
@@ -122,6 +128,6 @@
 	case errors.As(err, &t) && t.Timeout():
 		e.status, e.code, e.message = fasthttp.StatusRequestTimeout, "request_timeout", "the request did not come in time"
 	}
-	s.fail(c, *e)
+	s.writeError(c, *e)
 	s.observe("unread", e.code, e.status, 0, "", "")
 }
--- a/adapter/caller/server.go
+++ b/adapter/caller/server.go
@@ -1,5 +1,5 @@
-// Package caller serves the API to callers: chat completions in the form of
-// the OpenAI API, the list of models, and plain services.
+// Package caller serves the HTTP API for callers: chat completions and the list of models
+// in the form of the OpenAI API, and calls of plain services.
 package caller
 
 import (
@@ -21,23 +21,23 @@
 	"fieldvale/session"
 )
 
-// Headers of the API beside those of HTTP and OpenAI.
+// Headers of the API in addition to those of HTTP and of the OpenAI API.
 const (
-	HeaderRequestID   = "X-Request-Id"
-	HeaderTask        = "X-Fieldvale-Task"
-	HeaderTimeout     = "X-Fieldvale-Timeout-Ms"
-	HeaderSession     = "X-Fieldvale-Session"
-	HeaderMoved       = "X-Fieldvale-Session-Moved"
-	HeaderModel       = "X-Fieldvale-Model"
-	HeaderVersion     = "X-Fieldvale-Version"
-	HeaderRevision    = "X-Fieldvale-Policy-Revision"
-	HeaderBelowTarget = "X-Fieldvale-Below-Target"
-	HeaderOnce        = "X-Fieldvale-Once"
-	HeaderReplayed    = "X-Fieldvale-Replayed"
-	HeaderKey         = "Idempotency-Key"
+	HeaderRequestID      = "X-Request-Id"
+	HeaderTask           = "X-Fieldvale-Task"
+	HeaderTimeout        = "X-Fieldvale-Timeout-Ms"
+	HeaderSession        = "X-Fieldvale-Session"
+	HeaderSessionMoved   = "X-Fieldvale-Session-Moved"
+	HeaderModel          = "X-Fieldvale-Model"
+	HeaderVersion        = "X-Fieldvale-Version"
+	HeaderPolicyRevision = "X-Fieldvale-Policy-Revision"
+	HeaderBelowTarget    = "X-Fieldvale-Below-Target"
+	HeaderOnce           = "X-Fieldvale-Once"
+	HeaderReplayed       = "X-Fieldvale-Replayed"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// Limits of what is read from a caller.
+// Limits on requests and connections of callers.
 const (
 	maxBody      = 1 << 20
 	maxHeaders   = 16 << 10
@@ -45,16 +45,17 @@
 	idleTimeout  = 60 * time.Second
 	writeTimeout = 30 * time.Second
 	maxIDLength  = 128
-	// maxTimeout bounds the time that a caller may ask for.
+	// maxTimeout bounds the timeout that a caller may set for its request.
 	maxTimeout = 10 * time.Minute
-	// sessionLife is how long a token is honoured after its last use.
-	sessionLife = 24 * time.Hour
+	// sessionTTL is how long a session's token is valid after its last use.
+	sessionTTL = 24 * time.Hour
 )
 
-// Observer is told of each answered request.
+// Observer is called for each request that was handled or couldn't be read, and for each
+// stream that ends with an error.
 type Observer func(path, code string, status int, took time.Duration, requestID, customer string)
 
-// Server is the caller API of one entry.
+// Server serves the caller API of one entry.
 type Server struct {
 	router  *entry.Router
 	view    *entry.CurrentView
@@ -64,12 +65,12 @@
 	http    *fasthttp.Server
 }
 
-// New returns a server; it is not ready until SetReady.
+// New returns a server that is not ready until SetReady(true).
 func New(r *entry.Router, v *entry.CurrentView, c entry.Clock, o Observer) *Server {
 	s := &Server{router: r, view: v, clock: c, observe: o}
 	s.http = &fasthttp.Server{
 		Handler:                      s.handle,
-		ErrorHandler:                 s.badRequest,
+		ErrorHandler:                 s.handleReadError,
 		MaxRequestBodySize:           maxBody,
 		ReadBufferSize:               maxHeaders,
 		ReadTimeout:                  readTimeout,
@@ -78,20 +79,20 @@
 		CloseOnShutdown:              true,
 		NoDefaultServerHeader:        true,
 		DisablePreParseMultipartForm: true,
-		Logger:                       quiet{},
+		Logger:                       discardLogger{},
 	}
 	return s
 }
 
-// quiet keeps fasthttp from writing lines of its own.
-type quiet struct{}
+// discardLogger drops fasthttp's log lines.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// SetReady says whether the balancer should send requests here.
+// SetReady sets whether /readyz reports that the load balancer may send requests here.
 func (s *Server) SetReady(b bool) { s.ready.Store(b) }
 
-// Serve answers callers on the listener until Shutdown; with TLS if t is set.
+// Serve serves callers on the listener until Shutdown. It uses TLS if t is not nil.
 func (s *Server) Serve(l net.Listener, t *tls.Config) error {
 	if t != nil {
 		l = tls.NewListener(l, t)
@@ -99,17 +100,17 @@
 	return errors.Wrap(s.http.Serve(l), "caller.Serve")
 }
 
-// Shutdown stops taking connections and waits until all requests, streams
-// too, have their answers.
+// Shutdown stops accepting connections and waits until the responses to all requests, streams
+// included, are complete or ctx is done.
 func (s *Server) Shutdown(ctx context.Context) error {
 	return errors.Wrap(s.http.ShutdownWithContext(ctx), "caller.Shutdown")
 }
 
-// servicePrefix is followed by the service and the call.
+// servicePrefix is the start of the path /v1/services/SERVICE/CALL.
 const servicePrefix = "/v1/services/"
 
 func (s *Server) handle(c *fasthttp.RequestCtx) {
-	defer s.recover(c)
+	defer s.recoverPanic(c)
 	p := string(c.Path())
 	switch {
 	case p == "/healthz":
@@ -117,24 +118,26 @@
 	case p == "/readyz":
 		s.readiness(c)
 	case p == "/v1/chat/completions" && c.IsPost():
-		s.timed(c, "chat", s.chat)
+		s.serveCall(c, "chat", s.chat)
 	case p == "/v1/models" && c.IsGet():
-		s.timed(c, "models", s.models)
+		s.serveCall(c, "models", s.models)
 	case strings.HasPrefix(p, servicePrefix) && c.IsPost():
-		s.timed(c, "service", s.service)
+		s.serveCall(c, "service", s.service)
 	default:
-		s.fail(c, apiError{status: fasthttp.StatusNotFound, code: "not_found", kind: invalidRequest, message: "no such path or method: " + string(c.Method()) + " " + p})
+		s.writeError(c, apiError{status: fasthttp.StatusNotFound, code: "not_found", kind: invalidRequest, message: "no such path or method: " + string(c.Method()) + " " + p})
 	}
 }
 
-// recover turns a fault of the server itself into an error of the API.
-func (s *Server) recover(c *fasthttp.RequestCtx) {
+// recoverPanic responds to a request whose handler panicked with an internal error.
+func (s *Server) recoverPanic(c *fasthttp.RequestCtx) {
 	if x := recover(); x != nil {
-		s.fail(c, apiError{status: fasthttp.StatusInternalServerError, code: "internal", kind: serverError, message: "internal fault"})
+		s.writeError(c, apiError{status: fasthttp.StatusInternalServerError, code: "internal", kind: serverError, message: "internal fault"})
 		s.observe("panic", "internal", fasthttp.StatusInternalServerError, 0, "", "")
 	}
 }
 
+// readiness handles /readyz. The server is ready after SetReady(true) if a configuration is
+// in force.
 func (s *Server) readiness(c *fasthttp.RequestCtx) {
 	if !s.ready.Load() || s.view.Get().Active == nil {
 		c.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -144,7 +147,7 @@
 	c.SetBodyString("ready\n")
 }
 
-// call is one authenticated request.
+// call is the state of one request.
 type call struct {
 	id       string
 	caller   config.Caller
@@ -153,8 +156,9 @@
 	deadline time.Time
 }
 
-// timed authenticates and measures a request.
-func (s *Server) timed(c *fasthttp.RequestCtx, path string, f func(*fasthttp.RequestCtx, *call) *apiError) {
+// serveCall authenticates a request, runs its handler f, and reports the result and duration
+// to the observer.
+func (s *Server) serveCall(c *fasthttp.RequestCtx, path string, f func(*fasthttp.RequestCtx, *call) *apiError) {
 	k := &call{started: s.clock(), id: requestID(c)}
 	c.Response.Header.Set(HeaderRequestID, k.id)
 	e := s.authenticate(c, k)
@@ -164,12 +168,13 @@
 	code := "ok"
 	if e != nil {
 		code = e.code
-		s.fail(c, *e)
+		s.writeError(c, *e)
 	}
 	s.observe(path, code, c.Response.StatusCode(), s.clock().Sub(k.started), k.id, k.caller.Customer.Name)
 }
 
-// requestID is the caller's own id if it gave a usable one.
+// requestID returns the caller's request id if it is valid, else a new one. An id with
+// biller.MintedPrefix is not valid, since the prefix marks generated ids.
 func requestID(c *fasthttp.RequestCtx) string {
 	id := string(c.Request.Header.Peek(HeaderRequestID))
 	if id == "" || len(id) > maxIDLength || !printable(id) || strings.HasPrefix(id, biller.MintedPrefix) {
@@ -178,6 +183,7 @@
 	return id
 }
 
+// printable reports whether s is printable ASCII without spaces.
 func printable(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
@@ -187,6 +193,7 @@
 	return true
 }
 
+// authenticate sets the call's configuration, and its caller from the API key.
 func (s *Server) authenticate(c *fasthttp.RequestCtx, k *call) *apiError {
 	k.active = s.view.Get().Active
 	if k.active == nil {
@@ -202,7 +209,8 @@
 	return nil
 }
 
-// setDeadline takes the caller's time or else the task's allowance.
+// setDeadline sets the call's deadline from the caller's timeout header, or else from the
+// task's allowance.
 func (s *Server) setDeadline(c *fasthttp.RequestCtx, k *call, task string) *apiError {
 	t := string(c.Request.Header.Peek(HeaderTimeout))
 	if t == "" {
@@ -218,16 +226,16 @@
 	return nil
 }
 
-// session opens the caller's token. One that can't be honoured is no error:
-// the caller gets a new session.
+// session returns the session of the caller's token with a renewed expiry. Without a token, or
+// if it is invalid, expired or another customer's, it returns a new session and no error.
 func (s *Server) session(c *fasthttp.RequestCtx, k *call) session.Session {
 	t := string(c.Request.Header.Peek(HeaderSession))
 	if t != "" {
 		x, err := k.active.Ring().Open(t, k.started)
 		if err == nil && x.Customer == k.caller.Customer.Name {
-			x.Expires = k.started.Add(sessionLife)
+			x.Expires = k.started.Add(sessionTTL)
 			return x
 		}
 	}
-	return session.New(uuid.NewString(), k.caller.Customer.Name, k.started.Add(sessionLife))
+	return session.New(uuid.NewString(), k.caller.Customer.Name, k.started.Add(sessionTTL))
 }
--- a/adapter/caller/service.go
+++ b/adapter/caller/service.go
@@ -11,7 +11,7 @@
 	"fieldvale/entry"
 )
 
-// service answers POST /v1/services/SERVICE/CALL.
+// service handles POST /v1/services/SERVICE/CALL.
 func (s *Server) service(c *fasthttp.RequestCtx, k *call) *apiError {
 	n, f, ok := strings.Cut(strings.TrimPrefix(string(c.Path()), servicePrefix), "/")
 	if !ok || n == "" || f == "" || strings.Contains(f, "/") {
@@ -24,9 +24,9 @@
 	if e := s.setDeadline(c, k, t); e != nil {
 		return e
 	}
-	key := string(c.Request.Header.Peek(HeaderKey))
+	key := string(c.Request.Header.Peek(HeaderIdempotencyKey))
 	if len(key) > maxIDLength || !printable(key) || strings.Contains(key, "/") {
-		return invalid(HeaderKey, HeaderKey+" may hold up to 128 printable characters without '/'")
+		return invalid(HeaderIdempotencyKey, HeaderIdempotencyKey+" may hold up to 128 printable characters without '/'")
 	}
 	r, err := s.router.Call(context.Background(), entry.ServiceRequest{
 		ID: k.id, Caller: k.caller, Service: n, Call: f, Body: append([]byte(nil), c.PostBody()...),
@@ -34,9 +34,9 @@
 		Once: string(c.Request.Header.Peek(HeaderOnce)) == "true", Deadline: k.deadline,
 	})
 	if err != nil {
-		return fromFailure(err)
+		return toAPIError(err)
 	}
-	c.Response.Header.Set(HeaderRevision, strconv.FormatUint(r.Revision, 10))
+	c.Response.Header.Set(HeaderPolicyRevision, strconv.FormatUint(r.Revision, 10))
 	if r.Replayed {
 		c.Response.Header.Set(HeaderReplayed, "true")
 	}
