--- a/adapter/rpc/admin.go
+++ b/adapter/rpc/admin.go
@@ -22,84 +22,92 @@
 	"fieldvale/version"
 )
 
-// Role is what a key of the administration API may do.
+// Role defines what the holder of an administration key may do.
 type Role string
 
-// The roles. A viewer reads its team's part, an operator changes it, and a
-// platform key does both for all teams and rotates the session keys.
+// The roles. A viewer may read its team's part of the configuration, and an operator may also
+// change it. A platform key may do both for all teams and rotate the session keys.
 const (
 	Viewer   Role = "viewer"
 	Operator Role = "operator"
 	Platform Role = "platform"
 )
 
-// Admin is a person or program with a key.
+// Admin is a person or program with an administration key.
 type Admin struct {
-	Name    string
-	Team    string
-	Role    Role
+	Name string
+	Team string
+	Role Role
+	// KeyHash is the hex SHA-256 sum of the key.
 	KeyHash string
 }
 
-// sees reports whether the admin may read the team's part.
-func (a Admin) sees(team string) bool {
+// mayRead reports whether the admin may read the team's part of the configuration.
+func (a Admin) mayRead(team string) bool {
 	return a.Role == Platform || a.Team == team
 }
 
-// changes reports whether the admin may change the team's part.
-func (a Admin) changes(team string) bool {
+// mayChange reports whether the admin may change the team's part of the configuration.
+func (a Admin) mayChange(team string) bool {
 	return a.Role == Platform || a.Role == Operator && a.Team == team
 }
 
-type adminKey struct{}
+// adminContextKey is the context key of a request's Admin.
+type adminContextKey struct{}
 
-// AdminHandler serves the administration API to the holders of keys.
+// AdminHandler serves the administration API to the given admins.
 func AdminHandler(n *control.Node, admins []Admin) http.Handler {
 	m := http.NewServeMux()
-	m.Handle(fieldvalev1connect.NewAdminHandler(adminServer{n}, connect.WithReadMaxBytes(maxPeerMessage)))
+	m.Handle(fieldvalev1connect.NewAdminHandler(adminServer{n}, connect.WithReadMaxBytes(maxMessage)))
 	return authenticate(admins, m)
 }
 
+// authenticate passes requests with a valid administration key to h, with the Admin in their
+// context, and responds with status 401 to all others.
 func authenticate(admins []Admin, h http.Handler) http.Handler {
-	by := map[string]Admin{}
+	byKeyHash := map[string]Admin{}
 	for _, a := range admins {
-		by[a.KeyHash] = a
+		byKeyHash[a.KeyHash] = a
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		k, ok := strings.CutPrefix(q.Header.Get("Authorization"), "Bearer ")
-		a, known := by[catalog.HashKey(k)]
+		a, known := byKeyHash[catalog.HashKey(k)]
 		if !ok || !known {
 			http.Error(w, "administration key is missing or wrong", http.StatusUnauthorized)
 			return
 		}
-		h.ServeHTTP(w, q.WithContext(context.WithValue(q.Context(), adminKey{}, a)))
+		h.ServeHTTP(w, q.WithContext(context.WithValue(q.Context(), adminContextKey{}, a)))
 	})
 }
 
-// adminServer serves operators.
+// adminServer implements the Admin service.
 type adminServer struct {
 	node *control.Node
 }
 
-func who(ctx context.Context) Admin {
-	a, _ := ctx.Value(adminKey{}).(Admin)
+// adminFrom returns the admin that authenticate stored in the context.
+func adminFrom(ctx context.Context) Admin {
+	a, _ := ctx.Value(adminContextKey{}).(Admin)
 	return a
 }
 
-func denied(a Admin, what, team string) error {
-	return connect.NewError(connect.CodePermissionDenied, errors.Newf("%s (%s of team %q) may not %s team %q", a.Name, a.Role, a.Team, what, team))
+// permissionDenied returns the error for an admin that may not perform the action on the team.
+func permissionDenied(a Admin, action, team string) error {
+	return connect.NewError(connect.CodePermissionDenied, errors.Newf("%s (%s of team %q) may not %s team %q", a.Name, a.Role, a.Team, action, team))
 }
 
-// inForceWait is how long an answer to a change waits for all instances.
-const inForceWait = 3 * time.Second
+// inForceTimeout bounds how long the response to a change waits until all instances have the
+// change in force.
+const inForceTimeout = 3 * time.Second
 
-// inForcePoll is between looks at who has a change in force.
-const inForcePoll = 50 * time.Millisecond
+// inForceInterval is the pause between two checks of which instances have a change in force.
+const inForceInterval = 50 * time.Millisecond
 
+// Change applies a change and reports which instances have it in force.
 func (s adminServer) Change(ctx context.Context, q *fieldvalev1.ChangeRequest) (*fieldvalev1.ChangeResponse, error) {
-	a := who(ctx)
-	if !a.changes(q.Team) || q.Action == string(audit.RotateKeys) && a.Role != Platform {
-		return nil, denied(a, "change", q.Team)
+	a := adminFrom(ctx)
+	if !a.mayChange(q.Team) || q.Action == string(audit.RotateKeys) && a.Role != Platform {
+		return nil, permissionDenied(a, "change", q.Team)
 	}
 	c, err := s.changeFromWire(a, q)
 	if err != nil {
@@ -114,6 +122,8 @@
 	return w, nil
 }
 
+// changeError adds the RPC code to an error of a change: Aborted on a conflict with another
+// change, Unavailable if the store can't be used, else InvalidArgument.
 func changeError(err error) error {
 	switch {
 	case errors.Is(err, config.ErrConflict):
@@ -124,10 +134,11 @@
 	return connect.NewError(connect.CodeInvalidArgument, err)
 }
 
+// changeFromWire converts and checks a request for a change.
 func (s adminServer) changeFromWire(a Admin, q *fieldvalev1.ChangeRequest) (config.Change, error) {
 	c := config.Change{ID: q.Id, Team: q.Team, Who: a.Name, Why: q.Why, At: time.Now(), Action: audit.Action(q.Action), Base: q.Base}
 	if q.Id == "" {
-		return c, errors.New("a change needs an id")
+		return c, errors.New("change has no id")
 	}
 	if q.AnyBase {
 		c.Base = config.AnyBase
@@ -151,7 +162,7 @@
 	case audit.RotateKeys:
 		c.Key = session.NewKey()
 	default:
-		err = errors.Newf("action %q is not one that operators may ask for", q.Action)
+		err = errors.Newf("action %q can't be requested through the administration API", q.Action)
 	}
 	return c, err
 }
@@ -172,40 +183,45 @@
 	return rollout.New(f, t, s, time.Now(), time.Duration(q.EveryMillis)*time.Millisecond)
 }
 
-// awaitInForce waits until the entries of all live instances have the
-// revision, or inForceWait has passed, and returns who has it and who not.
-func (s adminServer) awaitInForce(ctx context.Context, revision uint64) (have, lack []string) {
-	d := time.Now().Add(inForceWait)
+// awaitInForce waits until the entries of all live instances have the revision in force, or
+// until inForceTimeout. It returns the ids of the instances that have it and of those that
+// don't.
+func (s adminServer) awaitInForce(ctx context.Context, revision uint64) (current, behind []string) {
+	d := time.Now().Add(inForceTimeout)
 	for {
-		have, lack = s.inForce(revision)
-		if len(lack) == 0 || !time.Now().Before(d) || ctx.Err() != nil {
-			return have, lack
+		current, behind = s.inForce(revision)
+		if len(behind) == 0 || !time.Now().Before(d) || ctx.Err() != nil {
+			return current, behind
 		}
-		time.Sleep(inForcePoll)
+		time.Sleep(inForceInterval)
 	}
 }
 
-func (s adminServer) inForce(revision uint64) (have, lack []string) {
+// inForce returns the ids of the live instances whose entry has the revision, and of the
+// others.
+func (s adminServer) inForce(revision uint64) (current, behind []string) {
 	for _, h := range s.node.Instances() {
 		if h.EntryRevision >= revision {
-			have = append(have, h.ID)
+			current = append(current, h.ID)
 			continue
 		}
-		lack = append(lack, h.ID)
+		behind = append(behind, h.ID)
 	}
-	return have, lack
+	return current, behind
 }
 
+// GetPolicy returns a team's part of the configuration in force, or the policy files that the
+// team had accepted at an earlier revision.
 func (s adminServer) GetPolicy(ctx context.Context, q *fieldvalev1.GetPolicyRequest) (*fieldvalev1.GetPolicyResponse, error) {
-	if a := who(ctx); !a.sees(q.Team) {
-		return nil, denied(a, "read", q.Team)
+	if a := adminFrom(ctx); !a.mayRead(q.Team) {
+		return nil, permissionDenied(a, "read", q.Team)
 	}
 	if q.Revision != 0 {
-		return s.oldPolicy(ctx, q)
+		return s.policyAt(ctx, q)
 	}
 	d, _ := s.node.Document()
 	p := d.Part(q.Team)
-	w := &fieldvalev1.GetPolicyResponse{Team: q.Team, Revision: p.Revision, DocumentRevision: d.Revision, Files: p.Source.Files, Withdrawn: versionTexts(p.Withdrawn)}
+	w := &fieldvalev1.GetPolicyResponse{Team: q.Team, Revision: p.Revision, DocumentRevision: d.Revision, Files: p.Source.Files, Withdrawn: versionStrings(p.Withdrawn)}
 	for _, r := range p.Rollouts {
 		w.Rollouts = append(w.Rollouts, rolloutToWire(r))
 	}
@@ -223,17 +239,19 @@
 	return w
 }
 
-func (s adminServer) oldPolicy(ctx context.Context, q *fieldvalev1.GetPolicyRequest) (*fieldvalev1.GetPolicyResponse, error) {
+// policyAt returns the policy files that the team's change at the revision accepted.
+func (s adminServer) policyAt(ctx context.Context, q *fieldvalev1.GetPolicyRequest) (*fieldvalev1.GetPolicyResponse, error) {
 	e, f, err := s.node.PolicyAt(ctx, q.Revision)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeNotFound, err)
 	}
 	if e.Team != q.Team || e.Action != audit.Accept {
-		return nil, connect.NewError(connect.CodeNotFound, errors.Newf("revision %d accepted no policy of team %s", q.Revision, q.Team))
+		return nil, connect.NewError(connect.CodeNotFound, errors.Newf("revision %d did not accept a policy of team %s", q.Revision, q.Team))
 	}
 	return &fieldvalev1.GetPolicyResponse{Team: e.Team, Revision: e.Revision, Files: f}, nil
 }
 
+// Status returns the state of all live instances and replicas that this one has records of.
 func (s adminServer) Status(context.Context, *fieldvalev1.StatusRequest) (*fieldvalev1.StatusResponse, error) {
 	d, _ := s.node.Document()
 	w := &fieldvalev1.StatusResponse{Revision: d.Revision}
@@ -249,17 +267,18 @@
 	}
 	for _, r := range s.node.Replicas() {
 		w.Replicas = append(w.Replicas, &fieldvalev1.ReplicaStatus{
-			Id: r.ID, DataCentre: r.DataCentre, Kind: string(r.Kind), Service: r.Service, Versions: versionTexts(r.Versions),
+			Id: r.ID, DataCentre: r.DataCentre, Kind: string(r.Kind), Service: r.Service, Versions: versionStrings(r.Versions),
 			Leaving: r.Draining, Running: int32(r.Load.Running), Waiting: int32(r.Load.Waiting),
 		})
 	}
 	return w, nil
 }
 
+// Audit returns the audit log's entries of a team.
 func (s adminServer) Audit(ctx context.Context, q *fieldvalev1.AuditRequest) (*fieldvalev1.AuditResponse, error) {
-	a := who(ctx)
-	if !a.sees(q.Team) {
-		return nil, denied(a, "read", q.Team)
+	a := adminFrom(ctx)
+	if !a.mayRead(q.Team) {
+		return nil, permissionDenied(a, "read", q.Team)
 	}
 	l, err := s.node.Audit(ctx, q.Team, int(q.Limit))
 	if err != nil {
@@ -275,10 +294,11 @@
 	return w, nil
 }
 
+// Bills returns the sums of a team's bills.
 func (s adminServer) Bills(ctx context.Context, q *fieldvalev1.BillsRequest) (*fieldvalev1.BillsResponse, error) {
-	a := who(ctx)
-	if !a.sees(q.Team) {
-		return nil, denied(a, "read", q.Team)
+	a := adminFrom(ctx)
+	if !a.mayRead(q.Team) {
+		return nil, permissionDenied(a, "read", q.Team)
 	}
 	m, err := s.node.Bills(ctx, q.Team)
 	if err != nil {
--- a/adapter/rpc/local.go
+++ b/adapter/rpc/local.go
@@ -16,11 +16,13 @@
 	"fieldvale/store"
 )
 
-// localServer serves a node to the entry beside it.
+// localServer implements the Local service of a control process for the entry on the same
+// host.
 type localServer struct {
 	node *control.Node
 }
 
+// Sync takes the entry's report and returns the changes that the entry does not have yet.
 func (s localServer) Sync(_ context.Context, q *fieldvalev1.SyncRequest) (*fieldvalev1.SyncResponse, error) {
 	l, err := ledgerFromWire(q.Ledger)
 	if err != nil {
@@ -41,7 +43,7 @@
 	if !u.Fresh {
 		return w
 	}
-	w.View = &fieldvalev1.View{Tripped: versionTexts(u.Tripped), StoreOk: u.StoreOK}
+	w.View = &fieldvalev1.View{Tripped: versionStrings(u.Tripped), StoreOk: u.StoreOK}
 	for _, r := range u.Replicas {
 		w.View.Replicas = append(w.View.Replicas, replicaToWire(r))
 	}
@@ -51,6 +53,7 @@
 	return w
 }
 
+// Claim claims an idempotency key for the entry. Any failure is returned as Unavailable.
 func (s localServer) Claim(ctx context.Context, q *fieldvalev1.ClaimRequest) (*fieldvalev1.ClaimResponse, error) {
 	c := claim.Claim{Customer: q.Customer, Key: q.Key, Nonce: q.Nonce, Holder: s.node.Self.ID, Deadline: timeFromWire(q.Deadline), State: claim.Held}
 	v, f, err := s.node.Claim(ctx, c)
@@ -60,6 +63,7 @@
 	return &fieldvalev1.ClaimResponse{Verdict: int32(v), Status: int32(f.Status), Answer: f.Answer}, nil
 }
 
+// FinishClaim records the answer of a request that ran, or frees the key of one that didn't.
 func (s localServer) FinishClaim(ctx context.Context, q *fieldvalev1.FinishClaimRequest) (*fieldvalev1.FinishClaimResponse, error) {
 	c := claim.Claim{Customer: q.Customer, Key: q.Key, Nonce: q.Nonce, Holder: s.node.Self.ID, Deadline: timeFromWire(q.Deadline)}
 	if q.Ran {
@@ -73,7 +77,7 @@
 	return &fieldvalev1.FinishClaimResponse{Recorded: true}, nil
 }
 
-// Local is an entry's way to the control process beside it.
+// Local is an entry's client of the control process on the same host.
 type Local struct {
 	c fieldvalev1connect.LocalClient
 }
@@ -82,10 +86,10 @@
 
 // NewLocal returns a client of the control process at addr.
 func NewLocal(addr, key string) *Local {
-	return &Local{c: fieldvalev1connect.NewLocalClient(keyed(key), "http://"+addr)}
+	return &Local{c: fieldvalev1connect.NewLocalClient(newKeyedClient(key), "http://"+addr)}
 }
 
-// Sync swaps the entry's report for what is new to it.
+// Sync sends the entry's report and returns the changes that the entry does not have yet.
 func (l *Local) Sync(ctx context.Context, r control.Report) (control.Update, error) {
 	q := &fieldvalev1.SyncRequest{
 		Incarnation: r.Incarnation, Revision: r.Revision, ViewVersion: r.View, Control: r.Control,
@@ -96,7 +100,7 @@
 	}
 	w, err := l.c.Sync(ctx, q)
 	if err != nil {
-		return control.Update{}, errors.Wrap(err, "rpc.Sync")
+		return control.Update{}, errors.Wrap(err, "rpc: sync with the control process")
 	}
 	return updateFromWire(w), nil
 }
@@ -121,10 +125,10 @@
 func (l *Local) Claim(ctx context.Context, c claim.Claim) (claim.Verdict, claim.Claim, error) {
 	w, err := l.c.Claim(ctx, &fieldvalev1.ClaimRequest{Customer: c.Customer, Key: c.Key, Nonce: c.Nonce, Deadline: timeToWire(c.Deadline)})
 	if err != nil {
-		return claim.MayHaveRun, c, errors.Wrap(err, "rpc.Claim")
+		return claim.MayHaveRun, c, errors.Wrap(err, "rpc: claim")
 	}
 	if w.Unavailable {
-		return claim.MayHaveRun, c, errors.Wrap(store.ErrUnavailable, "rpc.Claim")
+		return claim.MayHaveRun, c, errors.Wrap(store.ErrUnavailable, "rpc: claim")
 	}
 	c.Status, c.Answer = int(w.Status), w.Answer
 	return claim.Verdict(w.Verdict), c, nil
@@ -136,50 +140,52 @@
 		Customer: c.Customer, Key: c.Key, Nonce: c.Nonce, Deadline: timeToWire(c.Deadline),
 		Ran: c.State == claim.Ran, Status: int32(c.Status), Answer: c.Answer,
 	})
-	return errors.Wrap(err, "rpc.Finish")
+	return errors.Wrap(err, "rpc: finish a claim")
 }
 
-// headerKey carries the fleet's shared key between its own processes.
-const headerKey = "X-Fieldvale-Fleet-Key"
+// headerFleetKey carries the fleet's shared key, which authenticates its processes to each
+// other.
+const headerFleetKey = "X-Fieldvale-Fleet-Key"
 
-// transportIdle is how long a connection between processes is kept unused.
-const transportIdle = time.Minute
+// idleConnTimeout is how long an idle connection between processes is kept.
+const idleConnTimeout = time.Minute
 
-// keyed returns an HTTP client that sends the fleet's key.
-func keyed(key string) *http.Client {
-	return &http.Client{Transport: keyTransport{key: key, next: &http.Transport{
+// newKeyedClient returns an HTTP client that adds the fleet's key to each request.
+func newKeyedClient(key string) *http.Client {
+	return &http.Client{Transport: fleetKeyTransport{key: key, next: &http.Transport{
 		Protocols:       protocols(),
-		IdleConnTimeout: transportIdle,
+		IdleConnTimeout: idleConnTimeout,
 	}}}
 }
 
-// protocols is HTTP/2 without TLS: one connection to each peer, and headers
-// that are repeated cost a few bytes.
+// protocols returns the set with HTTP/2 without TLS. HTTP/2 needs one connection to each peer,
+// and its header compression reduces repeated headers to a few bytes.
 func protocols() *http.Protocols {
 	p := &http.Protocols{}
 	p.SetUnencryptedHTTP2(true)
 	return p
 }
 
-// NewServer returns a server of a handler to fieldvale's own processes. It
-// speaks HTTP/1 too, for people with curl.
+// NewServer returns a server for requests of fieldvale's own processes. It also accepts
+// HTTP/1, so that operators can use curl.
 func NewServer(h http.Handler) *http.Server {
 	p := protocols()
 	p.SetHTTP1(true)
 	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, Protocols: p}
 }
 
-// headerTimeout bounds the reading of a request's head.
+// headerTimeout bounds the time to read a request's header.
 const headerTimeout = 5 * time.Second
 
-type keyTransport struct {
+// fleetKeyTransport adds the fleet's key to each request.
+type fleetKeyTransport struct {
 	key  string
 	next http.RoundTripper
 }
 
 // RoundTrip implements http.RoundTripper.
-func (t keyTransport) RoundTrip(q *http.Request) (*http.Response, error) {
+func (t fleetKeyTransport) RoundTrip(q *http.Request) (*http.Response, error) {
 	q = q.Clone(q.Context())
-	q.Header.Set(headerKey, t.key)
+	q.Header.Set(headerFleetKey, t.key)
 	return t.next.RoundTrip(q)
 }
--- a/adapter/rpc/mapping.go
+++ b/adapter/rpc/mapping.go
@@ -1,6 +1,6 @@
-// Package rpc carries the protocols between fieldvale's own processes, and
-// the administration API, over connect. It maps their messages by hand to
-// and from domain values.
+// Package rpc has the clients and servers of the protocols between fieldvale's own processes
+// and of the administration API, all over Connect. It converts their messages to and from
+// domain types.
 package rpc
 
 import (
@@ -15,8 +15,8 @@
 	"fieldvale/version"
 )
 
-// parseVersions reads version ids and leaves out what is none: they come
-// from processes of this system that have checked them.
+// parseVersions parses version ids and drops invalid ones without an error, since the sending
+// processes are fieldvale's own and have checked the ids.
 func parseVersions(l []string) []version.ID {
 	var r []version.ID
 	for _, s := range l {
@@ -27,7 +27,7 @@
 	return r
 }
 
-func versionTexts(l []version.ID) []string {
+func versionStrings(l []version.ID) []string {
 	r := make([]string, len(l))
 	for i, v := range l {
 		r[i] = v.String()
@@ -38,7 +38,7 @@
 func replicaToWire(r pool.Replica) *fieldvalev1.Replica {
 	return &fieldvalev1.Replica{
 		Id: r.ID, Addr: r.Addr, DataCentre: r.DataCentre, Kind: string(r.Kind), Service: r.Service,
-		Versions: versionTexts(r.Versions), Slots: int32(r.Slots), ChecksFence: r.ChecksFencingToken, Leaving: r.Draining,
+		Versions: versionStrings(r.Versions), Slots: int32(r.Slots), ChecksFence: r.ChecksFencingToken, Leaving: r.Draining,
 		Running: int32(r.Load.Running), Waiting: int32(r.Load.Waiting), LoadAt: r.Load.ReportedAt.UnixNano(), LoadLocal: int32(r.Load.Local),
 	}
 }
@@ -143,6 +143,7 @@
 	return r
 }
 
+// evidenceFromWire converts outcome counts by version. It drops those of invalid version ids.
 func evidenceFromWire(l []*fieldvalev1.Evidence) map[version.ID]rollout.Outcomes {
 	r := map[version.ID]rollout.Outcomes{}
 	for _, x := range l {
@@ -153,6 +154,7 @@
 	return r
 }
 
+// timeToWire returns the Unix time in nanoseconds, and 0 for the zero time.
 func timeToWire(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -160,6 +162,7 @@
 	return t.UnixNano()
 }
 
+// timeFromWire is the inverse of timeToWire.
 func timeFromWire(n int64) time.Time {
 	if n == 0 {
 		return time.Time{}
--- a/adapter/rpc/peer.go
+++ b/adapter/rpc/peer.go
@@ -16,11 +16,12 @@
 	"fieldvale/peer"
 )
 
-// peerServer serves a node to other instances.
+// peerServer implements the Peer service of a control process for other instances.
 type peerServer struct {
 	node *control.Node
 }
 
+// Exchange merges a peer's changes and returns this instance's changes since the last exchange.
 func (s peerServer) Exchange(_ context.Context, q *fieldvalev1.ExchangeRequest) (*fieldvalev1.ExchangeResponse, error) {
 	r := s.node.Exchange(peer.Message{
 		From: q.From, Incarnation: q.Incarnation, Since: q.Since, SinceIncarnation: q.SinceIncarnation,
@@ -29,6 +30,7 @@
 	return &fieldvalev1.ExchangeResponse{Incarnation: r.Incarnation, Stamp: r.Stamp, Revision: r.Revision, Items: itemsToWire(r.Items)}, nil
 }
 
+// Document returns the configuration in force if its revision is above the requested one.
 func (s peerServer) Document(_ context.Context, q *fieldvalev1.DocumentRequest) (*fieldvalev1.DocumentResponse, error) {
 	d, b := s.node.Document()
 	if d.Revision <= q.Above {
@@ -37,6 +39,8 @@
 	return &fieldvalev1.DocumentResponse{Document: b}, nil
 }
 
+// Hold stores copies of a peer's bill records and deletes the released ones. For each stored
+// record it returns whether another record bills the same request.
 func (s peerServer) Hold(_ context.Context, q *fieldvalev1.HoldRequest) (*fieldvalev1.HoldResponse, error) {
 	r, err := recordsFromWire(q.Records)
 	if err != nil {
@@ -53,7 +57,7 @@
 	return w, nil
 }
 
-// Peers is the way to other instances' control processes.
+// Peers is a client of other instances' control processes.
 type Peers struct {
 	http *http.Client
 }
@@ -63,11 +67,12 @@
 	_ biller.Holder = (*Peers)(nil)
 )
 
-// NewPeers returns a client of peers that know the fleet's key.
+// NewPeers returns a client that authenticates to peers by the fleet's shared key.
 func NewPeers(key string) *Peers {
-	return &Peers{http: keyed(key)}
+	return &Peers{http: newKeyedClient(key)}
 }
 
+// client returns a Peer client of one instance.
 func (p *Peers) client(m peer.Member) fieldvalev1connect.PeerClient {
 	return fieldvalev1connect.NewPeerClient(p.http, "http://"+m.Addr)
 }
@@ -79,7 +84,7 @@
 		Revision: q.Revision, Items: itemsToWire(q.Items),
 	})
 	if err != nil {
-		return peer.Reply{}, errors.Wrapf(err, "rpc.Exchange with %s", m.ID)
+		return peer.Reply{}, errors.Wrapf(err, "rpc: exchange with instance %s", m.ID)
 	}
 	return peer.Reply{Incarnation: w.Incarnation, Stamp: w.Stamp, Revision: w.Revision, Items: itemsFromWire(w.Items)}, nil
 }
@@ -88,7 +93,7 @@
 func (p *Peers) Document(ctx context.Context, m peer.Member, above uint64) ([]byte, error) {
 	w, err := p.client(m).Document(ctx, &fieldvalev1.DocumentRequest{Above: above})
 	if err != nil {
-		return nil, errors.Wrapf(err, "rpc.Document of %s", m.ID)
+		return nil, errors.Wrapf(err, "rpc: fetch the document from instance %s", m.ID)
 	}
 	if len(w.Document) == 0 {
 		return nil, nil
@@ -100,10 +105,10 @@
 func (p *Peers) Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.Word, error) {
 	w, err := p.client(m).Hold(ctx, &fieldvalev1.HoldRequest{Records: []*fieldvalev1.BillRecord{recordToWire(r)}})
 	if err != nil {
-		return bill.Word{}, errors.Wrapf(err, "rpc.Hold at %s", m.ID)
+		return bill.Word{}, errors.Wrapf(err, "rpc: hold a bill record at instance %s", m.ID)
 	}
 	if len(w.Words) != 1 {
-		return bill.Word{}, errors.Newf("rpc.Hold at %s: %d words on one record", m.ID, len(w.Words))
+		return bill.Word{}, errors.Newf("rpc: hold a bill record at instance %s: got %d results, want 1", m.ID, len(w.Words))
 	}
 	return bill.Word{Repeat: w.Words[0].Repeat, Owner: w.Words[0].Owner, Settled: w.Words[0].Settled}, nil
 }
@@ -115,36 +120,36 @@
 		q.Records = append(q.Records, recordToWire(x))
 	}
 	_, err := p.client(m).Hold(ctx, q)
-	return errors.Wrapf(err, "rpc.HandOver to %s", m.ID)
+	return errors.Wrapf(err, "rpc: hand over bill records to instance %s", m.ID)
 }
 
 // Release implements biller.Holder.
 func (p *Peers) Release(ctx context.Context, m peer.Member, r bill.Record) error {
 	_, err := p.client(m).Hold(ctx, &fieldvalev1.HoldRequest{Release: []*fieldvalev1.BillRecord{recordToWire(r)}})
-	return errors.Wrapf(err, "rpc.Release at %s", m.ID)
+	return errors.Wrapf(err, "rpc: release a bill record at instance %s", m.ID)
 }
 
-// maxPeerMessage bounds a message between processes, in bytes.
-const maxPeerMessage = 4 << 20
+// maxMessage bounds a received request message, in bytes.
+const maxMessage = 4 << 20
 
-// LocalHandler serves the entry beside the node.
+// LocalHandler serves the Local service of a control process to the entry on the same host.
 func LocalHandler(n *control.Node, key string) http.Handler {
 	m := http.NewServeMux()
-	m.Handle(fieldvalev1connect.NewLocalHandler(localServer{n}, connect.WithReadMaxBytes(maxPeerMessage)))
-	return requireKey(key, m)
+	m.Handle(fieldvalev1connect.NewLocalHandler(localServer{n}, connect.WithReadMaxBytes(maxMessage)))
+	return requireFleetKey(key, m)
 }
 
-// PeerHandler serves other instances.
+// PeerHandler serves the Peer service of a control process to other instances.
 func PeerHandler(n *control.Node, key string) http.Handler {
 	m := http.NewServeMux()
-	m.Handle(fieldvalev1connect.NewPeerHandler(peerServer{n}, connect.WithReadMaxBytes(maxPeerMessage)))
-	return requireKey(key, m)
+	m.Handle(fieldvalev1connect.NewPeerHandler(peerServer{n}, connect.WithReadMaxBytes(maxMessage)))
+	return requireFleetKey(key, m)
 }
 
-// requireKey lets only processes of the fleet in.
-func requireKey(key string, h http.Handler) http.Handler {
+// requireFleetKey responds with status 401 to requests without the fleet's shared key.
+func requireFleetKey(key string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		if subtle.ConstantTimeCompare([]byte(q.Header.Get(headerKey)), []byte(key)) != 1 {
+		if subtle.ConstantTimeCompare([]byte(q.Header.Get(headerFleetKey)), []byte(key)) != 1 {
 			http.Error(w, "fleet key is missing or wrong", http.StatusUnauthorized)
 			return
 		}
