--- a/adapter/settings/control.go
+++ b/adapter/settings/control.go
@@ -10,33 +10,41 @@
 	"fieldvale/rollout"
 )
 
-// Control is the settings of a fieldvale-control.
+// Control holds the settings of a fieldvale-control process.
 type Control struct {
 	ID         string
 	DataCentre string
-	// PeerListen is for other instances, who reach it at PeerAddr.
-	PeerListen  string
-	PeerAddr    string
+	// PeerListen is the listen address for other instances, and PeerAddr the address at
+	// which they reach it.
+	PeerListen string
+	PeerAddr   string
+	// LocalListen is the listen address for the entry on the same host.
 	LocalListen string
+	// AdminListen is the listen address of the administration API.
 	AdminListen string
-	Metrics     string
-	FleetKey    string
-	Store       string
-	List        string
-	TLS         TLS
-	Level       string
-	Admins      []rpc.Admin
-	Times       control.Times
-	Rates       rollout.Rates
-	// StopWithin is the longest that a planned stop waits to hand over bills
-	// that nobody else has.
+	// Metrics is the listen address for metrics.
+	Metrics  string
+	FleetKey string
+	// Store is the address of the store.
+	Store string
+	// List is the address of the platform's list of replicas and instances.
+	List string
+	TLS  TLS
+	// Level is the least severe level that is logged.
+	Level  string
+	Admins []rpc.Admin
+	Times  control.Times
+	Rates  rollout.Rates
+	// StopWithin bounds how long a planned stop waits to hand over bill records that
+	// neither the store nor another instance has.
 	StopWithin time.Duration
 }
 
-// LoadControl reads and checks a control's file.
+// LoadControl reads and checks the settings file of a fieldvale-control process. It returns all
+// errors in the file.
 func LoadControl(path string) (Control, []error) {
 	c := Control{Level: defaultLevel, Times: control.DefaultTimes(), Rates: rollout.DefaultRates()}
-	f, err := load(path)
+	f, err := loadFile(path)
 	if err != nil {
 		return c, []error{err}
 	}
@@ -45,12 +53,12 @@
 		switch s.Kind {
 		case "control":
 			found = true
-			c.read(s)
+			c.readControl(s)
 		case "tls":
 			c.TLS = readTLS(s)
 		case "platform":
-			c.Store = address(s, "store")
-			c.List = address(s, "list")
+			c.Store = readAddress(s, "store")
+			c.List = readAddress(s, "list")
 		case "log":
 			c.Level = readLevel(s)
 		case "admin":
@@ -70,20 +78,23 @@
 	return c, f.Errors()
 }
 
-func (c *Control) read(s *inifile.Section) {
+// readControl reads the control section.
+func (c *Control) readControl(s *inifile.Section) {
 	c.ID = s.Need("id")
 	c.DataCentre = s.Need("data_centre")
-	c.PeerListen = address(s, "peer_listen")
-	c.PeerAddr = address(s, "peer_addr")
-	c.LocalListen = address(s, "local_listen")
-	c.AdminListen = address(s, "admin_listen")
-	c.Metrics = address(s, "metrics_listen")
+	c.PeerListen = readAddress(s, "peer_listen")
+	c.PeerAddr = readAddress(s, "peer_addr")
+	c.LocalListen = readAddress(s, "local_listen")
+	c.AdminListen = readAddress(s, "admin_listen")
+	c.Metrics = readAddress(s, "metrics_listen")
 	c.FleetKey = readFleetKey(s)
-	c.StopWithin = s.Span("stop_within", defaultStopWithin)
+	c.StopWithin = s.Span("stop_within", defaultStopTimeout)
 }
 
-const sumLength = 32
+// sha256Length is the length of a SHA-256 sum, in bytes.
+const sha256Length = 32
 
+// readAdmin reads the section of one administration key.
 func readAdmin(s *inifile.Section) rpc.Admin {
 	a := rpc.Admin{Name: s.Name, Team: s.Text("team"), Role: rpc.Role(s.Need("role")), KeyHash: s.Need("key_sha256")}
 	switch a.Role {
@@ -95,12 +106,13 @@
 	default:
 		s.Fail("role", "%q is not viewer, operator or platform", a.Role)
 	}
-	if b, err := hex.DecodeString(a.KeyHash); err != nil || len(b) != sumLength {
+	if b, err := hex.DecodeString(a.KeyHash); err != nil || len(b) != sha256Length {
 		s.Fail("key_sha256", "is not a hex SHA-256 sum")
 	}
 	return a
 }
 
+// readTimes reads the control process's intervals and timeouts.
 func readTimes(s *inifile.Section) control.Times {
 	d := control.DefaultTimes()
 	return control.Times{
@@ -117,6 +129,7 @@
 	}
 }
 
+// readRates reads the error rates by which a roll-out is judged.
 func readRates(s *inifile.Section) rollout.Rates {
 	d := rollout.DefaultRates()
 	r := rollout.Rates{
--- a/adapter/settings/entry.go
+++ b/adapter/settings/entry.go
@@ -6,39 +6,43 @@
 	"fieldvale/adapter/inifile"
 )
 
-// Entry is the settings of a fieldvale-entry.
+// Entry holds the settings of a fieldvale-entry process.
 type Entry struct {
 	ID         string
 	DataCentre string
-	// Listen is for callers, Metrics for the operators' monitoring, Control
-	// where the control process beside it listens.
-	Listen   string
-	Metrics  string
+	// Listen is the listen address for callers.
+	Listen string
+	// Metrics is the listen address for metrics.
+	Metrics string
+	// Control is the address of the control process on the same host.
 	Control  string
 	FleetKey string
-	Rating   string
-	TLS      TLS
-	Level    string
-	// Sync is between exchanges with the control process.
+	// Rating is the address of the platform's service that rates answers.
+	Rating string
+	TLS    TLS
+	// Level is the least severe level that is logged.
+	Level string
+	// Sync is the interval between syncs with the control process.
 	Sync time.Duration
-	// Drain is how long a stopping entry goes on taking requests after it
-	// stopped being ready, so that the balancer can notice.
+	// Drain is how long a stopping entry still accepts requests after it reports that it
+	// is not ready, so that the load balancer can stop sending requests.
 	Drain time.Duration
-	// StopWithin is the longest that a planned stop waits for answers.
+	// StopWithin bounds how long a planned stop waits until running requests are done.
 	StopWithin time.Duration
 }
 
-// Spans of time that are used where the file has none.
+// Durations that are used if the file has none.
 const (
-	defaultSync       = 200 * time.Millisecond
-	defaultDrain      = 5 * time.Second
-	defaultStopWithin = 10 * time.Minute
+	defaultSyncInterval = 200 * time.Millisecond
+	defaultDrainDelay   = 5 * time.Second
+	defaultStopTimeout  = 10 * time.Minute
 )
 
-// LoadEntry reads and checks an entry's file.
+// LoadEntry reads and checks the settings file of a fieldvale-entry process. It returns all
+// errors in the file.
 func LoadEntry(path string) (Entry, []error) {
 	e := Entry{Level: defaultLevel}
-	f, err := load(path)
+	f, err := loadFile(path)
 	if err != nil {
 		return e, []error{err}
 	}
@@ -47,11 +51,11 @@
 		switch s.Kind {
 		case "entry":
 			found = true
-			e.read(s)
+			e.readEntry(s)
 		case "tls":
 			e.TLS = readTLS(s)
 		case "platform":
-			e.Rating = address(s, "rating")
+			e.Rating = readAddress(s, "rating")
 		case "log":
 			e.Level = readLevel(s)
 		}
@@ -65,14 +69,15 @@
 	return e, f.Errors()
 }
 
-func (e *Entry) read(s *inifile.Section) {
+// readEntry reads the entry section.
+func (e *Entry) readEntry(s *inifile.Section) {
 	e.ID = s.Need("id")
 	e.DataCentre = s.Need("data_centre")
-	e.Listen = address(s, "listen")
-	e.Metrics = address(s, "metrics_listen")
-	e.Control = address(s, "control")
+	e.Listen = readAddress(s, "listen")
+	e.Metrics = readAddress(s, "metrics_listen")
+	e.Control = readAddress(s, "control")
 	e.FleetKey = readFleetKey(s)
-	e.Sync = s.Span("sync", defaultSync)
-	e.Drain = s.Span("drain", defaultDrain)
-	e.StopWithin = s.Span("stop_within", defaultStopWithin)
+	e.Sync = s.Span("sync", defaultSyncInterval)
+	e.Drain = s.Span("drain", defaultDrainDelay)
+	e.StopWithin = s.Span("stop_within", defaultStopTimeout)
 }
--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -7,98 +7,106 @@
 	"fieldvale/adapter/inifile"
 )
 
-// Node is the settings of a fieldvale-node.
+// Node holds the settings of a fieldvale-node process.
 type Node struct {
 	ID         string
 	DataCentre string
-	// Listen is for clients, Ready for the platform's question whether the
-	// instance is ready, Metrics for monitoring.
-	Listen  string
-	Ready   string
+	// Listen is the listen address for clients.
+	Listen string
+	// Ready is the listen address for the platform's readiness checks.
+	Ready string
+	// Metrics is the listen address for metrics.
 	Metrics string
-	// Peers is where datagrams of other instances come in.
+	// Peers is the listen address for datagrams from other instances.
 	Peers string
 	// Store is the address of the platform's store.
 	Store string
-	// FirstStart says that the whole fleet is being started for the first
-	// time.
+	// FirstStart states that the whole fleet is being started for the first time.
 	FirstStart bool
-	// ApplyWithin is how soon a change in the store must be in force.
+	// ApplyWithin bounds the time from a change in the store until the change must be in
+	// force at this instance.
 	ApplyWithin time.Duration
-	Level       string
-	// StopWithin is the longest that a planned stop takes.
+	// Level is the least severe level that is logged.
+	Level string
+	// StopWithin bounds how long a planned stop takes.
 	StopWithin time.Duration
-	// MemoryMB is the instance's memory in MB, LinkMbps what its link carries; 0 if
-	// that is not known.
+	// MemoryMB is the instance's memory in MB; 0 if unknown.
 	MemoryMB int64
+	// LinkMbps is the capacity of the instance's network link in Mbit/s; 0 if unknown.
 	LinkMbps float64
-	// HonourFor is the longest that a key may be honoured after it was taken
-	// away.
+	// HonourFor bounds how long an API key is accepted after it was revoked.
 	HonourFor time.Duration
-	// KeysLenient has keys honoured beyond that where the configuration can't
-	// be confirmed.
+	// KeysLenient makes the instance accept keys for longer than HonourFor while it can't
+	// confirm its configuration.
 	KeysLenient bool
-	// RepeatPart and RepeatBurst bound how many more requests than came in
-	// may reach a service, fleet-wide.
+	// RepeatPart and RepeatBurst bound the retries to a service from the whole fleet:
+	// RepeatPart is their fraction of the incoming requests, and RepeatBurst a number in
+	// addition.
 	RepeatPart  float64
 	RepeatBurst float64
-	// ExposedPart and ExposedSlack bound how many of the requests of a release's
-	// length a bad one may get: a part of them, and a number on top.
+	// ExposedPart and ExposedSlack bound how many requests a bad release may get:
+	// ExposedPart is their fraction of the requests during the planned duration of the
+	// release, and ExposedSlack a number in addition.
 	ExposedPart  float64
 	ExposedSlack float64
-	// Cloud is the address of the platform's calls that one instance at a time makes;
-	// empty where there are none. UsageWindow is the length of the windows of which usage
-	// is reported, UsageLate how long after its end a report is still in time.
+	// Cloud is the address of the platform's API that one instance at a time calls; empty
+	// if there is none.
 	Cloud string
-	// ReportsUsage and Scales are which of these calls are to be made.
-	ReportsUsage, Scales   bool
+	// ReportsUsage and Scales state which of the API's duties the fleet performs: usage
+	// reports and autoscaling.
+	ReportsUsage, Scales bool
+	// UsageWindow is the length of the time windows for which usage is reported, and
+	// UsageLate how long after the end of its window a report is accepted.
 	UsageWindow, UsageLate time.Duration
-	// Regions are the data centres' regions by their names.
+	// Regions are the regions of the data centres, by the data centre's name.
 	Regions map[string]string
-	// ColdOverage times what a replica that has just started says that it bears a
-	// second, and ColdSlack on top, is the most that it may get from all instances.
+	// ColdOverage and ColdSlack bound the requests per second that a cold replica gets from
+	// all instances: the rate that the cold replica advertises times ColdOverage, plus
+	// ColdSlack.
 	ColdOverage float64
 	ColdSlack   float64
-	// DrainFor is how long replicas that leave serve on after they said so.
+	// DrainFor is how long a draining replica still serves requests after it has reported
+	// that it is draining.
 	DrainFor time.Duration
-	// AcceptConfidence is the smallest model's opinion of its own answer, out
-	// of 100, from which the answer is passed on.
+	// AcceptConfidence is the confidence, from 0 to 100, that the smallest model must report
+	// in its answer for the answer to be returned to the caller.
 	AcceptConfidence float64
 }
 
-// Values that are used where the file has none.
+// Values that are used if the file has none.
 const (
-	defaultMemoryMB    = 256
-	defaultHonourFor   = 5 * time.Second
-	defaultApplyWithin = 2 * time.Second
-	defaultNodeStop    = 8 * time.Second
-	defaultRepeatPart  = 0.1
-	defaultRepeatBurst = 10
-	// A bad release gets some one in seven requests, for services that ask for
-	// no less.
-	defaultExposedPart  = 0.15
-	defaultExposedSlack = 0
-	// A cold replica gets no more than it says that it bears.
-	defaultColdOverage = 1
-	defaultColdSlack   = 0
-	defaultDrainFor    = 2 * time.Second
-	defaultUsageWindow = time.Minute
-	defaultUsageLate   = 2 * time.Minute
-	// defaultConfidence: docs/MEASURES.md has the figures of other values.
-	defaultConfidence = 60
+	defaultMemoryMB        = 256
+	defaultRevokedKeyTTL   = 5 * time.Second
+	defaultMaxApplyDelay   = 2 * time.Second
+	defaultNodeStopTimeout = 8 * time.Second
+	defaultRetryFraction   = 0.1
+	defaultRetryBurst      = 10
+	// A bad release gets at most about one in seven requests, unless a service requires
+	// less.
+	defaultExposedFraction = 0.15
+	defaultExposedSlack    = 0
+	// A cold replica gets no more requests per second than it advertises.
+	defaultColdLimitFactor = 1
+	defaultColdLimitSlack  = 0
+	defaultDrainPeriod     = 2 * time.Second
+	defaultUsageWindow     = time.Minute
+	defaultMaxUsageDelay   = 2 * time.Minute
+	// docs/MEASURES.md has the figures for other values of defaultAcceptConfidence.
+	defaultAcceptConfidence = 60
 )
 
-// LoadNode reads and checks a node's file.
+// LoadNode reads and checks the settings file of a fieldvale-node process. It returns all
+// errors in the file.
 func LoadNode(path string) (Node, []error) {
 	n := defaultNode()
-	f, err := load(path)
+	f, err := loadFile(path)
 	if err != nil {
 		return n, []error{err}
 	}
 	found := false
 	f.Each([]string{"node", "limits", "keys", "repeats", "releases", "replicas", "models", "regions", "cloud"}, func(s *inifile.Section) {
 		found = found || s.Kind == "node"
-		n.section(s)
+		n.readSection(s)
 	})
 	if !found {
 		f.Missing("node")
@@ -106,35 +114,35 @@
 	return n, f.Errors()
 }
 
-// defaultNode is what sections that are not in the file leave.
+// defaultNode returns the settings for sections that are missing in the file.
 func defaultNode() Node {
 	return Node{
-		Level: defaultLevel, MemoryMB: defaultMemoryMB, HonourFor: defaultHonourFor,
-		RepeatPart: defaultRepeatPart, RepeatBurst: defaultRepeatBurst,
-		ExposedPart: defaultExposedPart, ExposedSlack: defaultExposedSlack, ColdOverage: defaultColdOverage, ColdSlack: defaultColdSlack, DrainFor: defaultDrainFor, AcceptConfidence: defaultConfidence,
+		Level: defaultLevel, MemoryMB: defaultMemoryMB, HonourFor: defaultRevokedKeyTTL,
+		RepeatPart: defaultRetryFraction, RepeatBurst: defaultRetryBurst,
+		ExposedPart: defaultExposedFraction, ExposedSlack: defaultExposedSlack, ColdOverage: defaultColdLimitFactor, ColdSlack: defaultColdLimitSlack, DrainFor: defaultDrainPeriod, AcceptConfidence: defaultAcceptConfidence,
 	}
 }
 
-// section reads one section.
-func (n *Node) section(s *inifile.Section) {
+// readSection reads one section of the file.
+func (n *Node) readSection(s *inifile.Section) {
 	switch s.Kind {
 	case "node":
-		n.read(s)
+		n.readNode(s)
 	case "limits":
 		if m := s.Number("memory_mb"); m > 0 {
 			n.MemoryMB = m
 		}
 		n.LinkMbps = s.Fraction("link_mbps", 0)
 	case "keys":
-		n.HonourFor = s.Span("honour_for", defaultHonourFor)
+		n.HonourFor = s.Span("honour_for", defaultRevokedKeyTTL)
 		n.KeysLenient = !s.Truth("strict", true)
 	case "releases":
-		n.ExposedPart = s.Fraction("exposed_part", defaultExposedPart)
+		n.ExposedPart = s.Fraction("exposed_part", defaultExposedFraction)
 		n.ExposedSlack = s.Fraction("exposed_slack", defaultExposedSlack)
 	case "replicas":
-		n.ColdOverage = s.Fraction("cold_overage", defaultColdOverage)
-		n.ColdSlack = s.Fraction("cold_slack", defaultColdSlack)
-		n.DrainFor = s.Span("drain_for", defaultDrainFor)
+		n.ColdOverage = s.Fraction("cold_overage", defaultColdLimitFactor)
+		n.ColdSlack = s.Fraction("cold_slack", defaultColdLimitSlack)
+		n.DrainFor = s.Span("drain_for", defaultDrainPeriod)
 	case "models":
 		n.readModels(s)
 	case "cloud":
@@ -142,49 +150,51 @@
 	case "regions":
 		n.Regions = s.All()
 	case "repeats":
-		n.RepeatPart = s.Fraction("part", defaultRepeatPart)
-		n.RepeatBurst = s.Fraction("burst", defaultRepeatBurst)
+		n.RepeatPart = s.Fraction("part", defaultRetryFraction)
+		n.RepeatBurst = s.Fraction("burst", defaultRetryBurst)
 	}
 }
 
+// readModels reads the section that controls when an answer of a smaller model is accepted.
 func (n *Node) readModels(s *inifile.Section) {
-	n.AcceptConfidence = s.Fraction("accept_confidence", defaultConfidence)
+	n.AcceptConfidence = s.Fraction("accept_confidence", defaultAcceptConfidence)
 	if n.AcceptConfidence < 0 || n.AcceptConfidence > 100 {
-		s.Fail("accept_confidence", "is not from 0 to 100")
+		s.Fail("accept_confidence", "must be from 0 to 100")
 	}
 }
 
-// Words for the duties that the platform's calls are for.
+// Values of the duties key in the cloud section.
 const (
 	dutyUsage   = "usage_report"
 	dutyScaling = "autoscale"
 )
 
-// readCloud reads the platform's calls; an address that is empty says that there are
-// none.
+// readCloud reads the address of the platform's API and the duties that call it. The API is
+// not called if the address is empty.
 func (n *Node) readCloud(s *inifile.Section) {
 	if s.Text("address") != "" {
-		n.Cloud = address(s, "address")
+		n.Cloud = readAddress(s, "address")
 	}
 	l := s.List("duties")
 	n.ReportsUsage, n.Scales = slices.Contains(l, dutyUsage), slices.Contains(l, dutyScaling)
 	n.UsageWindow = time.Duration(s.Fraction("usage_window_s", defaultUsageWindow.Seconds()) * float64(time.Second))
-	n.UsageLate = time.Duration(s.Fraction("usage_late_s", defaultUsageLate.Seconds()) * float64(time.Second))
+	n.UsageLate = time.Duration(s.Fraction("usage_late_s", defaultMaxUsageDelay.Seconds()) * float64(time.Second))
 	if n.UsageWindow < time.Second || n.UsageLate < time.Second {
-		s.Fail("usage_window_s", "or usage_late_s is below one second")
+		s.Fail("usage_window_s", "usage_window_s and usage_late_s must be at least one second")
 	}
 }
 
-func (n *Node) read(s *inifile.Section) {
+// readNode reads the node section.
+func (n *Node) readNode(s *inifile.Section) {
 	n.ID = s.Need("id")
 	n.DataCentre = s.Need("data_centre")
-	n.Listen = address(s, "listen")
-	n.Ready = address(s, "ready_listen")
-	n.Metrics = address(s, "metrics_listen")
-	n.Peers = address(s, "peers_listen")
-	n.Store = address(s, "store")
+	n.Listen = readAddress(s, "listen")
+	n.Ready = readAddress(s, "ready_listen")
+	n.Metrics = readAddress(s, "metrics_listen")
+	n.Peers = readAddress(s, "peers_listen")
+	n.Store = readAddress(s, "store")
 	n.FirstStart = s.Truth("first_start", false)
-	n.ApplyWithin = s.Span("apply_within", defaultApplyWithin)
-	n.StopWithin = s.Span("stop_within", defaultNodeStop)
+	n.ApplyWithin = s.Span("apply_within", defaultMaxApplyDelay)
+	n.StopWithin = s.Span("stop_within", defaultNodeStopTimeout)
 	n.Level = readLevel(s)
 }
--- a/adapter/settings/settings.go
+++ b/adapter/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the INI files of fieldvale's processes. A file is
-// checked as a whole: every fault is reported before a process starts.
+// Package settings reads and checks the INI files of fieldvale's processes. All errors in a
+// file are reported together, before the process starts.
 package settings
 
 import (
@@ -12,20 +12,21 @@
 	"fieldvale/adapter/inifile"
 )
 
-// TLS names the files of a listener's certificate; both empty for none.
+// TLS holds the paths of a listener's certificate and private key; both are empty without
+// TLS.
 type TLS struct {
 	Cert string
 	Key  string
 }
 
-// Config loads the certificate; nil if there is none.
+// Config loads the certificate and returns a configuration with it; nil without TLS.
 func (t TLS) Config() (*tls.Config, error) {
 	if t.Cert == "" {
 		return nil, nil
 	}
 	c, err := tls.LoadX509KeyPair(t.Cert, t.Key)
 	if err != nil {
-		return nil, errors.Wrap(err, "settings.TLS")
+		return nil, errors.Wrap(err, "settings: load the TLS certificate")
 	}
 	return &tls.Config{Certificates: []tls.Certificate{c}, MinVersion: tls.VersionTLS12}, nil
 }
@@ -33,7 +34,7 @@
 func readTLS(s *inifile.Section) TLS {
 	t := TLS{Cert: s.Text("cert"), Key: s.Text("key")}
 	if (t.Cert == "") != (t.Key == "") {
-		s.Fail("cert", "cert and key go together")
+		s.Fail("cert", "cert and key must be set together")
 	}
 	if _, err := t.Config(); t.Cert != "" && err != nil {
 		s.Fail("cert", "%v", err)
@@ -41,9 +42,10 @@
 	return t
 }
 
-// minFleetKey is the least length of the fleet's key, in bytes.
+// minFleetKey is the minimum length of the fleet's key, in bytes.
 const minFleetKey = 16
 
+// readFleetKey reads the key by which the fleet's processes authenticate to each other.
 func readFleetKey(s *inifile.Section) string {
 	k := s.Need("fleet_key")
 	if k != "" && len(k) < minFleetKey {
@@ -52,8 +54,8 @@
 	return k
 }
 
-// address reads an IP number and port.
-func address(s *inifile.Section, key string) string {
+// readAddress reads a required address in the form IP:PORT. An empty IP is valid.
+func readAddress(s *inifile.Section, key string) string {
 	t := s.Need(key)
 	if t == "" {
 		return t
@@ -65,11 +67,12 @@
 	return t
 }
 
-// levels are the words for how much is logged.
+// levels are the valid log levels.
 var levels = []string{"debug", "info", "warn", "error"}
 
 const defaultLevel = "info"
 
+// readLevel reads the log level.
 func readLevel(s *inifile.Section) string {
 	t := s.Text("level")
 	if t == "" {
@@ -84,10 +87,11 @@
 	return t
 }
 
-func load(path string) (*inifile.File, error) {
+// loadFile reads and parses an INI file.
+func loadFile(path string) (*inifile.File, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "settings")
+		return nil, errors.Wrap(err, "settings: read the file")
 	}
 	return inifile.Parse(path, string(b)), nil
 }
--- a/adapter/settings/settings_test.go
+++ b/adapter/settings/settings_test.go
@@ -9,7 +9,8 @@
 	"fieldvale/adapter/settings"
 )
 
-func write(t *testing.T, text string) string {
+// writeFile writes a settings file and returns its path.
+func writeFile(t *testing.T, text string) string {
 	p := filepath.Join(t.TempDir(), "s.ini")
 	if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -17,17 +18,20 @@
 	return p
 }
 
-func TestExamplesAreSound(t *testing.T) {
+// The example files must load without errors.
+func TestExamplesAreValid(t *testing.T) {
 	if _, e := settings.LoadEntry("../../examples/entry.ini"); len(e) > 0 {
-		t.Error(e)
+		t.Errorf("entry.ini: got errors %v, want none", e)
 	}
 	if _, e := settings.LoadControl("../../examples/control.ini"); len(e) > 0 {
-		t.Error(e)
+		t.Errorf("control.ini: got errors %v, want none", e)
 	}
 }
 
-func TestEveryFaultIsListed(t *testing.T) {
-	_, e := settings.LoadControl(write(t, `
+// All errors in a file must be reported at once. If only the first were, an operator would
+// have to start the process again for each.
+func TestReportsAllErrors(t *testing.T) {
+	_, e := settings.LoadControl(writeFile(t, `
 [control]
 id = x
 data_centre = dc
@@ -66,33 +70,37 @@
 	}
 	for _, w := range want {
 		if !strings.Contains(all, w) {
-			t.Errorf("not listed: %s", w)
+			t.Errorf("got no error with %s, want one", w)
 		}
 	}
 	if len(e) != len(want) {
-		t.Errorf("%d faults listed, want %d:\n%s", len(e), len(want), all)
+		t.Errorf("got %d errors, want %d:\n%s", len(e), len(want), all)
 	}
 }
 
+// A missing required section must be an error.
 func TestMissingSections(t *testing.T) {
-	_, e := settings.LoadEntry(write(t, "[log]\nlevel = info\n"))
+	_, e := settings.LoadEntry(writeFile(t, "[log]\nlevel = info\n"))
 	if len(e) != 2 {
-		t.Errorf("got %v, want two missing sections", e)
+		t.Errorf("got errors %v, want two for missing sections", e)
 	}
 }
 
-func TestNoFile(t *testing.T) {
+// A file that does not exist must give a single error, not one for each missing section.
+func TestMissingFile(t *testing.T) {
 	if _, e := settings.LoadEntry("nowhere.ini"); len(e) != 1 {
-		t.Error(e)
+		t.Errorf("got errors %v, want one", e)
 	}
 }
 
-func TestKeysAreStrictUnlessSaid(t *testing.T) {
+// API keys must stay strict unless the file states otherwise: otherwise an instance with an
+// unconfirmed configuration would accept revoked keys for longer than honour_for.
+func TestKeysAreStrictByDefault(t *testing.T) {
 	const node = "[node]\nid = x\ndata_centre = d\nlisten = 127.0.0.1:1\nready_listen = 127.0.0.1:2\nmetrics_listen = 127.0.0.1:3\npeers_listen = 127.0.0.1:4\nstore = 127.0.0.1:5\n"
 	for _, c := range []struct {
 		keys    string
 		lenient bool
-		sound   bool
+		valid   bool
 	}{
 		{"", false, true},
 		{"[keys]\nhonour_for = 5s\n", false, true},
@@ -100,12 +108,12 @@
 		{"[keys]\nstrict = false\n", true, true},
 		{"[keys]\nstrict = perhaps\n", true, false},
 	} {
-		n, e := settings.LoadNode(write(t, node+c.keys))
-		if (len(e) == 0) != c.sound {
-			t.Errorf("%q: faults %v, want sound %t", c.keys, e, c.sound)
+		n, e := settings.LoadNode(writeFile(t, node+c.keys))
+		if (len(e) == 0) != c.valid {
+			t.Errorf("%q: got errors %v, want valid %t", c.keys, e, c.valid)
 		}
-		if c.sound && n.KeysLenient != c.lenient {
-			t.Errorf("%q: lenient %t, want %t", c.keys, n.KeysLenient, c.lenient)
+		if c.valid && n.KeysLenient != c.lenient {
+			t.Errorf("%q: got lenient %t, want %t", c.keys, n.KeysLenient, c.lenient)
 		}
 	}
 }
