--- a/adapter/backend/service.go
+++ b/adapter/backend/service.go
@@ -40,7 +40,7 @@
 
 // Call implements entry.Services. Any response with a status below 500 that isn't a refusal
 // is the service's own answer and is returned. A call that may run only once is sent over a
-// new connection.
+// new connection; see httpconn.Client.DoFresh.
 func (s *Services) Call(ctx context.Context, r *pool.Replica, c entry.ServiceCall) (entry.ServiceAnswer, error) {
 	q, p := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
--- a/adapter/handover/handover.go
+++ b/adapter/handover/handover.go
@@ -1,5 +1,5 @@
-// Package handover passes an instance's state on to other instances over HTTP: changes
-// that are too large for datagrams, and the whole to those that start.
+// Package handover transfers an instance's state to other instances over HTTP: changes that
+// are too large for datagrams, and a snapshot to instances that start.
 package handover
 
 import (
@@ -16,35 +16,37 @@
 )
 
 const (
-	// path is where the state is, and paramAfter the revision after which changes are
-	// asked for, below 0 for the whole.
+	// path is the URL path of the state. The query parameter paramAfter is the revision
+	// after which changes are requested, below 0 for a snapshot.
 	path       = "/state"
 	paramAfter = "after"
-	// stallAfter is how long an instance may send nothing before another one is asked:
-	// longer than one may be held until the state is known there.
-	stallAfter = 2500 * time.Millisecond
-	// maxBody bounds what is fetched, in bytes.
+	// stallTimeout is how long a fetch may receive no bytes before it is given up, so that
+	// another instance can be tried. It is longer than an instance may hold a request until
+	// it has the state.
+	stallTimeout = 2500 * time.Millisecond
+	// maxBody bounds the fetched state, in bytes.
 	maxBody = 32 << 20
-	// writeWithin bounds the sending of one answer: one that is cut off must not keep
-	// others from theirs.
-	writeWithin = 5 * time.Second
+	// writeTimeout bounds the sending of one response, so that an unreachable instance
+	// does not keep others from being served.
+	writeTimeout = 5 * time.Second
 )
 
-// Source writes what an instance gets that fetches the changes after a revision.
+// Source writes the changes after a revision for another instance that fetches them.
 type Source interface {
 	Serve(ctx context.Context, after int64, write func([]byte) error) error
 }
 
-// Serve answers other instances at l until the listener is closed.
+// Serve serves the state of s to other instances until the listener is closed.
 func Serve(l net.Listener, s Source) error {
 	h := &http.Server{
-		Handler:     http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { answer(w, r, s) }),
-		ReadTimeout: stallAfter, WriteTimeout: writeWithin, IdleTimeout: stallAfter,
+		Handler:     http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { serveState(w, r, s) }),
+		ReadTimeout: stallTimeout, WriteTimeout: writeTimeout, IdleTimeout: stallTimeout,
 	}
-	return errors.Wrap(h.Serve(l), "handover.Serve")
+	return errors.Wrap(h.Serve(l), "handover: serve")
 }
 
-func answer(w http.ResponseWriter, r *http.Request, s Source) {
+// serveState handles one request for the state of s.
+func serveState(w http.ResponseWriter, r *http.Request, s Source) {
 	after, err := strconv.ParseInt(r.URL.Query().Get(paramAfter), 10, 64)
 	if r.URL.Path != path || err != nil {
 		http.Error(w, "no such state", http.StatusNotFound)
@@ -60,47 +62,47 @@
 	}
 }
 
-// Client fetches other instances' state.
+// Client fetches the state of other instances.
 type Client struct {
 	pool *exchange.Pool
 }
 
-// NewClient returns a client that goes by the clock.
+// NewClient returns a client that uses the clock for the expiry of idle connections.
 func NewClient(clock func() time.Time) *Client { return &Client{pool: exchange.New(clock)} }
 
 // Fetch implements relay.Transfer.
 func (c *Client) Fetch(ctx context.Context, addr string, after int64) ([]byte, error) {
 	x, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stall := time.AfterFunc(stallAfter, cancel)
+	stall := time.AfterFunc(stallTimeout, cancel)
 	defer stall.Stop()
 	q := &exchange.Request{Method: http.MethodGet, Target: path + "?" + paramAfter + "=" + strconv.FormatInt(after, 10), Host: addr, Header: http.Header{}}
 	r, err := c.pool.Do(x, addr, q)
 	if err != nil {
-		return nil, errors.Wrap(err, "handover.Fetch")
+		return nil, errors.Wrap(err, "handover: fetch")
 	}
 	defer r.Close()
-	b, err := io.ReadAll(io.LimitReader(progress{r, stall}, maxBody))
+	b, err := io.ReadAll(io.LimitReader(progressReader{r, stall}, maxBody))
 	if err != nil {
-		return nil, errors.Wrap(err, "handover.Fetch")
+		return nil, errors.Wrap(err, "handover: read the state")
 	}
 	if r.Status != http.StatusOK {
-		return nil, errors.Newf("handover.Fetch: %s answered %d", addr, r.Status)
+		return nil, errors.Newf("handover: fetch from %s: got status %d, want 200", addr, r.Status)
 	}
 	return b, nil
 }
 
-// progress puts the time-out off with each piece that comes.
-type progress struct {
+// progressReader restarts the stall timer whenever bytes are received.
+type progressReader struct {
 	r     io.Reader
 	stall *time.Timer
 }
 
 // Read implements io.Reader.
-func (p progress) Read(b []byte) (int, error) {
+func (p progressReader) Read(b []byte) (int, error) {
 	n, err := p.r.Read(b)
 	if n > 0 {
-		p.stall.Reset(stallAfter)
+		p.stall.Reset(stallTimeout)
 	}
 	return n, err
 }
--- a/adapter/handover/handover_test.go
+++ b/adapter/handover/handover_test.go
@@ -12,10 +12,10 @@
 	"fieldvale/adapter/handover"
 )
 
-// state is passed on after any revision but 7.
+// state is a Source that writes its text, and fails for the changes after revision 7.
 type state string
 
-var errNone = errors.New("nothing yet")
+var errNone = errors.New("no state yet")
 
 func (s state) Serve(_ context.Context, after int64, write func([]byte) error) error {
 	if after == 7 {
@@ -24,7 +24,9 @@
 	return write([]byte(s))
 }
 
-func TestStateIsHandedOver(t *testing.T) {
+// The state must be transferred completely even if it is large, and a Source that fails must
+// give an error instead of an empty state.
+func TestStateTransfer(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -35,16 +37,17 @@
 	c := handover.NewClient(time.Now)
 	for _, after := range []int64{-1, 0, 12} {
 		if b, err := c.Fetch(t.Context(), l.Addr().String(), after); err != nil || string(b) != want {
-			t.Errorf("after %d: %d bytes, %v", after, len(b), err)
+			t.Errorf("after revision %d: got %d bytes and error %v, want the complete state and no error", after, len(b), err)
 		}
 	}
 	if _, err := c.Fetch(t.Context(), l.Addr().String(), 7); err == nil || !strings.Contains(err.Error(), "503") {
-		t.Errorf("where there is nothing to hand over: %v", err)
+		t.Errorf("failing source: got error %v, want one with status 503", err)
 	}
 }
 
-// An instance that takes the question and says nothing is given up.
-func TestASilentInstanceIsGivenUp(t *testing.T) {
+// A fetch from an instance that accepts the connection but never responds must fail before the
+// context's deadline, or no other instance could be tried.
+func TestFetchFromSilentInstanceFails(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -53,6 +56,6 @@
 	x, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	if _, err := handover.NewClient(time.Now).Fetch(x, l.Addr().String(), -1); err == nil || x.Err() != nil {
-		t.Errorf("%v, %v", err, x.Err())
+		t.Errorf("got error %v and context error %v, want an error before the context is done", err, x.Err())
 	}
 }
--- a/adapter/httpconn/httpconn.go
+++ b/adapter/httpconn/httpconn.go
@@ -1,7 +1,7 @@
-// Package httpconn makes single HTTP calls by fasthttp over connections that
-// it owns, so that a call can be cancelled at any moment and a failure tells
-// whether bytes were sent. fasthttp's own client hides both, and repeats
-// calls by itself.
+// Package httpconn sends HTTP requests in fasthttp's types over a connection pool of its
+// own. A request can be cancelled at any time, a failure states whether bytes were sent, and
+// no request is retried. fasthttp's own client has neither of the first two, and retries
+// requests by itself.
 package httpconn
 
 import (
@@ -20,171 +20,184 @@
 )
 
 const (
-	// idlePerPeer bounds the idle connections kept to one peer.
-	idlePerPeer = 16
-	// idleFor is how long a connection may be idle and be used again; less
-	// than servers keep theirs.
-	idleFor = 5 * time.Second
-	// maxBody bounds an answer that is read whole, in bytes.
+	// maxIdlePerAddr bounds the idle connections to one address.
+	maxIdlePerAddr = 16
+	// idleTimeout is how long an idle connection may be reused. It is shorter than the idle
+	// timeout of servers.
+	idleTimeout = 5 * time.Second
+	// maxBody bounds a response body that is read into memory, in bytes.
 	maxBody = 8 << 20
 	// dialTimeout bounds one attempt to connect.
 	dialTimeout = 500 * time.Millisecond
 )
 
-// Client calls peers by address. It is safe for concurrent use.
+// Client sends requests to servers by address. It is safe for concurrent use.
 type Client struct {
-	mu   sync.Mutex
+	mu sync.Mutex
+	// idle are the idle connections by address.
 	idle map[string][]*conn
 }
 
+// conn is a connection with its buffers.
 type conn struct {
-	c       net.Conn
-	r       *bufio.Reader
-	w       *bufio.Writer
+	netConn net.Conn
+	reader  *bufio.Reader
+	writer  *bufio.Writer
+	// expires is when the idle connection must no longer be reused.
 	expires time.Time
 }
 
-// New returns a client with no connections.
+// New returns a client without connections.
 func New() *Client {
 	return &Client{idle: map[string][]*conn{}}
 }
 
-// Call is one request in progress. Close must be called.
+// Call is a request whose response is being read. The caller must call Close.
 type Call struct {
 	client *Client
 	addr   string
 	conn   *conn
-	stop   func() bool
-	resp   *fasthttp.Response
-	whole  bool
+	// stopCancel ends the cancellation by the call's context, and returns false if the
+	// context was done before.
+	stopCancel func() bool
+	resp       *fasthttp.Response
+	// bodyRead is set once the response was read to its end.
+	bodyRead bool
 }
 
-// Do sends the request and reads the whole answer. A failure is an
-// *outcome.Error: NotRun if no byte of the request was sent.
+// Do sends the request and reads the complete response. A failure is an *outcome.Error of
+// kind NotRun if no byte of the request was sent, else Unknown.
 func (c *Client) Do(ctx context.Context, addr string, q *fasthttp.Request, p *fasthttp.Response) error {
 	l, err := c.start(ctx, addr, q, p, false)
 	if err != nil {
 		return err
 	}
-	l.whole = true
+	l.bodyRead = true
 	l.Close()
 	return nil
 }
 
-// DoFresh is Do over a new connection, for a request that may not be
-// repeated: a connection that the peer closed while it was idle would leave
-// the outcome unknown.
+// DoFresh is Do over a new connection, for a request that must not be retried if its outcome
+// is unknown. The outcome would be unknown on an idle connection that the server closes.
 func (c *Client) DoFresh(ctx context.Context, addr string, q *fasthttp.Request, p *fasthttp.Response) error {
 	c.dropIdle(addr)
 	return c.Do(ctx, addr, q, p)
 }
 
-// Stream sends the request and reads the answer's head. The body is read
-// from the call.
+// Stream sends the request and reads the response's header. The body is then read from
+// Call.Body.
 func (c *Client) Stream(ctx context.Context, addr string, q *fasthttp.Request, p *fasthttp.Response) (*Call, error) {
 	return c.start(ctx, addr, q, p, true)
 }
 
-// Body is the answer's body as it comes in.
+// Body returns a reader of the response's body.
 func (l *Call) Body() io.Reader { return l.resp.BodyStream() }
 
-// Done says that the body was read to its end, so that the connection can
-// serve another call.
-func (l *Call) Done() { l.whole = true }
+// Done marks the body as read to its end, so that Close keeps the connection.
+func (l *Call) Done() { l.bodyRead = true }
 
-// Close ends the call. A body that was not read to its end ends the
-// connection too, which tells the peer to stop working on it.
+// Close ends the call. If the body was not read to its end, Close closes the connection,
+// which cancels the request at the server.
 func (l *Call) Close() {
-	ok := l.stop()
-	if l.whole && ok && !l.resp.ConnectionClose() {
-		l.client.put(l.addr, l.conn)
+	notCanceled := l.stopCancel()
+	if l.bodyRead && notCanceled && !l.resp.ConnectionClose() {
+		l.client.putIdle(l.addr, l.conn)
 		return
 	}
-	_ = l.conn.c.Close()
+	_ = l.conn.netConn.Close()
 }
 
+// start sends the request over an idle or new connection and reads the response, without its
+// body if stream is set.
 func (c *Client) start(ctx context.Context, addr string, q *fasthttp.Request, p *fasthttp.Response, stream bool) (*Call, error) {
-	n, err := c.conn(ctx, addr)
+	n, err := c.getConn(ctx, addr)
 	if err != nil {
 		return nil, outcome.New(outcome.NotRun, "dial", addr, err)
 	}
 	if d, ok := ctx.Deadline(); ok {
-		_ = n.c.SetDeadline(d)
+		_ = n.netConn.SetDeadline(d)
 	}
 	l := &Call{client: c, addr: addr, conn: n, resp: p}
-	l.stop = context.AfterFunc(ctx, func() { _ = n.c.SetDeadline(time.Unix(1, 0)) })
-	if err := l.exchange(q, stream); err != nil {
+	l.stopCancel = context.AfterFunc(ctx, func() { _ = n.netConn.SetDeadline(time.Unix(1, 0)) })
+	if err := l.roundTrip(q, stream); err != nil {
 		l.Close()
 		return nil, err
 	}
 	return l, nil
 }
 
-func (l *Call) exchange(q *fasthttp.Request, stream bool) error {
-	if err := q.Write(l.conn.w); err != nil {
+// roundTrip writes the request and reads the response.
+func (l *Call) roundTrip(q *fasthttp.Request, stream bool) error {
+	if err := q.Write(l.conn.writer); err != nil {
 		return outcome.New(outcome.Unknown, "write", l.addr, err)
 	}
-	if err := l.conn.w.Flush(); err != nil {
+	if err := l.conn.writer.Flush(); err != nil {
 		return outcome.New(outcome.Unknown, "write", l.addr, err)
 	}
 	l.resp.StreamBody = stream
-	if err := l.resp.ReadLimitBody(l.conn.r, maxBody); err != nil {
+	if err := l.resp.ReadLimitBody(l.conn.reader, maxBody); err != nil {
 		return outcome.New(outcome.Unknown, "read", l.addr, err)
 	}
 	return nil
 }
 
-func (c *Client) conn(ctx context.Context, addr string) (*conn, error) {
-	if n := c.take(addr); n != nil {
+// getConn returns an idle connection to the address, or else a new one.
+func (c *Client) getConn(ctx context.Context, addr string) (*conn, error) {
+	if n := c.takeIdle(addr); n != nil {
 		return n, nil
 	}
 	d := net.Dialer{Timeout: dialTimeout}
 	k, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
-		return nil, errors.Wrap(err, "httpconn")
+		return nil, errors.Wrap(err, "httpconn: connect")
 	}
-	return &conn{c: k, r: bufio.NewReader(k), w: bufio.NewWriter(k)}, nil
+	return &conn{netConn: k, reader: bufio.NewReader(k), writer: bufio.NewWriter(k)}, nil
 }
 
-func (c *Client) take(addr string) *conn {
+// takeIdle removes the most recently used idle connection and returns it; nil if there is
+// none. It closes connections that have expired, were closed by the server or have unread
+// bytes.
+func (c *Client) takeIdle(addr string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for l := c.idle[addr]; len(l) > 0; l = c.idle[addr] {
 		n := l[len(l)-1]
 		c.idle[addr] = l[:len(l)-1]
-		if time.Now().Before(n.expires) && Quiet(n.c) {
+		if time.Now().Before(n.expires) && Quiet(n.netConn) {
 			return n
 		}
-		_ = n.c.Close()
+		_ = n.netConn.Close()
 	}
 	return nil
 }
 
-func (c *Client) put(addr string, n *conn) {
-	_ = n.c.SetDeadline(time.Time{})
-	n.expires = time.Now().Add(idleFor)
+// putIdle keeps a connection for the next request, or closes it.
+func (c *Client) putIdle(addr string, n *conn) {
+	_ = n.netConn.SetDeadline(time.Time{})
+	n.expires = time.Now().Add(idleTimeout)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// What is read ahead belongs to no request: a second answer, or a late one.
-	if len(c.idle[addr]) >= idlePerPeer || n.r.Buffered() > 0 {
-		_ = n.c.Close()
+	// Buffered bytes belong to no request: they are a second or a late response.
+	if len(c.idle[addr]) >= maxIdlePerAddr || n.reader.Buffered() > 0 {
+		_ = n.netConn.Close()
 		return
 	}
 	c.idle[addr] = append(c.idle[addr], n)
 }
 
+// dropIdle closes all idle connections to the address.
 func (c *Client) dropIdle(addr string) {
 	c.mu.Lock()
 	l := c.idle[addr]
 	delete(c.idle, addr)
 	c.mu.Unlock()
 	for _, n := range l {
-		_ = n.c.Close()
+		_ = n.netConn.Close()
 	}
 }
 
-// Quiet reports whether an idle connection is open and has nothing to read:
-// a peer that closed it shows as readable.
+// Quiet reports whether an idle connection is open and has no unread bytes. It reads
+// without blocking: a connection that the peer has closed is readable.
 func Quiet(c net.Conn) bool {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -194,12 +207,12 @@
 	if err != nil {
 		return false
 	}
-	q := false
+	idle := false
 	err = r.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, e := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		q = errors.Is(e, syscall.EAGAIN)
+		idle = errors.Is(e, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && q
+	return err == nil && idle
 }
--- a/adapter/httpconn/httpconn_test.go
+++ b/adapter/httpconn/httpconn_test.go
@@ -14,8 +14,9 @@
 	"fieldvale/outcome"
 )
 
-// server answers each connection by f until the test ends.
-func server(t *testing.T, f func(n int, c net.Conn)) string {
+// startServer calls f with the number of each connection and the connection, until the test
+// ends, and returns the server's address.
+func startServer(t *testing.T, f func(n int, c net.Conn)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -44,6 +45,7 @@
 	return string(p.Body()), err
 }
 
+// ok is the header of a response with a body of two bytes.
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
 
 func readRequest(r *bufio.Reader) bool {
@@ -51,7 +53,8 @@
 	return q.Read(r) == nil
 }
 
-func TestRefusalBeforeBytesIsNotRun(t *testing.T) {
+// A refused connection must be NotRun, or the request could not be sent to another server.
+func TestRefusedConnectionIsNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -59,11 +62,13 @@
 	a := l.Addr().String()
 	_ = l.Close()
 	if _, err := do(httpconn.New(), a, "x"); outcome.Of(err) != outcome.NotRun {
-		t.Errorf("nobody listens: %v, want not run", err)
+		t.Errorf("no listener: got error %v, want outcome NotRun", err)
 	}
 }
 
-func TestRefusalAfterBytesWereSentIsUnknown(t *testing.T) {
+// A failure after bytes were sent must be Unknown: the server may have run the request, and a
+// retry would run it twice.
+func TestFailureAfterBytesWereSentIsUnknown(t *testing.T) {
 	for name, f := range map[string]func(int, net.Conn){
 		"closed after the request": func(_ int, c net.Conn) { readRequest(bufio.NewReader(c)); _ = c.Close() },
 		"reset after a byte": func(_ int, c net.Conn) {
@@ -71,28 +76,28 @@
 			_ = c.(*net.TCPConn).SetLinger(0)
 			_ = c.Close()
 		},
-		"head cut short": func(_ int, c net.Conn) {
+		"truncated header": func(_ int, c net.Conn) {
 			readRequest(bufio.NewReader(c))
 			_, _ = io.WriteString(c, "HTTP/1.")
 			_ = c.Close()
 		},
-		"body cut short": func(_ int, c net.Conn) {
+		"truncated body": func(_ int, c net.Conn) {
 			readRequest(bufio.NewReader(c))
 			_, _ = io.WriteString(c, ok+"a")
 			_ = c.Close()
 		},
-		"silent": func(_ int, c net.Conn) { readRequest(bufio.NewReader(c)) },
+		"no response": func(_ int, c net.Conn) { readRequest(bufio.NewReader(c)) },
 	} {
-		if _, err := do(httpconn.New(), server(t, f), "x"); err == nil || outcome.Of(err) != outcome.Unknown {
-			t.Errorf("%s: %v, want unknown", name, err)
+		if _, err := do(httpconn.New(), startServer(t, f), "x"); err == nil || outcome.Of(err) != outcome.Unknown {
+			t.Errorf("%s: got error %v, want outcome Unknown", name, err)
 		}
 	}
 }
 
-// An answer that comes twice, or late, must not be taken for the next
-// request's.
-func TestSecondAnswerOnAConnectionIsNotTheNextOnes(t *testing.T) {
-	a := server(t, func(n int, c net.Conn) {
+// A second or late response on a connection must not be returned as the response to the next
+// request.
+func TestSecondResponseIsDiscarded(t *testing.T) {
+	a := startServer(t, func(n int, c net.Conn) {
 		r := bufio.NewReader(c)
 		for readRequest(r) {
 			body := "a" + string(rune('0'+n))
@@ -104,14 +109,16 @@
 	for range 20 {
 		g, err := do(c, a, "x")
 		if err != nil || g == "!!" {
-			t.Fatalf("got %q, %v", g, err)
+			t.Fatalf("got body %q and error %v, want the first response's body and no error", g, err)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-func TestIdleConnectionThatThePeerClosedIsNotUsed(t *testing.T) {
-	a := server(t, func(_ int, c net.Conn) {
+// A request over an idle connection that the server has closed would fail with an unknown
+// outcome.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	a := startServer(t, func(_ int, c net.Conn) {
 		readRequest(bufio.NewReader(c))
 		_, _ = io.WriteString(c, ok+"ok")
 		_ = c.Close()
@@ -125,9 +132,11 @@
 	}
 }
 
-func TestStreamIsCancelledAtOnce(t *testing.T) {
+// A stream whose context is cancelled must end with an error, not as if it were complete, and
+// close its connection, so that the server stops.
+func TestCancelledStream(t *testing.T) {
 	ended := make(chan struct{})
-	a := server(t, func(_ int, c net.Conn) {
+	a := startServer(t, func(_ int, c net.Conn) {
 		readRequest(bufio.NewReader(c))
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n")
 		_, _ = c.Read(make([]byte, 1))
@@ -142,7 +151,7 @@
 	}
 	go cancel()
 	if _, err := io.ReadAll(l.Body()); err == nil {
-		t.Error("a cancelled stream ended as if it were whole")
+		t.Error("cancelled stream: got no error, want one")
 	}
 	l.Close()
 	<-ended
