--- a/adapter/etcd/etcd.go
+++ b/adapter/etcd/etcd.go
@@ -1,5 +1,5 @@
-// Package etcd reaches the platform's key-value service by the JSON form of
-// the etcd v3 protocol (https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/).
+// Package etcd is a client of the platform's key-value service, over the JSON gateway of the
+// etcd v3 protocol (https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/).
 package etcd
 
 import (
@@ -26,17 +26,18 @@
 	pathWatch = "/v3/watch"
 )
 
-// leaseBucket is the grain of expiry: keys that expire in the same bucket
-// share one lease, so that a claim costs one write and not two.
+// leaseBucket is the granularity of key expiry. Keys that expire in the same bucket share
+// one lease, so that a claim needs one write instead of two.
 const leaseBucket = 10 * time.Minute
 
-// Client is a store.Store. It is safe for concurrent use.
+// Client implements store.Store. It is safe for concurrent use.
 type Client struct {
-	addr   string
-	http   *httpconn.Client
-	mu     sync.Mutex
+	addr string
+	http *httpconn.Client
+	mu   sync.Mutex
+	// leases are the ids of granted leases by the Unix time at which their bucket ends.
 	leases map[int64]string
-	// Count is called with the method of each call; it may be nil.
+	// Count is called with the URL path of each request; it may be nil.
 	Count func(method string)
 }
 
@@ -85,14 +86,14 @@
 	Failure []wireOp      `json:"failure,omitempty"`
 }
 
-type wireTxnAnswer struct {
+type wireTxnResponse struct {
 	Succeeded bool             `json:"succeeded"`
 	Responses []wireOpResponse `json:"responses"`
 }
 
 type wireOpResponse struct {
-	Range *wireKVs       `json:"response_range"`
-	Txn   *wireTxnAnswer `json:"response_txn"`
+	Range *wireKVs         `json:"response_range"`
+	Txn   *wireTxnResponse `json:"response_txn"`
 }
 
 // Get implements store.Store.
@@ -104,7 +105,7 @@
 	if len(a.KVs) == 0 {
 		return store.Pair{Key: key}, nil
 	}
-	return pair(a.KVs[0])
+	return toPair(a.KVs[0])
 }
 
 // List implements store.Store.
@@ -114,29 +115,31 @@
 	if err := c.call(ctx, pathRange, q, &a); err != nil {
 		return nil, errors.Wrapf(err, "list %s", prefix)
 	}
-	return pairs(a.KVs)
+	return toPairs(a.KVs)
 }
 
-// prefixEnd is the first key after all that have the prefix, which is never
-// empty and ends with '/'.
+// prefixEnd returns the first key after all keys with the prefix. The prefix must not be
+// empty and must end with '/'.
 func prefixEnd(p string) []byte {
 	b := []byte(p)
 	b[len(b)-1]++
 	return b
 }
 
-func pair(k wireKV) (store.Pair, error) {
+// toPair converts a key with its value.
+func toPair(k wireKV) (store.Pair, error) {
 	v, err := strconv.ParseInt(k.ModRevision, 10, 64)
 	if err != nil {
-		return store.Pair{}, errors.Wrapf(err, "mod_revision of %s", k.Key)
+		return store.Pair{}, errors.Wrapf(err, "parse mod_revision of %s", k.Key)
 	}
 	return store.Pair{Key: string(k.Key), Value: k.Value, Version: v}, nil
 }
 
-func pairs(k []wireKV) ([]store.Pair, error) {
+// toPairs converts keys with their values.
+func toPairs(k []wireKV) ([]store.Pair, error) {
 	r := make([]store.Pair, 0, len(k))
 	for _, x := range k {
-		p, err := pair(x)
+		p, err := toPair(x)
 		if err != nil {
 			return nil, err
 		}
@@ -145,7 +148,7 @@
 	return r, nil
 }
 
-// Commit implements store.Store.
+// Commit implements store.Store by one transaction.
 func (c *Client) Commit(ctx context.Context, g []store.Guard, w []store.Write) (bool, error) {
 	var t wireTxn
 	for _, x := range g {
@@ -158,14 +161,14 @@
 		}
 		t.Success = append(t.Success, wireOp{Put: p})
 	}
-	var a wireTxnAnswer
+	var a wireTxnResponse
 	if err := c.call(ctx, pathTxn, t, &a); err != nil {
 		return false, errors.Wrap(err, "commit")
 	}
 	return a.Succeeded, nil
 }
 
-// CreateAll implements store.Store.
+// CreateAll implements store.Store by one transaction with a nested one for each key.
 func (c *Client) CreateAll(ctx context.Context, w []store.Write) ([]store.Pair, error) {
 	var t wireTxn
 	for _, x := range w {
@@ -180,24 +183,25 @@
 			Failure: []wireOp{r},
 		}})
 	}
-	var a wireTxnAnswer
+	var a wireTxnResponse
 	if err := c.call(ctx, pathTxn, t, &a); err != nil {
 		return nil, errors.Wrap(err, "create")
 	}
-	return created(w, a)
+	return createdPairs(w, a)
 }
 
-func created(w []store.Write, a wireTxnAnswer) ([]store.Pair, error) {
+// createdPairs returns the pairs in the response to CreateAll, one for each write.
+func createdPairs(w []store.Write, a wireTxnResponse) ([]store.Pair, error) {
 	if len(a.Responses) != len(w) {
-		return nil, errors.Wrapf(store.ErrUnknown, "create: %d answers to %d writes", len(a.Responses), len(w))
+		return nil, errors.Wrapf(store.ErrUnknown, "create: got %d responses, want %d", len(a.Responses), len(w))
 	}
 	r := make([]store.Pair, len(w))
 	for i, x := range a.Responses {
 		k, ok := lastRange(x)
 		if !ok {
-			return nil, errors.Wrapf(store.ErrUnknown, "create: no value under %s", w[i].Key)
+			return nil, errors.Wrapf(store.ErrUnknown, "create: response has no value of %s", w[i].Key)
 		}
-		p, err := pair(k)
+		p, err := toPair(k)
 		if err != nil {
 			return nil, err
 		}
@@ -206,6 +210,7 @@
 	return r, nil
 }
 
+// lastRange returns the key read by the last operation of a nested transaction.
 func lastRange(r wireOpResponse) (wireKV, bool) {
 	if r.Txn == nil || len(r.Txn.Responses) == 0 {
 		return wireKV{}, false
@@ -217,10 +222,12 @@
 	return l.Range.KVs[0], true
 }
 
+// compare converts a guard.
 func compare(g store.Guard) wireCompare {
 	return wireCompare{Key: []byte(g.Key), Target: "MOD", Result: "EQUAL", ModRevision: strconv.FormatInt(g.Version, 10)}
 }
 
+// put converts a write. It grants a lease for a key that expires.
 func (c *Client) put(ctx context.Context, w store.Write) (*wireKV, error) {
 	k := &wireKV{Key: []byte(w.Key), Value: w.Value}
 	if w.Expires.IsZero() {
@@ -231,7 +238,8 @@
 	return k, err
 }
 
-// lease returns the lease of the expiry's bucket, granted on first use.
+// lease returns the id of the lease for the bucket of the expiry t. It grants the lease on
+// first use.
 func (c *Client) lease(ctx context.Context, t time.Time) (string, error) {
 	b := t.Truncate(leaseBucket).Add(leaseBucket)
 	c.mu.Lock()
@@ -245,21 +253,23 @@
 	}
 	s := int64(time.Until(b)/time.Second) + 1
 	if err := c.call(ctx, pathGrant, map[string]string{"TTL": strconv.FormatInt(s, 10)}, &a); err != nil {
-		return "", errors.Wrap(unsent(err), "lease")
+		return "", errors.Wrap(notWritten(err), "grant a lease")
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.forgetLeases()
+	c.dropExpiredLeases()
 	c.leases[b.Unix()] = a.ID
 	return a.ID, nil
 }
 
-// unsent says of a failed step before the write itself that nothing changed.
-func unsent(err error) error {
+// notWritten marks the error of a step before the write as store.ErrUnavailable. It drops an
+// ErrUnknown mark, since the write itself was not sent.
+func notWritten(err error) error {
 	return errors.Mark(errors.Newf("%v", err), store.ErrUnavailable)
 }
 
-func (c *Client) forgetLeases() {
+// dropExpiredLeases removes the ids of expired leases. The caller must hold c.mu.
+func (c *Client) dropExpiredLeases() {
 	n := time.Now().Unix()
 	for b := range c.leases {
 		if b < n {
@@ -268,7 +278,7 @@
 	}
 }
 
-// Wait implements store.Store by a watch that is closed at its first event.
+// Wait implements store.Store by a watch that it closes after the first event.
 func (c *Client) Wait(ctx context.Context, key string, above int64) (store.Pair, error) {
 	type create struct {
 		Key           []byte `json:"key"`
@@ -276,7 +286,7 @@
 	}
 	b, err := json.Marshal(map[string]create{"create_request": {Key: []byte(key), StartRevision: strconv.FormatInt(above+1, 10)}})
 	if err != nil {
-		return store.Pair{}, errors.Wrap(err, "etcd.Wait")
+		return store.Pair{}, errors.Wrap(err, "etcd: encode a watch request")
 	}
 	c.count(pathWatch)
 	q, p := c.request(pathWatch, b)
@@ -288,11 +298,12 @@
 	}
 	defer l.Close()
 	if p.StatusCode() != fasthttp.StatusOK {
-		return store.Pair{}, errors.Wrapf(store.ErrUnavailable, "watch %s: status %d", key, p.StatusCode())
+		return store.Pair{}, errors.Wrapf(store.ErrUnavailable, "watch %s: got status %d, want 200", key, p.StatusCode())
 	}
 	return firstEvent(l, key)
 }
 
+// firstEvent reads a watch until a message has events, and returns the last of them.
 func firstEvent(l *httpconn.Call, key string) (store.Pair, error) {
 	d := json.NewDecoder(bufio.NewReader(l.Body()))
 	for {
@@ -307,7 +318,7 @@
 			return store.Pair{}, errors.Mark(errors.Wrapf(err, "watch %s", key), store.ErrUnavailable)
 		}
 		if n := len(a.Result.Events); n > 0 {
-			return pair(a.Result.Events[n-1].KV)
+			return toPair(a.Result.Events[n-1].KV)
 		}
 	}
 }
@@ -318,6 +329,7 @@
 	}
 }
 
+// request returns a POST request and a response to fill. The caller must release both.
 func (c *Client) request(path string, b []byte) (*fasthttp.Request, *fasthttp.Response) {
 	q, p := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	q.Header.SetMethod(fasthttp.MethodPost)
@@ -327,12 +339,13 @@
 	return q, p
 }
 
-// call posts one request. A failure after bytes were sent is ErrUnknown
-// unless the service itself refused.
+// call sends a request and decodes the response into out. A failure after bytes were sent is
+// store.ErrUnknown, unless the service itself returned an error status; any other failure is
+// store.ErrUnavailable.
 func (c *Client) call(ctx context.Context, path string, in, out any) error {
 	b, err := json.Marshal(in)
 	if err != nil {
-		return errors.Wrap(err, "etcd")
+		return errors.Wrap(err, "etcd: encode a request")
 	}
 	c.count(path)
 	q, p := c.request(path, b)
@@ -342,7 +355,7 @@
 		return classify(err)
 	}
 	if p.StatusCode() != fasthttp.StatusOK {
-		return errors.Wrapf(store.ErrUnavailable, "%s%s: status %d", c.addr, path, p.StatusCode())
+		return errors.Wrapf(store.ErrUnavailable, "%s%s: got status %d, want 200", c.addr, path, p.StatusCode())
 	}
 	if err := json.Unmarshal(p.Body(), out); err != nil {
 		return errors.Mark(errors.Wrapf(err, "%s%s", c.addr, path), store.ErrUnknown)
@@ -350,6 +363,7 @@
 	return nil
 }
 
+// classify marks a transport error by whether the request may have been applied.
 func classify(err error) error {
 	if outcome.Of(err) == outcome.NotRun {
 		return errors.Mark(err, store.ErrUnavailable)
--- a/adapter/platform/platform.go
+++ b/adapter/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform reaches the platform's instance list and rating service,
-// and asks backend servers for their load and gives them orders.
+// Package platform is a client of the platform's instance list and rating service, and of
+// the load reports and orders of backend servers.
 package platform
 
 import (
@@ -17,7 +17,7 @@
 	"fieldvale/version"
 )
 
-// List is what the platform's list of instances says.
+// List is the platform's list of fieldvale instances and of backend servers.
 type List struct {
 	Members  []peer.Member
 	Replicas []pool.Replica
@@ -25,16 +25,17 @@
 
 // Platform is a client of the platform's services.
 type Platform struct {
-	http   *httpconn.Client
-	list   string
-	rating string
+	http *httpconn.Client
+	// listAddr and ratingAddr are the addresses of the list and of the rating service.
+	listAddr   string
+	ratingAddr string
 }
 
 var _ entry.Rater = (*Platform)(nil)
 
-// New returns a client of the list and the rating service at those addresses.
-func New(c *httpconn.Client, list, rating string) *Platform {
-	return &Platform{http: c, list: list, rating: rating}
+// New returns a client of the list and the rating service at the given addresses.
+func New(c *httpconn.Client, listAddr, ratingAddr string) *Platform {
+	return &Platform{http: c, listAddr: listAddr, ratingAddr: ratingAddr}
 }
 
 type wireInstance struct {
@@ -48,16 +49,17 @@
 	Leaving     bool   `json:"leaving"`
 }
 
-// memberKind is how the list names fieldvale's own instances.
+// memberKind is the kind of fieldvale's own instances in the list.
 const memberKind = "fieldvale"
 
-// Instances returns the list, which lags.
+// Instances returns the list, which lags behind the actual state. It leaves out draining
+// instances of fieldvale.
 func (p *Platform) Instances(ctx context.Context) (List, error) {
 	var w struct {
 		Instances []wireInstance `json:"instances"`
 	}
-	if err := p.get(ctx, p.list, "/v1/instances", &w); err != nil {
-		return List{}, errors.Wrap(err, "platform.Instances")
+	if err := p.get(ctx, p.listAddr, "/v1/instances", &w); err != nil {
+		return List{}, errors.Wrap(err, "platform: list instances")
 	}
 	var l List
 	for _, i := range w.Instances {
@@ -75,7 +77,7 @@
 	return l, nil
 }
 
-// Report is what a model engine says of itself.
+// Report is a model engine's report of its load and state.
 type Report struct {
 	Running  int
 	Waiting  int
@@ -84,7 +86,7 @@
 	Versions []version.ID
 }
 
-// Load asks an engine for its report.
+// Load fetches an engine's report.
 func (p *Platform) Load(ctx context.Context, r pool.Replica) (Report, error) {
 	var w struct {
 		Running  int      `json:"running"`
@@ -94,44 +96,44 @@
 		Versions []string `json:"versions"`
 	}
 	if err := p.get(ctx, r.Addr, "/load", &w); err != nil {
-		return Report{}, errors.Wrapf(err, "platform.Load %s", r.ID)
+		return Report{}, errors.Wrapf(err, "platform: fetch the load of %s", r.ID)
 	}
 	o := Report{Running: w.Running, Waiting: w.Waiting, Slots: w.Slots, Leaving: w.Leaving}
 	for _, t := range w.Versions {
 		v, err := version.Parse(t)
 		if err != nil {
-			return o, errors.Wrapf(err, "platform.Load %s", r.ID)
+			return o, errors.Wrapf(err, "platform: load report of %s", r.ID)
 		}
 		o.Versions = append(o.Versions, v)
 	}
 	return o, nil
 }
 
-// Unload orders an engine to take no more work for a version. The fence is
-// the configuration's revision; an engine that checks refuses a lower one
-// than it has seen.
+// Unload orders an engine to accept no more requests for a version. fence is the revision of
+// the configuration. It is a fencing token: an engine that checks it refuses an order with a
+// lower one than it has seen.
 func (p *Platform) Unload(ctx context.Context, r pool.Replica, v version.ID, fence uint64) error {
 	b, err := json.Marshal(map[string]any{"order": "unload", "version": v.String(), "fence": fence})
 	if err != nil {
-		return errors.Wrap(err, "platform.Unload")
+		return errors.Wrap(err, "platform: encode an order")
 	}
-	return errors.Wrapf(p.post(ctx, r.Addr, "/orders", b, nil), "platform.Unload %s", r.ID)
+	return errors.Wrapf(p.post(ctx, r.Addr, "/orders", b, nil), "platform: order %s to unload a version", r.ID)
 }
 
-// Rate implements entry.Rater.
+// Rate implements entry.Rater by the platform's rating service.
 func (p *Platform) Rate(ctx context.Context, request, answer []byte) (float64, error) {
 	b, err := json.Marshal(map[string]string{"request": string(request), "answer": string(answer)})
 	if err != nil {
-		return 0, errors.Wrap(err, "platform.Rate")
+		return 0, errors.Wrap(err, "platform: encode a rating request")
 	}
 	var w struct {
 		Rating *float64 `json:"rating"`
 	}
-	if err := p.post(ctx, p.rating, "/v1/ratings", b, &w); err != nil {
-		return 0, errors.Wrap(err, "platform.Rate")
+	if err := p.post(ctx, p.ratingAddr, "/v1/ratings", b, &w); err != nil {
+		return 0, errors.Wrap(err, "platform: rate an answer")
 	}
 	if w.Rating == nil {
-		return 0, errors.New("platform.Rate: answer has no rating")
+		return 0, errors.New("platform: rate an answer: response has no rating")
 	}
 	return *w.Rating, nil
 }
@@ -147,6 +149,7 @@
 // callTimeout bounds a call whose context has no earlier deadline.
 const callTimeout = 3 * time.Second
 
+// call sends a JSON request and decodes the response into out unless out is nil.
 func (p *Platform) call(ctx context.Context, method, addr, path string, b []byte, out any) error {
 	x, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -161,7 +164,7 @@
 		return err
 	}
 	if a.StatusCode() != fasthttp.StatusOK {
-		return errors.Newf("%s%s: status %d", addr, path, a.StatusCode())
+		return errors.Newf("%s%s: got status %d, want 200", addr, path, a.StatusCode())
 	}
 	if out == nil {
 		return nil
