--- a/adapter/backend/engine.go
+++ b/adapter/backend/engine.go
@@ -159,7 +159,7 @@
 	}
 	n, err := readStream(r, a, l, sink)
 	if err == nil {
-		l.Done()
+		l.MarkBodyRead()
 	}
 	return n, withContext(ctx, err)
 }
--- a/adapter/codec/codec_test.go
+++ b/adapter/codec/codec_test.go
@@ -24,6 +24,7 @@
 	m2   = version.New("lingua-small", "2")
 )
 
+// document returns a document with all fields set.
 func document(t testing.TB) config.Document {
 	f, err := policyfile.ReadDir("../../examples/shared-memory")
 	if err != nil {
@@ -46,7 +47,9 @@
 	}
 }
 
-func TestValuesComeBackAsTheyWere(t *testing.T) {
+// A value must be the same after encoding and decoding. A field that the codec leaves out would
+// be lost in the store or on the way to another instance.
+func TestRoundTrip(t *testing.T) {
 	d := document(t)
 	b, err := codec.EncodeDocument(d)
 	if err != nil {
@@ -54,42 +57,43 @@
 	}
 	g, err := codec.DecodeDocument(b)
 	if x := cmp.Diff(d, g); err != nil || x != "" {
-		t.Error(err, x)
+		t.Errorf("document: got error %v, (-want +got):\n%s", err, x)
 	}
 	if r, err := codec.PeekRevision(b); err != nil || r != 9 {
-		t.Errorf("revision %d, %v", r, err)
+		t.Errorf("got revision %d and error %v, want 9 and no error", r, err)
 	}
 	c := claim.New("t/c", "k", "n", "i", noon).WithAnswer(200, []byte("yes"))
 	b, _ = codec.EncodeClaim(c)
 	k, err := codec.DecodeClaim(b)
 	if x := cmp.Diff(c, k); err != nil || x != "" {
-		t.Error(err, x)
+		t.Errorf("claim: got error %v, (-want +got):\n%s", err, x)
 	}
 	l := bill.NewLedger("o").With(bill.Record{Owner: "o", Seq: 2, Line: bill.Line{Team: "t", Customer: "c", Version: m1}, Add: bill.Amount{Requests: 1, Cost: 5}})
 	b, _ = codec.EncodeLedger(l)
 	o, err := codec.DecodeLedger(b)
 	if x := cmp.Diff(l, o); err != nil || x != "" {
-		t.Error(err, x)
+		t.Errorf("ledger: got error %v, (-want +got):\n%s", err, x)
 	}
 	e := audit.Entry{Revision: 1, ChangeID: "c", Team: "t", Who: "w", At: noon, Action: audit.Accept, From: "f", To: "t", Why: "y"}
 	b, _ = codec.EncodeAudit(e, map[string]string{"f": "x"})
 	a, f, err := codec.DecodeAudit(b)
 	if x := cmp.Diff(e, a); err != nil || x != "" || f["f"] != "x" {
-		t.Error(err, x, f)
+		t.Errorf("audit entry: got error %v, (-want +got):\n%s\nand files %v", err, x, f)
 	}
 	h := peer.Heartbeat{Addr: "a", DataCentre: "d", Incarnation: "i", EntryIncarnation: "e", Revision: 3, EntryRevision: 2, StoreOK: true, LedgerUpto: 4, Alarms: []string{"x"}}
 	b, _ = codec.EncodeHeartbeat(h)
 	j, err := codec.DecodeHeartbeat(b)
 	if x := cmp.Diff(h, j); err != nil || x != "" {
-		t.Error(err, x)
+		t.Errorf("heartbeat: got error %v, (-want +got):\n%s", err, x)
 	}
 	v, err := codec.DecodeEvidence(codec.EncodeEvidence(rollout.Outcomes{Good: 300, Bad: 2}))
 	if err != nil || v != (rollout.Outcomes{Good: 300, Bad: 2}) {
-		t.Error(v, err)
+		t.Errorf("evidence: got %v and error %v, want 300 good, 2 bad and no error", v, err)
 	}
 }
 
-// What peers and the store send is read without a panic, whatever it is.
+// Invalid bytes from a peer or the store must give an error and not a panic, and a document that
+// decodes without an error must be usable.
 func FuzzDecode(f *testing.F) {
 	b, err := codec.EncodeDocument(document(f))
 	if err != nil {
--- a/adapter/codec/document.go
+++ b/adapter/codec/document.go
@@ -1,5 +1,5 @@
-// Package codec maps domain values to and from the bytes that the platform's
-// store keeps. Domain types carry no tags; the types here do.
+// Package codec encodes and decodes domain values for the platform's store and for peers. The
+// types here have the JSON tags, so that domain types need none.
 package codec
 
 import (
@@ -49,8 +49,8 @@
 	Due   time.Time `json:"due"`
 }
 
-// EncodeDocument returns the document's bytes. One that the store could not
-// hold is refused.
+// EncodeDocument encodes a document as JSON. It returns an error if the result is larger than
+// a value of the store may be.
 func EncodeDocument(d config.Document) ([]byte, error) {
 	w := wireDocument{Revision: d.Revision, Recent: d.Recent, Parts: map[string]wirePart{}}
 	for _, k := range d.SessionKeys {
@@ -61,10 +61,10 @@
 	}
 	b, err := json.Marshal(w)
 	if err != nil {
-		return nil, errors.Wrap(err, "codec.EncodeDocument")
+		return nil, errors.Wrap(err, "codec: encode document")
 	}
 	if len(b) > store.MaxValue {
-		return nil, errors.Newf("codec.EncodeDocument: the configuration of all teams is %d bytes, the store takes %d", len(b), store.MaxValue)
+		return nil, errors.Newf("codec: encode document: the configuration of all teams has %d bytes, more than the %d that the store accepts", len(b), store.MaxValue)
 	}
 	return b, nil
 }
@@ -96,21 +96,21 @@
 	return r
 }
 
-// PeekRevision reads only the revision of an encoded document, for a reader
-// that may not need the rest.
+// PeekRevision decodes only the revision of an encoded document. It is cheaper than
+// DecodeDocument for a reader that may not need the other fields.
 func PeekRevision(b []byte) (uint64, error) {
 	var w struct {
 		Revision uint64 `json:"revision"`
 	}
 	err := json.Unmarshal(b, &w)
-	return w.Revision, errors.Wrap(err, "codec.PeekRevision")
+	return w.Revision, errors.Wrap(err, "codec: decode the revision of a document")
 }
 
-// DecodeDocument reads what EncodeDocument wrote.
+// DecodeDocument is the inverse of EncodeDocument.
 func DecodeDocument(b []byte) (config.Document, error) {
 	var w wireDocument
 	if err := json.Unmarshal(b, &w); err != nil {
-		return config.Document{}, errors.Wrap(err, "codec.DecodeDocument")
+		return config.Document{}, errors.Wrap(err, "codec: decode document")
 	}
 	d := config.Document{Revision: w.Revision, Recent: w.Recent, Parts: map[string]config.Part{}}
 	for _, k := range w.Keys {
@@ -119,7 +119,7 @@
 	for t, p := range w.Parts {
 		x, err := partFromWire(t, p)
 		if err != nil {
-			return config.Document{}, errors.Wrapf(err, "codec.DecodeDocument: team %s", t)
+			return config.Document{}, errors.Wrapf(err, "codec: decode document: part of team %s", t)
 		}
 		d.Parts[t] = x
 	}
@@ -156,6 +156,7 @@
 	return p, nil
 }
 
+// rolloutFromWire converts a roll-out and checks that its number of steps taken is valid.
 func rolloutFromWire(w wireRollout) (rollout.Rollout, error) {
 	f, err := version.Parse(w.From)
 	if err != nil {
@@ -170,7 +171,7 @@
 		r.Steps = append(r.Steps, rollout.Step{Share: s.Share, Due: s.Due})
 	}
 	if len(r.Steps) == 0 || r.StepsTaken < 0 || r.StepsTaken > len(r.Steps) {
-		return r, errors.Newf("roll-out to %s has taken %d of %d steps", t, r.StepsTaken, len(r.Steps))
+		return r, errors.Newf("roll-out to %s: %d of %d steps taken, want at least one step and no more taken than there are", t, r.StepsTaken, len(r.Steps))
 	}
 	return r, nil
 }
--- a/adapter/codec/records.go
+++ b/adapter/codec/records.go
@@ -27,21 +27,21 @@
 	Files    map[string]string `json:"files,omitempty"`
 }
 
-// EncodeAudit returns the entry's bytes. files are those that an accept put
-// in force, kept so that an older policy can be shown.
+// EncodeAudit encodes an audit entry as JSON. files are the policy files that an accept put
+// in force; they are stored with the entry so that an older policy can be shown.
 func EncodeAudit(e audit.Entry, files map[string]string) ([]byte, error) {
 	b, err := json.Marshal(wireAudit{
 		Revision: e.Revision, ChangeID: e.ChangeID, Team: e.Team, Who: e.Who, At: e.At,
 		Action: string(e.Action), From: e.From, To: e.To, Why: e.Why, Files: files,
 	})
-	return b, errors.Wrap(err, "codec.EncodeAudit")
+	return b, errors.Wrap(err, "codec: encode audit entry")
 }
 
-// DecodeAudit reads what EncodeAudit wrote.
+// DecodeAudit is the inverse of EncodeAudit.
 func DecodeAudit(b []byte) (audit.Entry, map[string]string, error) {
 	var w wireAudit
 	if err := json.Unmarshal(b, &w); err != nil {
-		return audit.Entry{}, nil, errors.Wrap(err, "codec.DecodeAudit")
+		return audit.Entry{}, nil, errors.Wrap(err, "codec: decode audit entry")
 	}
 	return audit.Entry{
 		Revision: w.Revision, ChangeID: w.ChangeID, Team: w.Team, Who: w.Who, At: w.At,
@@ -60,20 +60,20 @@
 	Answer   []byte    `json:"answer,omitempty"`
 }
 
-// EncodeClaim returns the claim's bytes.
+// EncodeClaim encodes a claim as JSON.
 func EncodeClaim(c claim.Claim) ([]byte, error) {
 	b, err := json.Marshal(wireClaim{
 		Customer: c.Customer, Key: c.Key, Nonce: c.Nonce, Holder: c.Holder, Deadline: c.Deadline,
 		State: string(c.State), Status: c.Status, Answer: c.Answer,
 	})
-	return b, errors.Wrap(err, "codec.EncodeClaim")
+	return b, errors.Wrap(err, "codec: encode claim")
 }
 
-// DecodeClaim reads what EncodeClaim wrote.
+// DecodeClaim is the inverse of EncodeClaim.
 func DecodeClaim(b []byte) (claim.Claim, error) {
 	var w wireClaim
 	if err := json.Unmarshal(b, &w); err != nil {
-		return claim.Claim{}, errors.Wrap(err, "codec.DecodeClaim")
+		return claim.Claim{}, errors.Wrap(err, "codec: decode claim")
 	}
 	return claim.Claim{
 		Customer: w.Customer, Key: w.Key, Nonce: w.Nonce, Holder: w.Holder, Deadline: w.Deadline,
@@ -99,7 +99,8 @@
 	Cost      uint64 `json:"cost"`
 }
 
-// EncodeLedger returns the ledger's bytes.
+// EncodeLedger encodes a ledger as JSON in a fixed order, so that equal ledgers have equal
+// bytes.
 func EncodeLedger(l bill.Ledger) ([]byte, error) {
 	w := wireLedger{Owner: l.Owner, Upto: l.Upto, Changes: l.Changes}
 	for n := range l.Above {
@@ -116,14 +117,14 @@
 		return strings.Compare(a.Team+"/"+a.Customer+"/"+a.Version, b.Team+"/"+b.Customer+"/"+b.Version)
 	})
 	b, err := json.Marshal(w)
-	return b, errors.Wrap(err, "codec.EncodeLedger")
+	return b, errors.Wrap(err, "codec: encode ledger")
 }
 
-// DecodeLedger reads what EncodeLedger wrote.
+// DecodeLedger is the inverse of EncodeLedger.
 func DecodeLedger(b []byte) (bill.Ledger, error) {
 	var w wireLedger
 	if err := json.Unmarshal(b, &w); err != nil {
-		return bill.Ledger{}, errors.Wrap(err, "codec.DecodeLedger")
+		return bill.Ledger{}, errors.Wrap(err, "codec: decode ledger")
 	}
 	l := bill.Ledger{Owner: w.Owner, Upto: w.Upto, Changes: w.Changes, Above: map[uint64]bool{}, Sums: map[bill.Line]bill.Amount{}}
 	for _, n := range w.Above {
@@ -132,7 +133,7 @@
 	for _, x := range w.Lines {
 		v, err := version.Parse(x.Version)
 		if err != nil {
-			return l, errors.Wrap(err, "codec.DecodeLedger")
+			return l, errors.Wrap(err, "codec: decode ledger")
 		}
 		l.Sums[bill.Line{Team: x.Team, Customer: x.Customer, Version: v}] = bill.Amount{
 			Requests: x.Requests, TokensIn: x.TokensIn, TokensOut: x.TokensOut, Cost: x.Cost,
--- a/adapter/exchange/pool.go
+++ b/adapter/exchange/pool.go
@@ -150,7 +150,7 @@
 		c := l[len(l)-1]
 		p.idle[addr] = l[:len(l)-1]
 		p.mu.Unlock()
-		if p.clock().Before(c.expires) && httpconn.Quiet(c.netConn) {
+		if p.clock().Before(c.expires) && httpconn.IsReusable(c.netConn) {
 			return c
 		}
 		_ = c.netConn.Close()
--- a/adapter/httpconn/httpconn.go
+++ b/adapter/httpconn/httpconn.go
@@ -93,8 +93,8 @@
 // Body returns a reader of the response's body.
 func (l *Call) Body() io.Reader { return l.resp.BodyStream() }
 
-// Done marks the body as read to its end, so that Close keeps the connection.
-func (l *Call) Done() { l.bodyRead = true }
+// MarkBodyRead marks the body as read to its end, so that Close keeps the connection.
+func (l *Call) MarkBodyRead() { l.bodyRead = true }
 
 // Close ends the call. If the body was not read to its end, Close closes the connection,
 // which cancels the request at the server.
@@ -163,7 +163,7 @@
 	for l := c.idle[addr]; len(l) > 0; l = c.idle[addr] {
 		n := l[len(l)-1]
 		c.idle[addr] = l[:len(l)-1]
-		if time.Now().Before(n.expires) && Quiet(n.netConn) {
+		if time.Now().Before(n.expires) && IsReusable(n.netConn) {
 			return n
 		}
 		_ = n.netConn.Close()
@@ -196,9 +196,9 @@
 	}
 }
 
-// Quiet reports whether an idle connection is open and has no unread bytes. It reads
+// IsReusable reports whether an idle connection is open and has no unread bytes. It reads
 // without blocking: a connection that the peer has closed is readable.
-func Quiet(c net.Conn) bool {
+func IsReusable(c net.Conn) bool {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/adapter/inifile/inifile.go
+++ b/adapter/inifile/inifile.go
@@ -1,5 +1,5 @@
-// Package inifile reads INI texts section by section and gathers every fault
-// with its file, section and key, unknown ones included.
+// Package inifile parses INI files section by section. It collects all errors, each with its
+// file, section and key; unknown sections and keys are errors as well.
 package inifile
 
 import (
@@ -14,29 +14,30 @@
 	"fieldvale/version"
 )
 
-// File is one text while it is read.
+// File is a parsed INI file with the errors found so far.
 type File struct {
 	name     string
 	sections []*Section
-	e        []error
+	errs     []error
 }
 
-// Section is one section "kind name".
+// Section is a section with the header [KIND NAME]; Name may be empty.
 type Section struct {
-	Kind string
-	Name string
-	file *File
-	s    *ini.Section
+	Kind    string
+	Name    string
+	file    *File
+	section *ini.Section
+	// used has the keys that were read.
 	used map[string]bool
 }
 
-// Parse reads the text. Faults of the syntax are found by Errors.
+// Parse parses the text of the named file. Syntax errors are returned by Errors.
 func Parse(name, text string) *File {
 	f := &File{name: name}
 	o := ini.LoadOptions{IgnoreInlineComment: true, AllowDuplicateShadowValues: false}
 	i, err := ini.LoadSources(o, []byte(text))
 	if err != nil {
-		f.e = append(f.e, errors.Wrap(err, name))
+		f.errs = append(f.errs, errors.Wrap(err, name))
 		return f
 	}
 	for _, x := range i.Sections() {
@@ -44,134 +45,135 @@
 			continue
 		}
 		k, n, _ := strings.Cut(x.Name(), " ")
-		f.sections = append(f.sections, &Section{Kind: k, Name: strings.TrimSpace(n), file: f, s: x, used: map[string]bool{}})
+		f.sections = append(f.sections, &Section{Kind: k, Name: strings.TrimSpace(n), file: f, section: x, used: map[string]bool{}})
 	}
 	return f
 }
 
-// Each calls read for each section of one of the kinds; a section of another
-// kind, and each key that read did not ask for, is a fault.
+// Each calls read for each section of the given kinds. It adds an error for each section of
+// another kind and for each key that read did not use.
 func (f *File) Each(kinds []string, read func(*Section)) {
 	for _, s := range f.sections {
 		if !slices.Contains(kinds, s.Kind) {
-			f.e = append(f.e, errors.Newf("%s: [%s]: unknown section", f.name, s.s.Name()))
+			f.errs = append(f.errs, errors.Newf("%s: [%s]: unknown section", f.name, s.section.Name()))
 			continue
 		}
 		read(s)
-		s.unknown()
+		s.checkUnused()
 	}
 }
 
-// Errors returns the faults found.
-func (f *File) Errors() []error { return f.e }
+// Errors returns the errors found so far.
+func (f *File) Errors() []error { return f.errs }
 
-// Missing adds a fault for a section that must be there.
-func (f *File) Missing(kind string) {
-	f.e = append(f.e, errors.Newf("%s: [%s]: section is missing", f.name, kind))
+// AddMissingSection adds an error for a required section that is missing.
+func (f *File) AddMissingSection(kind string) {
+	f.errs = append(f.errs, errors.Newf("%s: [%s]: section is missing", f.name, kind))
 }
 
-func (s *Section) unknown() {
-	for _, k := range s.s.KeyStrings() {
+// checkUnused adds an error for each key that was not read.
+func (s *Section) checkUnused() {
+	for _, k := range s.section.KeyStrings() {
 		if !s.used[k] {
-			s.Fail(k, "unknown key")
+			s.AddError(k, "unknown key")
 		}
 	}
 }
 
-// Fail adds a fault of the key.
-func (s *Section) Fail(key, format string, a ...any) {
-	s.file.e = append(s.file.e, errors.Newf("%s: [%s] %s: "+format, append([]any{s.file.name, s.s.Name(), key}, a...)...))
+// AddError adds an error about the key's value.
+func (s *Section) AddError(key, format string, a ...any) {
+	s.file.errs = append(s.file.errs, errors.Newf("%s: [%s] %s: "+format, append([]any{s.file.name, s.section.Name(), key}, a...)...))
 }
 
-// Text returns the key's value, empty if it is not there.
-func (s *Section) Text(key string) string {
+// Value returns the key's value; empty if the key is missing.
+func (s *Section) Value(key string) string {
 	s.used[key] = true
-	return s.s.Key(key).String()
+	return s.section.Key(key).String()
 }
 
-// Need returns the key's value, which must be there.
+// Need returns the key's value. It adds an error if the value is missing or empty.
 func (s *Section) Need(key string) string {
-	t := s.Text(key)
+	t := s.Value(key)
 	if t == "" {
-		s.Fail(key, "is missing")
+		s.AddError(key, "is missing")
 	}
 	return t
 }
 
-// All returns all keys with their values, for a section whose keys are names.
-func (s *Section) All() map[string]string {
+// ValueMap returns all values by key, for a section whose keys are not fixed.
+func (s *Section) ValueMap() map[string]string {
 	m := map[string]string{}
-	for _, k := range s.s.Keys() {
+	for _, k := range s.section.Keys() {
 		s.used[k.Name()] = true
 		m[k.Name()] = k.String()
 	}
 	return m
 }
 
-// List returns the values that blanks or commas part.
-func (s *Section) List(key string) []string {
-	return strings.Fields(strings.ReplaceAll(s.Text(key), ",", " "))
+// Values returns the key's values, which are separated by spaces or commas.
+func (s *Section) Values(key string) []string {
+	return strings.Fields(strings.ReplaceAll(s.Value(key), ",", " "))
 }
 
-// Number returns a whole number, 0 if the key is not there.
-func (s *Section) Number(key string) int64 {
-	t := s.Text(key)
+// Int64 returns the key's integer; 0 if the key is missing.
+func (s *Section) Int64(key string) int64 {
+	t := s.Value(key)
 	if t == "" {
 		return 0
 	}
 	n, err := strconv.ParseInt(t, 10, 64)
 	if err != nil {
-		s.Fail(key, "%q is not a whole number", t)
+		s.AddError(key, "%q is not an integer", t)
 	}
 	return n
 }
 
-// Fraction returns a number, or d if the key is not there.
-func (s *Section) Fraction(key string, d float64) float64 {
-	t := s.Text(key)
+// Float64 returns the key's number, or d if the key is missing.
+func (s *Section) Float64(key string, d float64) float64 {
+	t := s.Value(key)
 	if t == "" {
 		return d
 	}
 	f, err := strconv.ParseFloat(t, 64)
 	if err != nil {
-		s.Fail(key, "%q is not a number", t)
+		s.AddError(key, "%q is not a number", t)
 	}
 	return f
 }
 
-// Truth returns true or false, or d if the key is not there.
-func (s *Section) Truth(key string, d bool) bool {
-	t := s.Text(key)
+// Bool returns the key's boolean, or d if the key is missing.
+func (s *Section) Bool(key string, d bool) bool {
+	t := s.Value(key)
 	if t == "" {
 		return d
 	}
 	b, err := strconv.ParseBool(t)
 	if err != nil {
-		s.Fail(key, "%q is not true or false", t)
+		s.AddError(key, "%q is not true or false", t)
 	}
 	return b
 }
 
-// Span returns a span of time above 0, or d if the key is not there.
-func (s *Section) Span(key string, d time.Duration) time.Duration {
-	t := s.Text(key)
+// Duration returns the key's duration, which must be above 0, or d if the key is missing.
+func (s *Section) Duration(key string, d time.Duration) time.Duration {
+	t := s.Value(key)
 	if t == "" {
 		return d
 	}
 	x, err := time.ParseDuration(t)
 	if err != nil || x <= 0 {
-		s.Fail(key, "%q is not a span of time such as 1500ms", t)
+		s.AddError(key, "%q is not a duration above 0, such as 1500ms", t)
 	}
 	return x
 }
 
-// Versions returns the MODEL@VERSION ids that blanks or commas part.
+// Versions returns the key's version ids, which are separated by spaces or commas.
 func (s *Section) Versions(key string) []version.ID {
 	var r []version.ID
-	for _, t := range s.List(key) {
+	for _, t := range s.Values(key) {
 		v, err := version.Parse(t)
 		if err != nil {
-			s.Fail(key, "%q is not MODEL@VERSION", t)
+			s.AddError(key, "%q is not a version id of the form MODEL@VERSION", t)
 			continue
 		}
 		r = append(r, v)
--- a/adapter/logging/bounded.go
+++ b/adapter/logging/bounded.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// boundedBytes is how much may wait to be written; at 300 bytes a line
-	// some 3,000 lines.
-	boundedBytes = 1 << 20
-	// writeEvery gathers lines into one write.
-	writeEvery = 50 * time.Millisecond
+	// maxBuffered bounds the buffered bytes that are not written yet; at 300 bytes a line
+	// these are about 3,000 lines.
+	maxBuffered = 1 << 20
+	// flushInterval is the pause before buffered lines are written, so that one write has
+	// many lines.
+	flushInterval = 50 * time.Millisecond
 )
 
-// Bounded is a writer that never blocks its callers: lines wait in a bounded
-// buffer for one goroutine that writes them. Lines that find no room are
-// counted, and the count is logged.
+// Bounded is an io.Writer that never blocks its callers. It keeps lines in a bounded buffer, which
+// one goroutine writes out. Lines that don't fit into the buffer are dropped; their number is
+// logged.
 type Bounded struct {
 	w       io.Writer
 	mu      sync.Mutex
@@ -28,7 +29,7 @@
 	done    chan struct{}
 }
 
-// NewBounded returns a writer to w; Close writes what is left.
+// NewBounded returns a bounded writer to w. The caller must call Close to write the last lines.
 func NewBounded(w io.Writer) *Bounded {
 	b := &Bounded{w: w, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go b.run()
@@ -39,7 +40,7 @@
 func (b *Bounded) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.closed || len(b.buf)+len(p) > boundedBytes {
+	if b.closed || len(b.buf)+len(p) > maxBuffered {
 		b.dropped++
 		return len(p), nil
 	}
@@ -51,8 +52,8 @@
 	return len(p), nil
 }
 
-// Close writes what is left and ends the goroutine. What is written after it
-// is dropped: requests that a stop cut off may still end.
+// Close writes the buffered lines and ends the goroutine. Later lines are dropped instead of
+// causing a panic, since requests that were interrupted by a stop may still write some.
 func (b *Bounded) Close() {
 	b.mu.Lock()
 	b.closed = true
@@ -61,15 +62,17 @@
 	<-b.done
 }
 
+// run writes buffered lines until Close.
 func (b *Bounded) run() {
 	defer close(b.done)
 	for range b.wake {
-		time.Sleep(writeEvery)
+		time.Sleep(flushInterval)
 		b.flush()
 	}
 	b.flush()
 }
 
+// flush writes the buffered lines and the number of dropped ones.
 func (b *Bounded) flush() {
 	b.mu.Lock()
 	p, n := b.buf, b.dropped
@@ -79,7 +82,7 @@
 		p = append(p, "event=log_lines_dropped count="+strconv.Itoa(n)+"\n"...)
 	}
 	if len(p) > 0 {
-		// There is nowhere to report that the log itself can't be written.
+		// A failure to write the log can't be logged.
 		_, _ = b.w.Write(p)
 	}
 }
--- a/adapter/logging/logging.go
+++ b/adapter/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging writes one line of key=value pairs for each event.
+// Package logging provides a logger that writes each event as one line of key=value pairs.
 package logging
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/apex/log"
 )
 
-// New returns a logger of the named level ("debug", "info", "warn", "error")
-// that adds the process's fields to each line.
+// New returns a logger to w that adds the given fields to each line. It drops events below the
+// level, which is "debug", "info", "warn" or "error".
 func New(w io.Writer, level string, fields log.Fields) (log.Interface, error) {
 	l, err := log.ParseLevel(level)
 	if err != nil {
@@ -24,8 +24,8 @@
 	return g.WithFields(fields), nil
 }
 
-// handler writes events; apex's own text handlers align for people, not
-// for machines.
+// handler implements log.Handler. The text handlers of apex/log align their output for people,
+// which makes it hard to parse.
 type handler struct {
 	mu sync.Mutex
 	w  io.Writer
@@ -52,6 +52,7 @@
 	return err
 }
 
+// quote returns s, in quotes if a parser could not find its end otherwise.
 func quote(s string) string {
 	if s == "" || strings.ContainsAny(s, " \t\n\r\"=") {
 		return strconv.Quote(s)
@@ -59,7 +60,7 @@
 	return s
 }
 
-// Fields turns alternating names and values into fields.
+// Fields returns the fields given as alternating names and values.
 func Fields(a ...any) log.Fields {
 	f := log.Fields{}
 	for i := 0; i+1 < len(a); i += 2 {
--- a/adapter/logging/logging_test.go
+++ b/adapter/logging/logging_test.go
@@ -7,16 +7,17 @@
 	"fieldvale/adapter/logging"
 )
 
-// cutTime leaves out the time, which differs from run to run.
-type cutTime struct{}
+// timeRemover writes lines to the standard output without their first field, the time, which
+// differs in each run.
+type timeRemover struct{}
 
-func (cutTime) Write(b []byte) (int, error) {
+func (timeRemover) Write(b []byte) (int, error) {
 	_, s, _ := strings.Cut(string(b), " ")
 	return os.Stdout.WriteString(s)
 }
 
 func ExampleNew() {
-	l, err := logging.New(cutTime{}, "info", logging.Fields("process", "fieldvale-entry"))
+	l, err := logging.New(timeRemover{}, "info", logging.Fields("process", "fieldvale-entry"))
 	if err != nil {
 		return
 	}
--- a/adapter/metrics/metrics.go
+++ b/adapter/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics defines what fieldvale's processes count for Prometheus.
+// Package metrics registers the Prometheus metrics of a process and serves them.
 package metrics
 
 import (
@@ -13,66 +13,66 @@
 	"github.com/valyala/fasthttp/fasthttpadaptor"
 )
 
-// Registry is one process's metrics.
+// Registry holds the metrics of one process.
 type Registry struct {
-	r *prometheus.Registry
+	registry *prometheus.Registry
 }
 
-// New returns a registry with the process's own figures.
+// New returns a registry with the standard metrics of the Go runtime and of the process.
 func New() *Registry {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	return &Registry{r: r}
+	return &Registry{registry: r}
 }
 
-// Counter adds a counter with labels.
+// Counter registers a counter with labels.
 func (r *Registry) Counter(name, help string, labels ...string) *prometheus.CounterVec {
 	c := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "fieldvale", Name: name, Help: help}, labels)
-	r.r.MustRegister(c)
+	r.registry.MustRegister(c)
 	return c
 }
 
-// Histogram adds a histogram of seconds with labels.
+// Histogram registers a histogram of durations in seconds with labels.
 func (r *Registry) Histogram(name, help string, labels ...string) *prometheus.HistogramVec {
 	h := prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: "fieldvale", Name: name, Help: help, Buckets: prometheus.ExponentialBuckets(0.002, 2, 14)}, labels)
-	r.r.MustRegister(h)
+	r.registry.MustRegister(h)
 	return h
 }
 
-// Gauge adds a gauge that f is asked for.
+// Gauge registers a gauge whose value f returns at each scrape.
 func (r *Registry) Gauge(name, help string, f func() float64) {
-	r.r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "fieldvale", Name: name, Help: help}, f))
+	r.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "fieldvale", Name: name, Help: help}, f))
 }
 
-// Gauges adds a gauge with one label that f is asked for.
+// Gauges registers a gauge with one label. f returns its values by label value at each scrape.
 func (r *Registry) Gauges(name, help, label string, f func() map[string]float64) {
 	d := prometheus.NewDesc("fieldvale_"+name, help, []string{label}, nil)
-	r.r.MustRegister(gauges{d, f})
+	r.registry.MustRegister(gaugeCollector{d, f})
 }
 
-// gauges implements prometheus.Collector for values that come and go.
-type gauges struct {
+// gaugeCollector implements prometheus.Collector for a gauge whose set of label values changes.
+type gaugeCollector struct {
 	desc *prometheus.Desc
 	read func() map[string]float64
 }
 
 // Describe implements prometheus.Collector.
-func (g gauges) Describe(c chan<- *prometheus.Desc) { c <- g.desc }
+func (g gaugeCollector) Describe(c chan<- *prometheus.Desc) { c <- g.desc }
 
 // Collect implements prometheus.Collector.
-func (g gauges) Collect(c chan<- prometheus.Metric) {
+func (g gaugeCollector) Collect(c chan<- prometheus.Metric) {
 	for l, v := range g.read() {
 		c <- prometheus.MustNewConstMetric(g.desc, prometheus.GaugeValue, v, l)
 	}
 }
 
-// readTimeout bounds the reading of one request for metrics.
+// readTimeout bounds the time to read one request.
 const readTimeout = 5 * time.Second
 
-// Serve answers /metrics, and /healthz and /readyz by the given functions,
-// until the listener is closed.
+// Serve serves /metrics, /healthz and /readyz until the listener is closed. /healthz always
+// reports success; /readyz reports the result of ready.
 func (r *Registry) Serve(l net.Listener, ready func() bool) error {
-	m := fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(r.r, promhttp.HandlerOpts{}))
+	m := fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(r.registry, promhttp.HandlerOpts{}))
 	s := &fasthttp.Server{ReadTimeout: readTimeout, NoDefaultServerHeader: true, Handler: func(c *fasthttp.RequestCtx) {
 		switch string(c.Path()) {
 		case "/metrics":
@@ -87,5 +87,5 @@
 			c.SetStatusCode(fasthttp.StatusNotFound)
 		}
 	}}
-	return errors.Wrap(s.Serve(l), "metrics.Serve")
+	return errors.Wrap(s.Serve(l), "metrics: serve")
 }
--- a/adapter/policyfile/policyfile.go
+++ b/adapter/policyfile/policyfile.go
@@ -1,5 +1,5 @@
-// Package policyfile reads a policy directory: policy.star, catalog.ini and
-// cases.ini.
+// Package policyfile reads and parses the files of a policy directory: policy.star, catalog.ini
+// and cases.ini.
 package policyfile
 
 import (
@@ -23,32 +23,33 @@
 	CasesFile   = "cases.ini"
 )
 
-// maxFile is the largest file of a policy, in bytes: a dozen teams fit into
-// one value of the store.
-const maxFile = 64 << 10
+// maxFileSize bounds the size of one policy file, in bytes. With it, the policies of a dozen
+// teams fit into one value of the store.
+const maxFileSize = 64 << 10
 
-// ReadDir reads the texts of the directory's files.
+// ReadDir returns the contents of the policy files in dir by file name.
 func ReadDir(dir string) (map[string]string, error) {
 	f := map[string]string{}
 	for _, n := range []string{ProgramFile, CatalogFile, CasesFile} {
 		b, err := os.ReadFile(filepath.Join(dir, n))
 		if err != nil {
-			return nil, errors.Wrap(err, "policyfile.ReadDir")
+			return nil, errors.Wrap(err, "policyfile: read a policy file")
 		}
 		f[n] = string(b)
 	}
 	return f, nil
 }
 
-// Parse reads the texts. Each error names the file and the key.
+// Parse parses the contents of policy files by file name. It returns all errors, each with the
+// file and the key.
 func Parse(f map[string]string) (policy.Source, []error) {
 	s := policy.Source{Program: f[ProgramFile], Files: f}
 	for n, t := range f {
 		if !slices.Contains([]string{ProgramFile, CatalogFile, CasesFile}, n) {
-			return s, []error{errors.Newf("%s: not a file of a policy", n)}
+			return s, []error{errors.Newf("%s: is not a policy file", n)}
 		}
-		if len(t) > maxFile {
-			return s, []error{errors.Newf("%s: larger than %d bytes", n, maxFile)}
+		if len(t) > maxFileSize {
+			return s, []error{errors.Newf("%s: is larger than %d bytes", n, maxFileSize)}
 		}
 	}
 	c, e := parseCatalog(f[CatalogFile])
@@ -70,9 +71,9 @@
 		case "version":
 			c.Versions = append(c.Versions, readVersion(s))
 		case "task":
-			c.Tasks = append(c.Tasks, catalog.Task{Name: s.Name, Allowance: s.Span("allowance", catalog.DefaultAllowance)})
+			c.Tasks = append(c.Tasks, catalog.Task{Name: s.Name, Allowance: s.Duration("allowance", catalog.DefaultAllowance)})
 		case "service":
-			c.Services = append(c.Services, catalog.Service{Name: s.Name, Once: s.List("once"), ChecksKey: s.Truth("checks_key", false)})
+			c.Services = append(c.Services, catalog.Service{Name: s.Name, Once: s.Values("once"), ChecksKey: s.Bool("checks_key", false)})
 		}
 	})
 	slices.SortFunc(c.Customers, func(a, b catalog.Customer) int { return strings.Compare(a.Name, b.Name) })
@@ -87,18 +88,18 @@
 func readCustomer(s *inifile.Section) catalog.Customer {
 	return catalog.Customer{
 		Name:      s.Name,
-		Tier:      s.Text("tier"),
-		KeyHashes: s.List("key_sha256"),
-		Share:     int(s.Number("share")),
+		Tier:      s.Value("tier"),
+		KeyHashes: s.Values("key_sha256"),
+		Share:     int(s.Int64("share")),
 	}.Defaults()
 }
 
 func readVersion(s *inifile.Section) catalog.Version {
 	v, err := version.Parse(s.Name)
 	if err != nil {
-		s.Fail("name", "%q is not MODEL@VERSION", s.Name)
+		s.AddError("name", "%q is not a version id of the form MODEL@VERSION", s.Name)
 	}
-	return catalog.Version{ID: v, CostIn: s.Number("cost_in"), CostOut: s.Number("cost_out"), Default: s.Truth("default", false)}
+	return catalog.Version{ID: v, CostIn: s.Int64("cost_in"), CostOut: s.Int64("cost_out"), Default: s.Bool("default", false)}
 }
 
 func parseCases(text string) ([]policy.Case, []error) {
@@ -111,16 +112,16 @@
 }
 
 func readCase(s *inifile.Section) policy.Case {
-	z, ok := policy.ParseSize(s.Text("size"))
-	if t := s.Text("size"); !ok && t != "" {
-		s.Fail("size", "%q is not small, medium or large", t)
+	z, ok := policy.ParseSize(s.Value("size"))
+	if t := s.Value("size"); !ok && t != "" {
+		s.AddError("size", "%q is not small, medium or large", t)
 	}
 	return policy.Case{
 		Name:     s.Name,
-		Customer: s.Text("customer"),
-		Task:     s.Text("task"),
+		Customer: s.Value("customer"),
+		Task:     s.Value("task"),
 		Size:     z,
-		Want:     s.Text("want"),
+		Want:     s.Value("want"),
 		Allow:    s.Versions("allow"),
 		Deny:     s.Versions("deny"),
 	}
--- a/adapter/settings/control.go
+++ b/adapter/settings/control.go
@@ -70,10 +70,10 @@
 		}
 	})
 	if !found {
-		f.Missing("control")
+		f.AddMissingSection("control")
 	}
 	if c.Store == "" {
-		f.Missing("platform")
+		f.AddMissingSection("platform")
 	}
 	return c, f.Errors()
 }
@@ -88,7 +88,7 @@
 	c.AdminListen = readAddress(s, "admin_listen")
 	c.Metrics = readAddress(s, "metrics_listen")
 	c.FleetKey = readFleetKey(s)
-	c.StopWithin = s.Span("stop_within", defaultStopTimeout)
+	c.StopWithin = s.Duration("stop_within", defaultStopTimeout)
 }
 
 // sha256Length is the length of a SHA-256 sum, in bytes.
@@ -96,18 +96,18 @@
 
 // readAdmin reads the section of one administration key.
 func readAdmin(s *inifile.Section) rpc.Admin {
-	a := rpc.Admin{Name: s.Name, Team: s.Text("team"), Role: rpc.Role(s.Need("role")), KeyHash: s.Need("key_sha256")}
+	a := rpc.Admin{Name: s.Name, Team: s.Value("team"), Role: rpc.Role(s.Need("role")), KeyHash: s.Need("key_sha256")}
 	switch a.Role {
 	case rpc.Platform:
 	case rpc.Viewer, rpc.Operator:
 		if a.Team == "" {
-			s.Fail("team", "is missing")
+			s.AddError("team", "is missing")
 		}
 	default:
-		s.Fail("role", "%q is not viewer, operator or platform", a.Role)
+		s.AddError("role", "%q is not viewer, operator or platform", a.Role)
 	}
 	if b, err := hex.DecodeString(a.KeyHash); err != nil || len(b) != sha256Length {
-		s.Fail("key_sha256", "is not a hex SHA-256 sum")
+		s.AddError("key_sha256", "is not a hex SHA-256 sum")
 	}
 	return a
 }
@@ -116,16 +116,16 @@
 func readTimes(s *inifile.Section) control.Times {
 	d := control.DefaultTimes()
 	return control.Times{
-		Exchange:    s.Span("exchange", d.Exchange),
-		Beat:        s.Span("beat", d.Beat),
-		BeatPerPeer: s.Span("beat_per_peer", d.BeatPerPeer),
-		List:        s.Span("list", d.List),
-		Load:        s.Span("load", d.Load),
-		Poll:        s.Span("poll", d.Poll),
-		Flush:       s.Span("flush", d.Flush),
-		Orphan:      s.Span("orphan", d.Orphan),
-		Takeover:    s.Span("takeover", d.Takeover),
-		Call:        s.Span("call", d.Call),
+		Exchange:    s.Duration("exchange", d.Exchange),
+		Beat:        s.Duration("beat", d.Beat),
+		BeatPerPeer: s.Duration("beat_per_peer", d.BeatPerPeer),
+		List:        s.Duration("list", d.List),
+		Load:        s.Duration("load", d.Load),
+		Poll:        s.Duration("poll", d.Poll),
+		Flush:       s.Duration("flush", d.Flush),
+		Orphan:      s.Duration("orphan", d.Orphan),
+		Takeover:    s.Duration("takeover", d.Takeover),
+		Call:        s.Duration("call", d.Call),
 	}
 }
 
@@ -133,15 +133,15 @@
 func readRates(s *inifile.Section) rollout.Rates {
 	d := rollout.DefaultRates()
 	r := rollout.Rates{
-		Good:       s.Fraction("good_rate", d.Good),
-		Bad:        s.Fraction("bad_rate", d.Bad),
-		FalseAlarm: s.Fraction("false_alarm", d.FalseAlarm),
+		Good:       s.Float64("good_rate", d.Good),
+		Bad:        s.Float64("bad_rate", d.Bad),
+		FalseAlarm: s.Float64("false_alarm", d.FalseAlarm),
 	}
 	if r.Good <= 0 || r.Bad <= r.Good || r.Bad >= 1 {
-		s.Fail("bad_rate", "rates must be 0 < good_rate < bad_rate < 1")
+		s.AddError("bad_rate", "rates must be 0 < good_rate < bad_rate < 1")
 	}
 	if r.FalseAlarm <= 0 || r.FalseAlarm >= 1 {
-		s.Fail("false_alarm", "must be between 0 and 1")
+		s.AddError("false_alarm", "must be between 0 and 1")
 	}
 	return r
 }
--- a/adapter/settings/entry.go
+++ b/adapter/settings/entry.go
@@ -61,10 +61,10 @@
 		}
 	})
 	if !found {
-		f.Missing("entry")
+		f.AddMissingSection("entry")
 	}
 	if e.Rating == "" {
-		f.Missing("platform")
+		f.AddMissingSection("platform")
 	}
 	return e, f.Errors()
 }
@@ -77,7 +77,7 @@
 	e.Metrics = readAddress(s, "metrics_listen")
 	e.Control = readAddress(s, "control")
 	e.FleetKey = readFleetKey(s)
-	e.Sync = s.Span("sync", defaultSyncInterval)
-	e.Drain = s.Span("drain", defaultDrainDelay)
-	e.StopWithin = s.Span("stop_within", defaultStopTimeout)
+	e.Sync = s.Duration("sync", defaultSyncInterval)
+	e.Drain = s.Duration("drain", defaultDrainDelay)
+	e.StopWithin = s.Duration("stop_within", defaultStopTimeout)
 }
--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -109,7 +109,7 @@
 		n.readSection(s)
 	})
 	if !found {
-		f.Missing("node")
+		f.AddMissingSection("node")
 	}
 	return n, f.Errors()
 }
@@ -129,37 +129,37 @@
 	case "node":
 		n.readNode(s)
 	case "limits":
-		if m := s.Number("memory_mb"); m > 0 {
+		if m := s.Int64("memory_mb"); m > 0 {
 			n.MemoryMB = m
 		}
-		n.LinkMbps = s.Fraction("link_mbps", 0)
+		n.LinkMbps = s.Float64("link_mbps", 0)
 	case "keys":
-		n.HonourFor = s.Span("honour_for", defaultRevokedKeyTTL)
-		n.KeysLenient = !s.Truth("strict", true)
+		n.HonourFor = s.Duration("honour_for", defaultRevokedKeyTTL)
+		n.KeysLenient = !s.Bool("strict", true)
 	case "releases":
-		n.ExposedPart = s.Fraction("exposed_part", defaultExposedFraction)
-		n.ExposedSlack = s.Fraction("exposed_slack", defaultExposedSlack)
+		n.ExposedPart = s.Float64("exposed_part", defaultExposedFraction)
+		n.ExposedSlack = s.Float64("exposed_slack", defaultExposedSlack)
 	case "replicas":
-		n.ColdOverage = s.Fraction("cold_overage", defaultColdLimitFactor)
-		n.ColdSlack = s.Fraction("cold_slack", defaultColdLimitSlack)
-		n.DrainFor = s.Span("drain_for", defaultDrainPeriod)
+		n.ColdOverage = s.Float64("cold_overage", defaultColdLimitFactor)
+		n.ColdSlack = s.Float64("cold_slack", defaultColdLimitSlack)
+		n.DrainFor = s.Duration("drain_for", defaultDrainPeriod)
 	case "models":
 		n.readModels(s)
 	case "cloud":
 		n.readCloud(s)
 	case "regions":
-		n.Regions = s.All()
+		n.Regions = s.ValueMap()
 	case "repeats":
-		n.RepeatPart = s.Fraction("part", defaultRetryFraction)
-		n.RepeatBurst = s.Fraction("burst", defaultRetryBurst)
+		n.RepeatPart = s.Float64("part", defaultRetryFraction)
+		n.RepeatBurst = s.Float64("burst", defaultRetryBurst)
 	}
 }
 
 // readModels reads the section that controls when an answer of a smaller model is accepted.
 func (n *Node) readModels(s *inifile.Section) {
-	n.AcceptConfidence = s.Fraction("accept_confidence", defaultAcceptConfidence)
+	n.AcceptConfidence = s.Float64("accept_confidence", defaultAcceptConfidence)
 	if n.AcceptConfidence < 0 || n.AcceptConfidence > 100 {
-		s.Fail("accept_confidence", "must be from 0 to 100")
+		s.AddError("accept_confidence", "must be from 0 to 100")
 	}
 }
 
@@ -172,15 +172,15 @@
 // readCloud reads the address of the platform's API and the duties that call it. The API is
 // not called if the address is empty.
 func (n *Node) readCloud(s *inifile.Section) {
-	if s.Text("address") != "" {
+	if s.Value("address") != "" {
 		n.Cloud = readAddress(s, "address")
 	}
-	l := s.List("duties")
+	l := s.Values("duties")
 	n.ReportsUsage, n.Scales = slices.Contains(l, dutyUsage), slices.Contains(l, dutyScaling)
-	n.UsageWindow = time.Duration(s.Fraction("usage_window_s", defaultUsageWindow.Seconds()) * float64(time.Second))
-	n.UsageLate = time.Duration(s.Fraction("usage_late_s", defaultMaxUsageDelay.Seconds()) * float64(time.Second))
+	n.UsageWindow = time.Duration(s.Float64("usage_window_s", defaultUsageWindow.Seconds()) * float64(time.Second))
+	n.UsageLate = time.Duration(s.Float64("usage_late_s", defaultMaxUsageDelay.Seconds()) * float64(time.Second))
 	if n.UsageWindow < time.Second || n.UsageLate < time.Second {
-		s.Fail("usage_window_s", "usage_window_s and usage_late_s must be at least one second")
+		s.AddError("usage_window_s", "usage_window_s and usage_late_s must be at least one second")
 	}
 }
 
@@ -193,8 +193,8 @@
 	n.Metrics = readAddress(s, "metrics_listen")
 	n.Peers = readAddress(s, "peers_listen")
 	n.Store = readAddress(s, "store")
-	n.FirstStart = s.Truth("first_start", false)
-	n.ApplyWithin = s.Span("apply_within", defaultMaxApplyDelay)
-	n.StopWithin = s.Span("stop_within", defaultNodeStopTimeout)
+	n.FirstStart = s.Bool("first_start", false)
+	n.ApplyWithin = s.Duration("apply_within", defaultMaxApplyDelay)
+	n.StopWithin = s.Duration("stop_within", defaultNodeStopTimeout)
 	n.Level = readLevel(s)
 }
--- a/adapter/settings/settings.go
+++ b/adapter/settings/settings.go
@@ -32,12 +32,12 @@
 }
 
 func readTLS(s *inifile.Section) TLS {
-	t := TLS{Cert: s.Text("cert"), Key: s.Text("key")}
+	t := TLS{Cert: s.Value("cert"), Key: s.Value("key")}
 	if (t.Cert == "") != (t.Key == "") {
-		s.Fail("cert", "cert and key must be set together")
+		s.AddError("cert", "cert and key must be set together")
 	}
 	if _, err := t.Config(); t.Cert != "" && err != nil {
-		s.Fail("cert", "%v", err)
+		s.AddError("cert", "%v", err)
 	}
 	return t
 }
@@ -49,7 +49,7 @@
 func readFleetKey(s *inifile.Section) string {
 	k := s.Need("fleet_key")
 	if k != "" && len(k) < minFleetKey {
-		s.Fail("fleet_key", "is shorter than %d bytes", minFleetKey)
+		s.AddError("fleet_key", "is shorter than %d bytes", minFleetKey)
 	}
 	return k
 }
@@ -62,7 +62,7 @@
 	}
 	h, _, err := net.SplitHostPort(t)
 	if err != nil || h != "" && net.ParseIP(h) == nil {
-		s.Fail(key, "%q is not IP:PORT", t)
+		s.AddError(key, "%q is not IP:PORT", t)
 	}
 	return t
 }
@@ -74,7 +74,7 @@
 
 // readLevel reads the log level.
 func readLevel(s *inifile.Section) string {
-	t := s.Text("level")
+	t := s.Value("level")
 	if t == "" {
 		return defaultLevel
 	}
@@ -83,7 +83,7 @@
 			return t
 		}
 	}
-	s.Fail("level", "%q is not one of debug, info, warn, error", t)
+	s.AddError("level", "%q is not one of debug, info, warn, error", t)
 	return t
 }
 
