--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -245,7 +245,7 @@
 		l, err := serve.On("127.0.0.1:0", func(x *fasthttp.RequestCtx) {
 			x.Response.Header.Set("X-Request-Id", c.id)
 			if c.draining != "" {
-				x.Response.Header.Set(backend.HeaderLeaving, c.draining)
+				x.Response.Header.Set(backend.HeaderDraining, c.draining)
 			}
 			if c.retryAfter != "" {
 				x.Response.Header.Set("Retry-After", c.retryAfter)
--- a/adapter/backend/limit.go
+++ b/adapter/backend/limit.go
@@ -22,11 +22,11 @@
 	Unreadable(replica string, err error)
 }
 
-// HeaderLeaving is a boolean by which a backend server advertises that it is draining.
+// HeaderDraining is a boolean by which a backend server advertises that it is draining.
 // headerRetryAfter, in a response with status 503, is for how long the server requests that
 // this entry sends it no request, in seconds or as an HTTP date.
 const (
-	HeaderLeaving    = "X-Leaving"
+	HeaderDraining   = "X-Leaving"
 	headerRetryAfter = "Retry-After"
 )
 
@@ -58,8 +58,8 @@
 func observeNotice(l NoticeObserver, r *pool.Replica, request string, p *fasthttp.Response, sentAt time.Time) {
 	n := notice.Notice{Replica: r.ID, Service: r.Service, Request: request, Refused: isRefusal(p), SentAt: sentAt, ReceivedAt: time.Now()}
 	var err error
-	if n.Draining, err = notice.ParseDraining(headerValues(p, HeaderLeaving)); err != nil {
-		l.Unreadable(r.ID, HeaderLeaving, err)
+	if n.Draining, err = notice.ParseDraining(headerValues(p, HeaderDraining)); err != nil {
+		l.Unreadable(r.ID, HeaderDraining, err)
 	}
 	if p.StatusCode() == fasthttp.StatusServiceUnavailable {
 		if n.BackoffUntil, err = notice.ParseRetryAfter(headerValues(p, headerRetryAfter), n.ReceivedAt); err != nil {
--- a/adapter/caller/chat.go
+++ b/adapter/caller/chat.go
@@ -97,7 +97,7 @@
 	// result receives what the router reports before the first chunk.
 	result chan entry.Result
 	chunks *ring.Ring[[]byte]
-	// ctx is done once the caller has closed the connection.
+	// ctx is done once the caller has closed the connection or the response has ended.
 	ctx context.Context
 	// done receives the stream's final error or nil.
 	done chan error
--- a/adapter/codec/codec_test.go
+++ b/adapter/codec/codec_test.go
@@ -24,7 +24,7 @@
 	m2   = version.New("lingua-small", "2")
 )
 
-// document returns a document with all fields set.
+// document returns a document with the example policy and a roll-out in progress.
 func document(t testing.TB) config.Document {
 	f, err := policyfile.ReadDir("../../examples/shared-memory")
 	if err != nil {
--- a/adapter/etcd/etcd.go
+++ b/adapter/etcd/etcd.go
@@ -38,7 +38,7 @@
 	// leases are the ids of granted leases by the Unix time at which their bucket ends.
 	leases map[int64]string
 	// Count is called with the URL path of each request; it may be nil.
-	Count func(method string)
+	Count func(path string)
 }
 
 var _ store.Store = (*Client)(nil)
--- a/adapter/exchange/probe_test.go
+++ b/adapter/exchange/probe_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// A crash counts against a request only if the backend server's port refuses connections,
-// so Refuses must tell a listening server from one that is gone.
-func TestRefuses(t *testing.T) {
+// A crash counts against a request only if the backend server's port refuses connections. The
+// probe must distinguish a listening server from one that has exited, and must not open a new
+// connection each time.
+func TestProbe(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/adapter/handover/handover.go
+++ b/adapter/handover/handover.go
@@ -70,7 +70,7 @@
 // NewClient returns a client that uses the clock for the expiry of idle connections.
 func NewClient(clock func() time.Time) *Client { return &Client{pool: exchange.New(clock)} }
 
-// Fetch implements relay.Transfer.
+// Fetch implements relay.Fetcher.
 func (c *Client) Fetch(ctx context.Context, addr string, after int64) ([]byte, error) {
 	x, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/adapter/rpc/admin.go
+++ b/adapter/rpc/admin.go
@@ -251,7 +251,8 @@
 	return &fieldvalev1.GetPolicyResponse{Team: e.Team, Revision: e.Revision, Files: f}, nil
 }
 
-// Status returns the state of all live instances and replicas that this one has records of.
+// Status returns the state of all live instances and replicas that this instance has records
+// of.
 func (s adminServer) Status(context.Context, *fieldvalev1.StatusRequest) (*fieldvalev1.StatusResponse, error) {
 	d, _ := s.node.Document()
 	w := &fieldvalev1.StatusResponse{Revision: d.Revision}
--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -36,35 +36,34 @@
 	LinkMbps float64
 	// HonourFor bounds how long an API key is accepted after it was revoked.
 	HonourFor time.Duration
-	// KeysLenient makes the instance accept keys for longer than HonourFor while it can't
-	// confirm its configuration.
+	// KeysLenient lifts the bound on accepting revoked keys while the instance can't confirm
+	// its configuration.
 	KeysLenient bool
-	// RepeatPart and RepeatBurst bound the retries to a service from the whole fleet:
-	// RepeatPart is their fraction of the incoming requests, and RepeatBurst a number in
-	// addition.
-	RepeatPart  float64
+	// RepeatPart bounds the retries that the whole fleet sends to a service, as a fraction
+	// of the incoming requests.
+	RepeatPart float64
+	// RepeatBurst is a number of retries that is allowed in addition.
 	RepeatBurst float64
-	// ExposedPart and ExposedSlack bound how many requests a bad release may get:
-	// ExposedPart is their fraction of the requests during the planned duration of the
-	// release, and ExposedSlack a number in addition.
-	ExposedPart  float64
+	// ExposedPart bounds the requests that a bad release may get, as a fraction of all
+	// requests during the planned duration of the release.
+	ExposedPart float64
+	// ExposedSlack is a number of requests that a bad release may get in addition.
 	ExposedSlack float64
 	// Cloud is the address of the platform's API that one instance at a time calls; empty
 	// if there is none.
 	Cloud string
-	// ReportsUsage and Scales state which of the API's duties the fleet performs: usage
-	// reports and autoscaling.
+	// The duties that the fleet performs by this API: usage reports and autoscaling.
 	ReportsUsage, Scales bool
-	// UsageWindow is the length of the time windows for which usage is reported, and
-	// UsageLate how long after the end of its window a report is accepted.
+	// The length of the time windows for which usage is reported, and how long after the end
+	// of its window a report is accepted.
 	UsageWindow, UsageLate time.Duration
 	// Regions are the regions of the data centres, by the data centre's name.
 	Regions map[string]string
-	// ColdOverage and ColdSlack bound the requests per second that a cold replica gets from
-	// all instances: the rate that the cold replica advertises times ColdOverage, plus
-	// ColdSlack.
+	// ColdOverage bounds the requests per second that a cold replica gets from all
+	// instances, as a multiple of the rate that the replica advertises.
 	ColdOverage float64
-	ColdSlack   float64
+	// ColdSlack is a number of requests per second that a cold replica may get in addition.
+	ColdSlack float64
 	// DrainFor is how long a draining replica still serves requests after it has reported
 	// that it is draining.
 	DrainFor time.Duration
