--- a/adapter/backend/engine.go
+++ b/adapter/backend/engine.go
@@ -25,10 +25,10 @@
 
 // Headers of requests to backend servers and of their responses.
 const (
-	// HeaderAttemptID carries the id of an attempt. An engine repeats it in its response.
-	HeaderAttemptID = "X-Request-Id"
-	HeaderPriority  = "X-Priority"
-	HeaderDeadline  = "X-Deadline-Unix-Ms"
+	// HeaderAttempt carries the id of an attempt. An engine repeats it in its response.
+	HeaderAttempt  = "X-Request-Id"
+	HeaderPriority = "X-Priority"
+	HeaderDeadline = "X-Deadline-Unix-Ms"
 	// HeaderResume is the number of chunks that the caller of a resumed stream has
 	// received already. The engine continues after them.
 	HeaderResume = "X-Resume-Chunks"
@@ -72,7 +72,7 @@
 // observeResponse passes on the limit and the notice in a response if its header has the
 // id of this attempt.
 func (e *Engines) observeResponse(r *pool.Replica, a entry.Attempt, p *fasthttp.Response, sentAt time.Time) {
-	if string(p.Header.Peek(HeaderAttemptID)) == a.ID {
+	if string(p.Header.Peek(HeaderAttempt)) == a.ID {
 		e.observe(r, a.ID, p, sentAt)
 	}
 }
@@ -255,7 +255,7 @@
 	q.Header.SetMethod(fasthttp.MethodPost)
 	q.SetRequestURI("http://" + r.Addr + chatPath)
 	q.Header.SetContentType("application/json")
-	q.Header.Set(HeaderAttemptID, a.ID)
+	q.Header.Set(HeaderAttempt, a.ID)
 	q.Header.Set(HeaderPriority, strconv.Itoa(a.Priority))
 	q.Header.Set(HeaderDeadline, strconv.FormatInt(a.Deadline.UnixMilli(), 10))
 	if a.ResumeChunks > 0 {
@@ -293,7 +293,7 @@
 	if err := checkStatus(r, p, fasthttp.StatusOK, fasthttp.StatusOK); err != nil {
 		return err
 	}
-	if g := string(p.Header.Peek(HeaderAttemptID)); g != a.ID {
+	if g := string(p.Header.Peek(HeaderAttempt)); g != a.ID {
 		return invalidResponse(r, errors.Newf("response belongs to request %q, want %q", g, a.ID))
 	}
 	return nil
--- a/adapter/inifile/inifile.go
+++ b/adapter/inifile/inifile.go
@@ -123,7 +123,7 @@
 	}
 	n, err := strconv.ParseInt(t, 10, 64)
 	if err != nil {
-		s.AddError(key, "%q is not an integer", t)
+		s.AddError(key, "%q is not a whole number", t)
 	}
 	return n
 }
@@ -173,7 +173,7 @@
 	for _, t := range s.Values(key) {
 		v, err := version.Parse(t)
 		if err != nil {
-			s.AddError(key, "%q is not a version id of the form MODEL@VERSION", t)
+			s.AddError(key, "%q is not MODEL@VERSION", t)
 			continue
 		}
 		r = append(r, v)
--- a/adapter/policyfile/policyfile.go
+++ b/adapter/policyfile/policyfile.go
@@ -46,7 +46,7 @@
 	s := policy.Source{Program: f[ProgramFile], Files: f}
 	for n, t := range f {
 		if !slices.Contains([]string{ProgramFile, CatalogFile, CasesFile}, n) {
-			return s, []error{errors.Newf("%s: is not a policy file", n)}
+			return s, []error{errors.Newf("%s: not a file of a policy", n)}
 		}
 		if len(t) > maxFileSize {
 			return s, []error{errors.Newf("%s: is larger than %d bytes", n, maxFileSize)}
@@ -97,7 +97,7 @@
 func readVersion(s *inifile.Section) catalog.Version {
 	v, err := version.Parse(s.Name)
 	if err != nil {
-		s.AddError("name", "%q is not a version id of the form MODEL@VERSION", s.Name)
+		s.AddError("name", "%q is not MODEL@VERSION", s.Name)
 	}
 	return catalog.Version{ID: v, CostIn: s.Int64("cost_in"), CostOut: s.Int64("cost_out"), Default: s.Bool("default", false)}
 }
