--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -163,7 +163,9 @@
 func (w *limitRecorder) Observe(_, replica string, x quota.LimitReport) {
 	*w = append(*w, fmt.Sprint(replica, " ", x.HasLimit, " ", x.PerSecond))
 }
-func (w *limitRecorder) Unreadable(replica string, _ error) { *w = append(*w, replica+" unreadable") }
+func (w *limitRecorder) LogInvalidLimit(replica string, _ error) {
+	*w = append(*w, replica+" unreadable")
+}
 
 // A limit must be observed in every kind of response: complete ones, streams, errors and
 // refusals, of engines and of plain services. A response to another request must be ignored,
@@ -222,7 +224,7 @@
 	}
 	*h = append(*h, fmt.Sprint(n.Replica, " ", n.Draining, " ", backoff, " ", n.Refused))
 }
-func (h *noticeRecorder) Unreadable(replica, header string, _ error) {
+func (h *noticeRecorder) LogInvalidHeader(replica, header string, _ error) {
 	*h = append(*h, replica+" "+header+" unreadable")
 }
 
--- a/adapter/backend/limit.go
+++ b/adapter/backend/limit.go
@@ -18,8 +18,8 @@
 // LimitObserver receives the rate limits that backend servers advertise.
 type LimitObserver interface {
 	Observe(service, replica string, w quota.LimitReport)
-	// Unreadable reports that a response has a HeaderLimit that can't be parsed.
-	Unreadable(replica string, err error)
+	// LogInvalidLimit reports that a response has a HeaderLimit that can't be parsed.
+	LogInvalidLimit(replica string, err error)
 }
 
 // HeaderDraining is a boolean by which a backend server advertises that it is draining.
@@ -33,8 +33,8 @@
 // NoticeObserver receives the draining and backoff notices of backend servers.
 type NoticeObserver interface {
 	Observe(n notice.Notice)
-	// Unreadable reports that the named header of a response can't be parsed.
-	Unreadable(replica, header string, err error)
+	// LogInvalidHeader reports that the named header of a response can't be parsed.
+	LogInvalidHeader(replica, header string, err error)
 }
 
 // responseObservers receive the limits and notices in responses; each may be nil.
@@ -59,11 +59,11 @@
 	n := notice.Notice{Replica: r.ID, Service: r.Service, Request: request, Refused: isRefusal(p), SentAt: sentAt, ReceivedAt: time.Now()}
 	var err error
 	if n.Draining, err = notice.ParseDraining(headerValues(p, HeaderDraining)); err != nil {
-		l.Unreadable(r.ID, HeaderDraining, err)
+		l.LogInvalidHeader(r.ID, HeaderDraining, err)
 	}
 	if p.StatusCode() == fasthttp.StatusServiceUnavailable {
 		if n.BackoffUntil, err = notice.ParseRetryAfter(headerValues(p, headerRetryAfter), n.ReceivedAt); err != nil {
-			l.Unreadable(r.ID, headerRetryAfter, err)
+			l.LogInvalidHeader(r.ID, headerRetryAfter, err)
 		}
 	}
 	l.Observe(n)
@@ -84,7 +84,7 @@
 	w, err := quota.ParseLimitReport(headerValues(p, HeaderLimit), sentAt, time.Now())
 	switch {
 	case err != nil:
-		l.Unreadable(r.ID, err)
+		l.LogInvalidLimit(r.ID, err)
 	case w.HasLimit || !isRefusal(p):
 		l.Observe(r.Service, r.ID, w)
 	}
--- a/adapter/backend/prober.go
+++ b/adapter/backend/prober.go
@@ -16,9 +16,9 @@
 
 var _ entry.Prober = Prober{}
 
-// HasEnded implements entry.Prober. It reports whether the replica's address refuses TCP
+// HasCrashed implements entry.Prober. It reports whether the replica's address refuses TCP
 // connections, which means that no process listens there.
-func (Prober) HasEnded(ctx context.Context, r *pool.Replica) bool {
+func (Prober) HasCrashed(ctx context.Context, r *pool.Replica) bool {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", r.Addr)
 	if err != nil {
--- a/entry/crash_test.go
+++ b/entry/crash_test.go
@@ -22,8 +22,8 @@
 	return nil, outcome.New(outcome.Unknown, "read", r.ID, io.ErrUnexpectedEOF)
 }
 
-// HasEnded implements Prober.
-func (crashedUpstream) HasEnded(context.Context, *pool.Replica) bool { return true }
+// HasCrashed implements Prober.
+func (crashedUpstream) HasCrashed(context.Context, *pool.Replica) bool { return true }
 
 // A request crashes a replica of a good release, and forty others break off there. Counted as
 // forty bad answers of the release, they would cause its rollback.
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -24,8 +24,8 @@
 
 // Prober checks whether a replica that closed a connection is down.
 type Prober interface {
-	// HasEnded reports whether the replica refuses connections; false if that is uncertain.
-	HasEnded(ctx context.Context, r *pool.Replica) bool
+	// HasCrashed reports whether the replica refuses connections; false if that is uncertain.
+	HasCrashed(ctx context.Context, r *pool.Replica) bool
 }
 
 // errQuarantined reports that requests with this content may not be sent now.
@@ -133,7 +133,7 @@
 	}
 	x, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	return r.prober.HasEnded(x, b)
+	return r.prober.HasCrashed(x, b)
 }
 
 // quarantineOutcomeOf is what an attempt at a backend server of the product's own interfaces
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -31,8 +31,10 @@
 	return ServiceAnswer{}, outcome.New(outcome.Unknown, "read", r.ID, io.EOF)
 }
 
-// HasEnded implements Prober.
-func (s *crashingServices) HasEnded(_ context.Context, r *pool.Replica) bool { return s.crashed[r.ID] }
+// HasCrashed implements Prober.
+func (s *crashingServices) HasCrashed(_ context.Context, r *pool.Replica) bool {
+	return s.crashed[r.ID]
+}
 
 // A plain service's call crashes each backend server that runs it, and the client repeats it with
 // new ids. Suspicion that ended with each call would cost three servers per call.
--- a/notice/tracker.go
+++ b/notice/tracker.go
@@ -209,9 +209,9 @@
 // invalidLogInterval is the minimum time between two log lines about invalid headers.
 const invalidLogInterval = time.Second
 
-// Unreadable logs that a header in a response of the replica could not be parsed. Log lines are
+// LogInvalidHeader logs that a header in a response of the replica could not be parsed. Log lines are
 // limited to one per invalidLogInterval.
-func (t *Tracker) Unreadable(replica, header string, err error) {
+func (t *Tracker) LogInvalidHeader(replica, header string, err error) {
 	now := t.clock()
 	t.mu.Lock()
 	due := !now.Before(t.nextInvalidLog)
--- a/quota/node.go
+++ b/quota/node.go
@@ -112,9 +112,9 @@
 // invalidLogInterval is the minimum time between two log lines about invalid limits.
 const invalidLogInterval = time.Second
 
-// Unreadable logs that a response of the replica has an invalid limit, which changes nothing else.
+// LogInvalidLimit logs that a response of the replica has an invalid limit, which changes nothing else.
 // Log lines are limited to one per invalidLogInterval.
-func (n *Node) Unreadable(replica string, err error) {
+func (n *Node) LogInvalidLimit(replica string, err error) {
 	now := n.Clock()
 	n.mu.Lock()
 	due := !now.Before(n.nextInvalidLog)
