--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -15,6 +15,8 @@
 	"fieldvale/standin/serve"
 )
 
+// chatRequest is the part of an OpenAI chat completion request that the engine
+// reads.
 type chatRequest struct {
 	Model    string `json:"model"`
 	Stream   bool   `json:"stream"`
@@ -24,7 +26,7 @@
 	} `json:"messages"`
 }
 
-// prompt is the text of the last message.
+// prompt returns the text of the last message.
 func (q chatRequest) prompt() string {
 	if len(q.Messages) == 0 {
 		return ""
@@ -36,8 +38,8 @@
 	return string(q.Messages[len(q.Messages)-1].Content)
 }
 
-// Marker returns the part of a prompt between '<' and '>', by which a client
-// knows its own answer.
+// Marker returns the part of a prompt between '<' and '>'. The answer repeats
+// it, so that a client can check that the answer belongs to its request.
 func Marker(prompt string) string {
 	_, r, ok := strings.Cut(prompt, "<")
 	if !ok {
@@ -47,40 +49,44 @@
 	return m
 }
 
-// words is how many tokens an answer to the prompt has.
-func words(prompt string) int {
+// answerLength returns the number of words after the header token of an answer.
+// It is derived from the prompt, so that a retried request gets the same answer.
+func answerLength(prompt string) int {
 	const least, span = 8, 24
 	return least + int(xxhash.Sum64String(prompt)%span)
 }
 
-// tokens are the answer's: marker, model and quality first.
-func (e *Engine) tokens(model, prompt string) []string {
+// answerTokens returns the tokens of the answer to the prompt. The first one
+// holds the marker, the model and the quality.
+func (e *Engine) answerTokens(model, prompt string) []string {
 	t := []string{fmt.Sprintf("<%s> %s q=%.3f", Marker(prompt), model, e.quality(model, prompt))}
-	for i := range words(prompt) {
+	for i := range answerLength(prompt) {
 		t = append(t, fmt.Sprintf(" w%d", i))
 	}
 	return t
 }
 
+// chat serves /v1/chat/completions. The engine rejects a request that it does not
+// admit; it reports the others as runs, which tests count to find duplicates.
 func (e *Engine) chat(c *fasthttp.RequestCtx) {
 	var q chatRequest
 	if err := json.Unmarshal(c.PostBody(), &q); err != nil {
-		refuse(c, fasthttp.StatusBadRequest, err.Error())
+		reject(c, fasthttp.StatusBadRequest, err.Error())
 		return
 	}
 	f := e.Faults.Get()
 	p := q.prompt()
-	if f.FailPart > 0 && failing(p, f.FailPart) {
+	if f.FailPart > 0 && failsFor(p, f.FailPart) {
 		c.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
 	}
-	if w := e.enter(q.Model); w != "" {
-		refuse(c, statusOf(w), w)
+	if reason := e.admit(q.Model); reason != "" {
+		reject(c, rejectStatus(reason), reason)
 		return
 	}
 	id := string(c.Request.Header.Peek("X-Request-Id"))
-	e.start(Run{Attempt: id, Model: q.Model, Marker: Marker(p)})
-	t := e.tokens(q.Model, p)
+	e.startRun(Run{Attempt: id, Model: q.Model, Marker: Marker(p)})
+	t := e.answerTokens(q.Model, p)
 	if f.Bad {
 		id = "someone-else"
 	}
@@ -89,35 +95,40 @@
 		n, _ := strconv.Atoi(string(c.Request.Header.Peek("X-Resume-Chunks")))
 		c.SetContentType("text/event-stream")
 		c.SetBodyStreamWriter(func(w *bufio.Writer) {
-			defer e.stop()
+			defer e.finishRun()
 			e.stream(w, id, q.Model, t, n, f)
 		})
 		return
 	}
-	defer e.stop()
+	defer e.finishRun()
 	time.Sleep(time.Duration(len(t)) * e.Models[q.Model].PerToken)
 	serve.JSON(c, completion(id, q.Model, t, len(p)))
 }
 
-// failing picks the same part of prompts each time.
-func failing(prompt string, part float64) bool {
+// failsFor reports whether requests with the prompt fail, for the given fraction
+// of prompts. The result depends on the prompt alone, so that a retry of a
+// failing request fails as well.
+func failsFor(prompt string, fraction float64) bool {
 	const grain = 10_000
-	return float64(xxhash.Sum64String("fail/"+prompt)%grain) < part*grain
+	return float64(xxhash.Sum64String("fail/"+prompt)%grain) < fraction*grain
 }
 
-func statusOf(reason string) int {
+// rejectStatus returns the HTTP status for a rejection reason of Engine.admit.
+func rejectStatus(reason string) int {
 	if reason == "queue is full" {
 		return fasthttp.StatusTooManyRequests
 	}
 	return fasthttp.StatusServiceUnavailable
 }
 
-// refuse says that the work was not started.
-func refuse(c *fasthttp.RequestCtx, status int, reason string) {
+// reject responds with an error status and the X-Not-Run header, which states
+// that the engine did not start the request.
+func reject(c *fasthttp.RequestCtx, status int, reason string) {
 	c.Error(reason, status)
 	c.Response.Header.Set("X-Not-Run", "true")
 }
 
+// completion returns the body of a chat completion that is not streamed.
 func completion(id, model string, t []string, in int) map[string]any {
 	return map[string]any{
 		"id": id, "object": "chat.completion", "created": time.Now().Unix(), "model": model,
@@ -133,23 +144,26 @@
 	return map[string]int{"prompt_tokens": in / 4, "completion_tokens": out, "total_tokens": in/4 + out}
 }
 
-// stream writes the tokens from the skip-th on.
+// stream writes the tokens from index skip on as server-sent events, followed by
+// the usage and the [DONE] event. Settings.Models gives the time per token.
 func (e *Engine) stream(w *bufio.Writer, id, model string, t []string, skip int, f fault.Set) {
 	for i := skip; i < len(t); i++ {
 		time.Sleep(e.Models[model].PerToken)
 		if f.CutAfter > 0 && i >= f.CutAfter {
 			return
 		}
-		if !chunk(w, id, model, map[string]any{"index": 0, "delta": map[string]string{"content": t[i]}}, nil) {
+		if !writeChunk(w, id, model, map[string]any{"index": 0, "delta": map[string]string{"content": t[i]}}, nil) {
 			return
 		}
 	}
-	chunk(w, id, model, map[string]any{"index": 0, "delta": map[string]string{}, "finish_reason": "stop"}, usage(0, len(t)))
+	writeChunk(w, id, model, map[string]any{"index": 0, "delta": map[string]string{}, "finish_reason": "stop"}, usage(0, len(t)))
 	_, _ = w.WriteString("data: [DONE]\n\n")
 	_ = w.Flush()
 }
 
-func chunk(w *bufio.Writer, id, model string, choice map[string]any, u map[string]int) bool {
+// writeChunk writes one event of a stream and reports whether the client received
+// it. The usage u is omitted if it is nil.
+func writeChunk(w *bufio.Writer, id, model string, choice map[string]any, u map[string]int) bool {
 	m := map[string]any{"id": id, "object": "chat.completion.chunk", "created": time.Now().Unix(), "model": model, "choices": []any{choice}}
 	if u != nil {
 		m["usage"] = u
@@ -162,7 +176,9 @@
 	return w.Flush() == nil
 }
 
-// order takes {"order":"unload"|"load","version":V,"fence":N}.
+// order serves /orders: {"order":"unload"|"load","version":V,"fence":N}. An engine
+// that checks fencing tokens rejects an order with a lower token than the highest
+// one that it has received, since the sender has lost its lease.
 func (e *Engine) order(c *fasthttp.RequestCtx) {
 	var q struct {
 		Order   string `json:"order"`
@@ -175,11 +191,11 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.ChecksFence && q.Fence < e.fence {
+	if e.ChecksFence && q.Fence < e.highestToken {
 		c.Error("fence is lower than one seen", fasthttp.StatusConflict)
 		return
 	}
-	e.fence = max(e.fence, q.Fence)
+	e.highestToken = max(e.highestToken, q.Fence)
 	e.loaded[q.Version] = q.Order == "load"
 	if q.Order != "load" {
 		delete(e.loaded, q.Version)
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine stands in for a model engine: it speaks the OpenAI API,
-// works on a bounded number of requests at once, streams, resumes, reports
-// its load and takes fenced orders. Its answers are made of the request, so
-// that a test can tell whose answer it got, and carry a quality that the
-// rating stand-in reads.
+// Package engine fakes a model engine. It serves the OpenAI chat API with a
+// bounded number of concurrent requests, streams answers, resumes streams,
+// reports its load and accepts orders with fencing tokens. Its answers repeat the
+// marker of the request, so that a test can check which request an answer belongs
+// to, and contain a quality that the fake of package rating reads.
 package engine
 
 import (
@@ -16,28 +16,33 @@
 	"fieldvale/standin/serve"
 )
 
-// Model says how a version answers.
+// Model describes the answers of one model version.
 type Model struct {
-	// Quality of the easiest request, and how much less the hardest gets.
+	// Quality is the quality of the answer to the easiest prompt. Answers to
+	// the hardest prompt have Quality - Spread.
 	Quality float64
 	Spread  float64
-	// PerToken is the time of one token of an answer.
+	// PerToken is the time that one token of an answer takes.
 	PerToken time.Duration
-	// Bad makes all answers worthless.
+	// Bad gives all answers badQuality.
 	Bad bool
 }
 
-// Settings of one engine.
+// Settings configures one engine.
 type Settings struct {
-	ID     string
-	Slots  int
-	Queue  int
+	ID string
+	// Slots is the number of requests that run concurrently, and Queue the
+	// number that wait for a slot.
+	Slots int
+	Queue int
+	// Models holds the versions by name; all are loaded at the start.
 	Models map[string]Model
-	// ChecksFence makes it refuse orders with a lower fence than it has seen.
+	// ChecksFence makes the engine reject orders with a fencing token below the
+	// highest one that it has received.
 	ChecksFence bool
 }
 
-// Run is one request that the engine worked on.
+// Run is one request that the engine started. Attempt is its X-Request-Id.
 type Run struct {
 	Attempt string    `json:"attempt"`
 	Model   string    `json:"model"`
@@ -45,53 +50,53 @@
 	At      time.Time `json:"at"`
 }
 
-// Engine is one stand-in. It is safe for concurrent use.
+// Engine is a fake model engine. It is safe for concurrent use.
 type Engine struct {
 	Settings
 	Faults *fault.Box
 
-	mu      sync.Mutex
-	loaded  map[string]bool
-	running int
-	waiting int
-	slots   chan struct{}
-	fence   uint64
-	leaving bool
-	runs    []Run
-	bad     map[string]bool
+	mu           sync.Mutex
+	loaded       map[string]bool
+	running      int
+	queued       int
+	slots        chan struct{}
+	highestToken uint64
+	draining     bool
+	runs         []Run
+	badModels    map[string]bool
 }
 
 // New returns an engine with all its models loaded.
 func New(s Settings) *Engine {
-	e := &Engine{Settings: s, Faults: &fault.Box{}, loaded: map[string]bool{}, bad: map[string]bool{}, slots: make(chan struct{}, s.Slots)}
+	e := &Engine{Settings: s, Faults: &fault.Box{}, loaded: map[string]bool{}, badModels: map[string]bool{}, slots: make(chan struct{}, s.Slots)}
 	for m := range s.Models {
 		e.loaded[m] = true
 	}
 	return e
 }
 
-// Runs returns what the engine worked on.
+// Runs returns the requests that the engine started, in order.
 func (e *Engine) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Run(nil), e.runs...)
 }
 
-// SetLeaving makes the engine refuse new work, as one that is going away.
+// SetLeaving sets whether the engine is draining: it then rejects new requests.
 func (e *Engine) SetLeaving(b bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaving = b
+	e.draining = b
 }
 
-// SetBad makes a version's answers worthless from now on, or good again.
+// SetBad sets whether the model's answers have badQuality from now on.
 func (e *Engine) SetBad(model string, b bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.bad[model] = b
+	e.badModels[model] = b
 }
 
-// Handle serves one request.
+// Handle serves one HTTP request.
 func (e *Engine) Handle(c *fasthttp.RequestCtx) {
 	p := string(c.Path())
 	switch p {
@@ -124,6 +129,7 @@
 	e.Faults.After(c)
 }
 
+// load serves /load, the load report.
 func (e *Engine) load(c *fasthttp.RequestCtx) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -131,54 +137,57 @@
 	for m := range e.loaded {
 		v = append(v, m)
 	}
-	serve.JSON(c, map[string]any{"running": e.running, "waiting": e.waiting, "slots": e.Slots, "versions": v, "leaving": e.leaving})
+	serve.JSON(c, map[string]any{"running": e.running, "waiting": e.queued, "slots": e.Slots, "versions": v, "leaving": e.draining})
 }
 
-// enter takes a place for the request, or says why there is none.
-func (e *Engine) enter(model string) string {
+// admit adds the request to the queue, or returns the reason for a rejection.
+func (e *Engine) admit(model string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case e.leaving:
+	case e.draining:
 		return "leaving"
 	case !e.loaded[model]:
 		return "model not loaded"
-	case e.waiting >= e.Queue:
+	case e.queued >= e.Queue:
 		return "queue is full"
 	}
-	e.waiting++
+	e.queued++
 	return ""
 }
 
-func (e *Engine) start(r Run) {
+// startRun waits for a free slot and records the run.
+func (e *Engine) startRun(r Run) {
 	e.slots <- struct{}{}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.waiting--
+	e.queued--
 	e.running++
 	r.At = time.Now()
 	e.runs = append(e.runs, r)
 }
 
-func (e *Engine) stop() {
+// finishRun releases the slot of a run.
+func (e *Engine) finishRun() {
 	<-e.slots
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
 }
 
-// quality is that of the model's answer to the prompt.
+// quality returns the quality of the model's answer to the prompt. It depends on
+// the model and the prompt alone.
 func (e *Engine) quality(model, prompt string) float64 {
 	e.mu.Lock()
-	b := e.bad[model]
+	bad := e.badModels[model]
 	e.mu.Unlock()
 	m := e.Models[model]
-	if b || m.Bad {
+	if bad || m.Bad {
 		return badQuality
 	}
 	const grain = 1000
 	return m.Quality - m.Spread*float64(xxhash.Sum64String(prompt)%grain)/grain
 }
 
-// badQuality is that of answers of a version that turned bad.
+// badQuality is the quality of all answers of a bad version.
 const badQuality = 0.05
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault holds the faults that the stand-ins can be given while they
-// run, over a small control path of their own.
+// Package fault injects faults into the fake servers under standin while they
+// run. Each fake server exposes Path as an HTTP endpoint to set its faults.
 package fault
 
 import (
@@ -11,34 +11,37 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Path is where a stand-in takes its faults.
+// Path is the HTTP path on which a fake server accepts its faults.
 const Path = "/standin/fault"
 
-// Set is what a stand-in does wrong. The zero value is sound.
+// Set is the faults of one fake server. The zero value injects none.
 type Set struct {
-	// Down refuses everything by closing the connection.
+	// Down closes the connection of each request without a response.
 	Down bool
-	// Slow delays each answer.
+	// Slow delays the handling of each request.
 	Slow time.Duration
-	// DropAnswers does the work and closes the connection.
+	// DropAnswers handles the request and then closes the connection without
+	// a response.
 	DropAnswers bool
-	// Limited refuses with status 429.
+	// Limited rejects each request with status 429.
 	Limited bool
-	// Bad makes answers wrong, in a way of the stand-in's own.
+	// Bad makes responses incorrect, in a way that each fake server defines.
 	Bad bool
-	// CutAfter ends a stream after so many tokens; 0 does not.
+	// CutAfter truncates a stream after this many tokens; 0 disables it.
 	CutAfter int
-	// FailPart fails this part of requests with status 500, from 0 to 1.
+	// FailPart is the fraction of requests, from 0 to 1, that fail with
+	// status 500.
 	FailPart float64
 }
 
-// Box holds a Set that can be replaced while it is used.
+// Box holds a Set that can be replaced at run time. It is safe for concurrent
+// use.
 type Box struct {
 	mu sync.Mutex
 	s  Set
 }
 
-// Get returns the faults in force.
+// Get returns the current faults.
 func (b *Box) Get() Set {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,33 +55,33 @@
 	b.s = s
 }
 
-// Handle serves Path: the query's fields are the faults, and those left out
-// are cleared.
+// Handle serves Path. The query parameters are the faults to set; faults that
+// the query omits are cleared.
 func (b *Box) Handle(c *fasthttp.RequestCtx) {
 	a := c.QueryArgs()
-	n, _ := strconv.Atoi(string(a.Peek("cut_after")))
-	f, _ := strconv.ParseFloat(string(a.Peek("fail_part")), 64)
-	d, _ := time.ParseDuration(string(a.Peek("slow")))
+	cutAfter, _ := strconv.Atoi(string(a.Peek("cut_after")))
+	failPart, _ := strconv.ParseFloat(string(a.Peek("fail_part")), 64)
+	delay, _ := time.ParseDuration(string(a.Peek("slow")))
 	b.Put(Set{
 		Down:        a.GetBool("down"),
-		Slow:        d,
+		Slow:        delay,
 		DropAnswers: a.GetBool("drop_answers"),
 		Limited:     a.GetBool("limited"),
 		Bad:         a.GetBool("bad"),
-		CutAfter:    n,
-		FailPart:    f,
+		CutAfter:    cutAfter,
+		FailPart:    failPart,
 	})
 }
 
-// Before applies the faults that come ahead of the work and reports whether
-// the work should go on.
+// Before applies the faults that take effect before a request is handled. It
+// reports whether the handler should proceed.
 func (b *Box) Before(c *fasthttp.RequestCtx) bool {
 	s := b.Get()
 	if s.Slow > 0 {
 		time.Sleep(s.Slow)
 	}
 	if s.Down {
-		hangUp(c)
+		closeConnection(c)
 		return false
 	}
 	if s.Limited {
@@ -88,15 +91,15 @@
 	return true
 }
 
-// After applies the faults that come behind the work.
+// After applies the faults that take effect once a request was handled.
 func (b *Box) After(c *fasthttp.RequestCtx) {
 	if b.Get().DropAnswers {
-		hangUp(c)
+		closeConnection(c)
 	}
 }
 
-// hangUp closes the connection without an answer.
-func hangUp(c *fasthttp.RequestCtx) {
+// closeConnection closes the connection without a response.
+func closeConnection(c *fasthttp.RequestCtx) {
 	c.HijackSetNoResponse(true)
 	c.Hijack(func(n net.Conn) { _ = n.Close() })
 }
--- a/standin/kv/fake.go
+++ b/standin/kv/fake.go
@@ -9,43 +9,45 @@
 	"fieldvale/store"
 )
 
-// Fake is one client's way to a Memory, with faults, for tests within one
-// process.
+// Fake is a store client that accesses a Memory within the same process and can
+// inject faults.
 type Fake struct {
 	*Memory
-	mu sync.Mutex
-	f  Fault
-	// calls counts the calls by name.
+	mu    sync.Mutex
+	fault Fault
+	// calls counts the calls by operation.
 	calls map[string]int
 }
 
-// Fault is what goes wrong between a client and the store.
+// Fault is a fault of the connection between a client and the store.
 type Fault int
 
 // The faults of a Fake.
 const (
+	// Sound injects no fault.
 	Sound Fault = iota
-	// Down: nothing is reached.
+	// Down makes calls fail without reaching the store.
 	Down
-	// LostAnswers: writes take effect and their answers are lost.
+	// LostAnswers applies writes and loses their responses.
 	LostAnswers
-	// LostRequests: requests are lost; the client can't tell from LostAnswers.
+	// LostRequests loses requests before they reach the store. The client gets
+	// the same error as with LostAnswers.
 	LostRequests
 )
 
-// NewFake returns a sound way to m.
+// NewFake returns a client of m without faults.
 func NewFake(m *Memory) *Fake {
 	return &Fake{Memory: m, calls: map[string]int{}}
 }
 
-// Break puts a fault in force; Sound mends.
+// Break sets the fault of all further calls; Sound removes it.
 func (f *Fake) Break(x Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.f = x
+	f.fault = x
 }
 
-// Calls returns how many calls of a name were made.
+// Calls returns the number of calls of an operation, such as "get".
 func (f *Fake) Calls(name string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,12 +56,13 @@
 
 var errFake = errors.New("fake store")
 
-// before returns the error that a call ends with ahead of any effect.
+// before counts a call and returns the errors of the current fault: err if the
+// call must fail without any effect, after if it must fail once it took effect.
 func (f *Fake) before(name string) (after, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls[name]++
-	switch f.f {
+	switch f.fault {
 	case Down:
 		return nil, errors.Mark(errors.Wrapf(errFake, "%s: down", name), store.ErrUnavailable)
 	case LostRequests:
--- a/standin/kv/memory.go
+++ b/standin/kv/memory.go
@@ -1,6 +1,6 @@
-// Package kv stands in for the platform's key-value service: a small
-// in-memory store with leases and watches, served by the JSON form of the
-// etcd v3 protocol or used directly by tests.
+// Package kv fakes the platform's key-value service: an in-memory store with
+// leases and watches. Server exposes it over the JSON form of the etcd v3
+// protocol; tests also use it directly.
 package kv
 
 import (
@@ -13,14 +13,16 @@
 	"fieldvale/store"
 )
 
-// Memory is the store's content. It is safe for concurrent use.
+// Memory is an in-memory store. It implements store.Store. It is safe for concurrent use.
 type Memory struct {
 	mu       sync.Mutex
 	revision int64
 	data     map[string]value
-	changed  chan struct{}
+	// changed is closed and replaced at each write, to wake up Wait calls.
+	changed chan struct{}
 }
 
+// value is the value of one key. A zero expires means no expiry.
 type value struct {
 	bytes   []byte
 	version int64
@@ -32,13 +34,13 @@
 	return &Memory{data: map[string]value{}, changed: make(chan struct{})}
 }
 
-// Snapshot is a copy of the content that Restore takes back.
+// Snapshot is a copy of the store that Restore accepts.
 type Snapshot struct {
 	revision int64
 	data     map[string]value
 }
 
-// Snapshot copies the content.
+// Snapshot returns a copy of the keys and the revision.
 func (m *Memory) Snapshot() Snapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -49,7 +51,8 @@
 	return Snapshot{m.revision, d}
 }
 
-// Restore puts an older content back, as after a bad day of the platform.
+// Restore replaces the keys and the revision by those of a snapshot, as a restore
+// from a backup does: the revision goes back and later writes are lost.
 func (m *Memory) Restore(s Snapshot) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,11 +64,13 @@
 	m.wake()
 }
 
+// wake wakes up all Wait calls. m.mu must be held.
 func (m *Memory) wake() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
+// get returns the value of a key and deletes an expired one. m.mu must be held.
 func (m *Memory) get(key string) store.Pair {
 	v, ok := m.data[key]
 	if ok && !v.expires.IsZero() && !time.Now().Before(v.expires) {
@@ -78,6 +83,8 @@
 	return store.Pair{Key: key, Value: v.bytes, Version: v.version}
 }
 
+// list returns up to n pairs in descending order of their keys; n = 0 returns all.
+// m.mu must be held.
 func (m *Memory) list(prefix string, n int) []store.Pair {
 	var k []string
 	for x := range m.data {
@@ -98,6 +105,7 @@
 	return r
 }
 
+// holds reports whether all guards hold. m.mu must be held.
 func (m *Memory) holds(g []store.Guard) bool {
 	for _, x := range g {
 		if m.get(x.Key).Version != x.Version {
@@ -107,6 +115,7 @@
 	return true
 }
 
+// put writes a key at the current revision. m.mu must be held.
 func (m *Memory) put(w store.Write) {
 	m.data[w.Key] = value{bytes: w.Value, version: m.revision, expires: w.Expires}
 }
--- a/standin/kv/server.go
+++ b/standin/kv/server.go
@@ -15,17 +15,19 @@
 	"fieldvale/store"
 )
 
-// Server speaks the JSON form of the etcd v3 protocol, as far as fieldvale
-// uses it, over a Memory.
+// Server serves a Memory over the JSON form of the etcd v3 protocol, as far as
+// fieldvale uses it.
 type Server struct {
 	Memory *Memory
 	Faults *fault.Box
 
-	mu     sync.Mutex
-	lease  int64
+	mu sync.Mutex
+	// lastLease is the ID of the lease granted last.
+	lastLease int64
+	// leases holds the expiry times by lease ID.
 	leases map[int64]time.Time
 	saved  Snapshot
-	// Reads and Writes count calls.
+	// Reads and Writes count the calls that read and that write.
 	Reads  atomic.Int64
 	Writes atomic.Int64
 }
@@ -69,18 +71,18 @@
 	KVs []jsonKV `json:"kvs"`
 }
 
-type jsonOpAnswer struct {
-	Put   *struct{}      `json:"response_put,omitempty"`
-	Range *jsonKVs       `json:"response_range,omitempty"`
-	Txn   *jsonTxnAnswer `json:"response_txn,omitempty"`
+type jsonOpResponse struct {
+	Put   *struct{}        `json:"response_put,omitempty"`
+	Range *jsonKVs         `json:"response_range,omitempty"`
+	Txn   *jsonTxnResponse `json:"response_txn,omitempty"`
 }
 
-type jsonTxnAnswer struct {
-	Succeeded bool           `json:"succeeded"`
-	Responses []jsonOpAnswer `json:"responses"`
+type jsonTxnResponse struct {
+	Succeeded bool             `json:"succeeded"`
+	Responses []jsonOpResponse `json:"responses"`
 }
 
-// Handle serves one request.
+// Handle serves one HTTP request.
 func (s *Server) Handle(c *fasthttp.RequestCtx) {
 	p := string(c.Path())
 	switch p {
@@ -120,6 +122,7 @@
 	}
 }
 
+// reply decodes the request body, calls f and responds with its result as JSON.
 func reply[Q any](c *fasthttp.RequestCtx, f func(*Q) any) {
 	var q Q
 	if err := json.Unmarshal(c.PostBody(), &q); err != nil {
@@ -145,6 +148,8 @@
 	return m.rangeLocked(q)
 }
 
+// rangeLocked returns one key, or all with its prefix if the request has a range
+// end. m.mu must be held.
 func (m *Memory) rangeLocked(q *jsonRange) *jsonKVs {
 	a := &jsonKVs{KVs: []jsonKV{}}
 	if len(q.RangeEnd) > 0 {
@@ -159,7 +164,7 @@
 	return a
 }
 
-func (s *Server) txn(q *jsonTxn) *jsonTxnAnswer {
+func (s *Server) txn(q *jsonTxn) *jsonTxnResponse {
 	m := s.Memory
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -169,8 +174,9 @@
 	return a
 }
 
-func (s *Server) txnLocked(q *jsonTxn) *jsonTxnAnswer {
-	a := &jsonTxnAnswer{Succeeded: s.Memory.holds(guards(q.Compare)), Responses: []jsonOpAnswer{}}
+// txnLocked runs a transaction. s.Memory.mu must be held.
+func (s *Server) txnLocked(q *jsonTxn) *jsonTxnResponse {
+	a := &jsonTxnResponse{Succeeded: s.Memory.holds(guards(q.Compare)), Responses: []jsonOpResponse{}}
 	o := q.Success
 	if !a.Succeeded {
 		o = q.Failure
@@ -181,6 +187,7 @@
 	return a
 }
 
+// guards converts the comparisons of a transaction.
 func guards(c []jsonCompare) []store.Guard {
 	g := make([]store.Guard, len(c))
 	for i, x := range c {
@@ -190,19 +197,21 @@
 	return g
 }
 
-func (s *Server) op(o jsonOp) jsonOpAnswer {
+// op runs one operation of a transaction. s.Memory.mu must be held.
+func (s *Server) op(o jsonOp) jsonOpResponse {
 	switch {
 	case o.Put != nil:
 		s.Memory.put(store.Write{Key: string(o.Put.Key), Value: o.Put.Value, Expires: s.expiry(o.Put.Lease)})
-		return jsonOpAnswer{Put: &struct{}{}}
+		return jsonOpResponse{Put: &struct{}{}}
 	case o.Range != nil:
-		return jsonOpAnswer{Range: s.Memory.rangeLocked(o.Range)}
+		return jsonOpResponse{Range: s.Memory.rangeLocked(o.Range)}
 	case o.Txn != nil:
-		return jsonOpAnswer{Txn: s.txnLocked(o.Txn)}
+		return jsonOpResponse{Txn: s.txnLocked(o.Txn)}
 	}
-	return jsonOpAnswer{}
+	return jsonOpResponse{}
 }
 
+// expiry returns the expiry time of a lease, or zero if there is none.
 func (s *Server) expiry(lease string) time.Time {
 	n, err := strconv.ParseInt(lease, 10, 64)
 	if err != nil {
@@ -213,19 +222,21 @@
 	return s.leases[n]
 }
 
+// grant serves /v3/lease/grant.
 func (s *Server) grant(q map[string]string) map[string]string {
 	n, _ := strconv.ParseInt(q["TTL"], 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lease++
-	s.leases[s.lease] = time.Now().Add(time.Duration(n) * time.Second)
-	return map[string]string{"ID": strconv.FormatInt(s.lease, 10), "TTL": q["TTL"]}
+	s.lastLease++
+	s.leases[s.lastLease] = time.Now().Add(time.Duration(n) * time.Second)
+	return map[string]string{"ID": strconv.FormatInt(s.lastLease, 10), "TTL": q["TTL"]}
 }
 
-// maxWatch ends a watch that sees nothing, so that none outlives its client
-// for long.
-const maxWatch = 30 * time.Second
+// maxWatchDuration ends a watch without events, so that no watch outlives its client for
+// long.
+const maxWatchDuration = 30 * time.Second
 
+// watch serves /v3/watch.
 func (s *Server) watch(c *fasthttp.RequestCtx) {
 	var q struct {
 		Create struct {
@@ -242,12 +253,14 @@
 	c.SetBodyStreamWriter(func(w *bufio.Writer) { s.stream(w, k, n-1) })
 }
 
+// stream writes the creation event and, once the key has a version greater than
+// above, one event with its value. It then ends the watch.
 func (s *Server) stream(w *bufio.Writer, key string, above int64) {
 	_, _ = w.WriteString(`{"result":{"created":true}}` + "\n")
 	if w.Flush() != nil {
 		return
 	}
-	x, cancel := context.WithTimeout(context.Background(), maxWatch)
+	x, cancel := context.WithTimeout(context.Background(), maxWatchDuration)
 	defer cancel()
 	p, err := s.Memory.Wait(x, key, above)
 	if err != nil || s.Faults.Get().Down {
--- a/standin/list/list.go
+++ b/standin/list/list.go
@@ -1,4 +1,5 @@
-// Package list stands in for the platform's lagging list of instances.
+// Package list fakes the platform's list of instances and backend servers,
+// which readers see with a delay.
 package list
 
 import (
@@ -12,7 +13,7 @@
 	"fieldvale/standin/serve"
 )
 
-// Instance is one line of the list.
+// Instance is one entry of the list: an instance or a backend server.
 type Instance struct {
 	ID          string `json:"id"`
 	Addr        string `json:"addr"`
@@ -24,38 +25,41 @@
 	Leaving     bool   `json:"leaving,omitempty"`
 }
 
-// List is the stand-in. It is safe for concurrent use.
+// List is a fake instance list. It is safe for concurrent use.
 type List struct {
 	Faults *fault.Box
-	// Lag is how old the list is that a reader gets.
+	// Lag is the delay until readers see a new version of the list.
 	Lag time.Duration
 
-	mu  sync.Mutex
-	old []entry
+	mu       sync.Mutex
+	versions []version
 }
 
-type entry struct {
+// version is the list as it was published at a point in time.
+type version struct {
 	at   time.Time
 	list []Instance
 }
 
-// New returns a list that lags.
+// New returns an empty list whose versions readers see after lag.
 func New(lag time.Duration) *List {
 	return &List{Faults: &fault.Box{}, Lag: lag}
 }
 
-// Set replaces the list; readers see it after the lag.
+// Set publishes a new version of the list, which readers see after Lag.
 func (l *List) Set(i []Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.old = append(l.old, entry{time.Now(), i})
+	l.versions = append(l.versions, version{time.Now(), i})
 }
 
-func (l *List) get() []Instance {
+// visible returns the newest version that is at least Lag old. The first version
+// is visible at once.
+func (l *List) visible() []Instance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := []Instance{}
-	for n, e := range l.old {
+	for n, e := range l.versions {
 		if n == 0 || time.Since(e.at) >= l.Lag {
 			r = e.list
 		}
@@ -63,7 +67,7 @@
 	return r
 }
 
-// Handle serves one request. POST replaces the list.
+// Handle serves one HTTP request: GET returns the list, POST replaces it.
 func (l *List) Handle(c *fasthttp.RequestCtx) {
 	if string(c.Path()) == fault.Path {
 		l.Faults.Handle(c)
@@ -73,15 +77,15 @@
 		return
 	}
 	if c.IsPost() {
-		var w struct {
+		var body struct {
 			Instances []Instance `json:"instances"`
 		}
-		if err := json.Unmarshal(c.PostBody(), &w); err != nil {
+		if err := json.Unmarshal(c.PostBody(), &body); err != nil {
 			c.Error(err.Error(), fasthttp.StatusBadRequest)
 			return
 		}
-		l.Set(w.Instances)
+		l.Set(body.Instances)
 		return
 	}
-	serve.JSON(c, map[string]any{"instances": l.get()})
+	serve.JSON(c, map[string]any{"instances": l.visible()})
 }
--- a/standin/ordered/ordered.go
+++ b/standin/ordered/ordered.go
@@ -1,5 +1,6 @@
-// Package ordered holds the release that a soak orders: how its replicas answer, what
-// they got, and whether that is more than a bad one may get.
+// Package ordered models the release that a soak run orders: it determines how the
+// replicas of the new release respond, counts the requests that they receive, and checks
+// that a bad release does not receive more of them than the configured bound.
 package ordered
 
 import (
@@ -9,24 +10,26 @@
 	"time"
 )
 
-// The releases' names.
+// The names of the release in use before the order and of the ordered one.
 const (
 	Old = "v1"
 	New = "v2"
 )
 
 const (
-	// ExposedPart and ExposedSlack are what a bad release may get of the requests
-	// of its length, as the nodes' settings have it.
+	// ExposedPart and ExposedSlack bound the requests that a bad release may receive
+	// during its roll-out: a fraction of all requests plus a constant. They equal the
+	// values in the settings of the nodes.
 	ExposedPart  = 0.15
 	ExposedSlack = 30
-	// badChance of a bad release's answers fail or come late, in a hundred.
-	badChance = 50
-	// lateBy is how much later a slow release's answers come.
-	lateBy = 400 * time.Millisecond
+	// badPercent is the percentage of a bad release's responses that fail or are
+	// delayed.
+	badPercent = 50
+	// slowDelay is the delay of a delayed response of a slow release.
+	slowDelay = 400 * time.Millisecond
 )
 
-// kind is how a release answers.
+// kind classifies the responses of a release.
 type kind int
 
 const (
@@ -38,64 +41,68 @@
 
 func (k kind) String() string { return [...]string{"good", "failing", "slow"}[k] }
 
-// Release is the one that is ordered, and what its replicas got. It is safe for
-// concurrent use.
+// Release is the ordered release with the request counts of its roll-out. It is safe
+// for concurrent use.
 type Release struct {
 	kind kind
 	mu   sync.Mutex
-	// ends is when its length is over, zero until it is ordered.
-	ends time.Time
-	got  map[string]int
-	rand *rand.Rand
+	// ends is the time at which the roll-out ends, zero until the release is ordered.
+	ends     time.Time
+	received map[string]int
+	rand     *rand.Rand
 }
 
-// ForSeed returns the release of that seed.
+// ForSeed returns the release for a seed; the same seed gives the same kind and the
+// same sequence of faults.
 func ForSeed(seed uint64) *Release {
-	return &Release{kind: kind(seed % uint64(kinds)), got: map[string]int{}, rand: rand.New(rand.NewPCG(seed, 99))}
+	return &Release{kind: kind(seed % uint64(kinds)), received: map[string]int{}, rand: rand.New(rand.NewPCG(seed, 99))}
 }
 
-// Begin notes that the release is ordered now, for so long.
+// Begin records that the release is ordered now and that its roll-out takes length.
 func (r *Release) Begin(length time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ends = time.Now().Add(length)
 }
 
-// Reached counts a request that reached a replica of the named release.
+// Reached counts a request that a replica of the named release received. Requests
+// after the roll-out are not counted.
 func (r *Release) Reached(of string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if time.Now().Before(r.ends) {
-		r.got[of]++
+		r.received[of]++
 	}
 }
 
-// Spoil makes the named release's next answer late, if it is a slow one, and reports
-// whether it fails.
+// Spoil injects the fault of the next response of the named release: it sleeps if a
+// slow release is to delay the response, and reports whether the response is to fail.
+// Only the new release has faults.
 func (r *Release) Spoil(of string) bool {
 	r.mu.Lock()
-	spoil := of == New && r.rand.IntN(100) < badChance
+	faulty := of == New && r.rand.IntN(100) < badPercent
 	r.mu.Unlock()
-	if spoil && r.kind == slow {
-		time.Sleep(lateBy)
+	if faulty && r.kind == slow {
+		time.Sleep(slowDelay)
 	}
-	return spoil && r.kind == failing
+	return faulty && r.kind == failing
 }
 
-// Settle returns what is broken of what a release may get.
+// Settle returns a violation if a bad release received more requests than ExposedPart
+// and ExposedSlack allow.
 func (r *Release) Settle() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := r.got[Old] + r.got[New]
-	if n := r.got[New]; r.kind != good && float64(n) > ExposedPart*float64(all)+ExposedSlack {
-		return []string{fmt.Sprintf("a %s release got %d of %d requests of its length", r.kind, n, all)}
+	all := r.received[Old] + r.received[New]
+	if n := r.received[New]; r.kind != good && float64(n) > ExposedPart*float64(all)+ExposedSlack {
+		return []string{fmt.Sprintf("a %s release received %d of the %d requests during its roll-out, want at most %.0f%% plus %d", r.kind, n, all, 100*ExposedPart, ExposedSlack)}
 	}
 	return nil
 }
 
-// String tells of the release and what it got.
+// String returns the kind of the release and its request counts.
 func (r *Release) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return fmt.Sprintf("%s: %d of %d requests", r.kind, r.got[New], r.got[Old]+r.got[New])
+	return fmt.Sprintf("%s: %d of %d requests", r.kind, r.received[New], r.received[Old]+r.received[New])
 }
--- a/standin/rating/rating.go
+++ b/standin/rating/rating.go
@@ -1,5 +1,5 @@
-// Package rating stands in for the platform's service that rates answers. It
-// reads the quality that the engine stand-in wrote into its answer.
+// Package rating fakes the platform's service that rates answers. The rating
+// is the quality that the fake of package engine wrote into its answer.
 package rating
 
 import (
@@ -15,22 +15,24 @@
 	"fieldvale/standin/serve"
 )
 
-var quality = regexp.MustCompile(`q=([0-9.]+)`)
+// qualityPattern matches the quality in an answer of package engine.
+var qualityPattern = regexp.MustCompile(`q=([0-9.]+)`)
 
-// Rating is the stand-in. It is safe for concurrent use.
+// Rating is a fake rating service. It is safe for concurrent use.
 type Rating struct {
 	Faults *fault.Box
-	// Work is the time of one rating.
-	Work  time.Duration
+	// Work is the duration of one rating.
+	Work time.Duration
+	// Count is the number of ratings made.
 	Count atomic.Int64
 }
 
-// New returns a rating service.
+// New returns a rating service that takes work for each rating.
 func New(work time.Duration) *Rating {
 	return &Rating{Faults: &fault.Box{}, Work: work}
 }
 
-// Handle serves one request.
+// Handle serves one HTTP request.
 func (r *Rating) Handle(c *fasthttp.RequestCtx) {
 	if string(c.Path()) == fault.Path {
 		r.Faults.Handle(c)
@@ -48,9 +50,9 @@
 	}
 	time.Sleep(r.Work)
 	r.Count.Add(1)
-	f := 0.0
-	if m := quality.FindStringSubmatch(q.Answer); m != nil {
-		f, _ = strconv.ParseFloat(m[1], 64)
+	rated := 0.0
+	if m := qualityPattern.FindStringSubmatch(q.Answer); m != nil {
+		rated, _ = strconv.ParseFloat(m[1], 64)
 	}
-	serve.JSON(c, map[string]float64{"rating": f})
+	serve.JSON(c, map[string]float64{"rating": rated})
 }
--- a/standin/seed/seed.go
+++ b/standin/seed/seed.go
@@ -1,5 +1,5 @@
-// Package seed gives property tests the same seed on every run, so that they
-// give the same verdict.
+// Package seed fixes the random seed of property tests, so that their results
+// are reproducible.
 package seed
 
 import (
@@ -7,14 +7,15 @@
 	"fmt"
 )
 
-const fixed = "20261202"
+const fixedSeed = "20261202"
 
-// Fix sets and prints rapid's seed unless -rapid.seed is given on the command
-// line, which is read later and wins.
+// Fix sets rapid's seed and prints it. A -rapid.seed flag on the command line
+// is parsed later and overrides it. It returns true so that a package variable
+// can be initialised with the call.
 func Fix() bool {
-	if err := flag.Set("rapid.seed", fixed); err != nil {
+	if err := flag.Set("rapid.seed", fixedSeed); err != nil {
 		panic(err)
 	}
-	fmt.Println("rapid.seed=" + fixed)
+	fmt.Println("rapid.seed=" + fixedSeed)
 	return true
 }
--- a/standin/serve/serve.go
+++ b/standin/serve/serve.go
@@ -1,4 +1,4 @@
-// Package serve runs a stand-in's handler on a loopback listener.
+// Package serve runs the handler of a fake server on a TCP listener.
 package serve
 
 import (
@@ -11,44 +11,47 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Listener is a stand-in that is served.
+// Listener is a running HTTP server.
 type Listener struct {
 	Addr string
 	http *fasthttp.Server
 	l    net.Listener
 }
 
-// On serves the handler on addr; port 0 picks a free one.
+// On serves the handler on addr; port 0 selects a free port.
 func On(addr string, h fasthttp.RequestHandler) (*Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "serve.On")
 	}
-	s := &Listener{Addr: l.Addr().String(), l: l, http: &fasthttp.Server{Handler: h, Logger: quiet{}, NoDefaultServerHeader: true}}
+	s := &Listener{Addr: l.Addr().String(), l: l, http: &fasthttp.Server{Handler: h, Logger: discardLogger{}, NoDefaultServerHeader: true}}
 	go func() { _ = s.http.Serve(l) }()
 	return s, nil
 }
 
-// Close stops taking connections. It does not wait.
+// Close stops accepting connections. It does not wait for requests in
+// progress.
 func (l *Listener) Close() { _ = l.l.Close() }
 
-type quiet struct{}
+// discardLogger drops the log messages of fasthttp.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// Ports below those that the system gives to outgoing connections, so that
-// none takes a port between its choice and its use.
+// FreePort chooses from a range below the ephemeral ports of the operating
+// system, so that no outgoing connection takes a port between FreePort and the
+// listen of the process that uses it.
 const (
-	lowestPort  = 10_000
-	highestPort = 30_000
-	portTries   = 100
+	lowestPort   = 10_000
+	highestPort  = 30_000
+	portAttempts = 100
 )
 
-// FreePort returns a loopback address that nobody listens on, for a process
-// that is told its port by its settings.
+// FreePort returns a loopback address on which no process listens, for a
+// process that reads its port from its settings.
 func FreePort() (string, error) {
 	var last error
-	for range portTries {
+	for range portAttempts {
 		a := net.JoinHostPort("127.0.0.1", strconv.Itoa(lowestPort+rand.IntN(highestPort-lowestPort)))
 		l, err := net.Listen("tcp", a)
 		if err == nil {
@@ -59,7 +62,7 @@
 	return "", errors.Wrap(last, "serve.FreePort")
 }
 
-// JSON answers with v.
+// JSON responds with v encoded as JSON.
 func JSON(c *fasthttp.RequestCtx, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service stands in for a plain service, such as a memory service or
-// an order desk. It counts how often each key was run, which is where doubled
-// work shows.
+// Package service fakes a plain service, such as a translation memory or an order
+// service. It counts the runs of each idempotency key, so that a test can detect
+// calls that were run twice.
 package service
 
 import (
@@ -14,25 +14,26 @@
 	"fieldvale/standin/serve"
 )
 
-// Service is one stand-in. It is safe for concurrent use.
+// Service is a fake service. It is safe for concurrent use.
 type Service struct {
-	// ChecksKey makes it answer a second call with a key as the first.
+	// ChecksKey makes the service deduplicate calls by idempotency key: a second
+	// call with the same key is answered without a second run.
 	ChecksKey bool
-	// Work is the time of one call.
+	// Work is the duration of one call.
 	Work   time.Duration
 	Faults *fault.Box
 
-	mu      sync.Mutex
-	runs    map[string]int
-	leaving bool
+	mu       sync.Mutex
+	runs     map[string]int
+	draining bool
 }
 
-// New returns a service whose calls take the given time.
+// New returns a service whose calls take work.
 func New(work time.Duration, checksKey bool) *Service {
 	return &Service{ChecksKey: checksKey, Work: work, Faults: &fault.Box{}, runs: map[string]int{}}
 }
 
-// Runs returns how often each "call/key" was run.
+// Runs returns the number of runs by "call/key".
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,7 +44,7 @@
 	return r
 }
 
-// Handle serves one request.
+// Handle serves one HTTP request.
 func (s *Service) Handle(c *fasthttp.RequestCtx) {
 	switch p := string(c.Path()); p {
 	case fault.Path:
@@ -52,12 +53,12 @@
 		serve.JSON(c, s.Runs())
 	case "/standin/leaving":
 		s.mu.Lock()
-		s.leaving = c.QueryArgs().GetBool("leaving")
+		s.draining = c.QueryArgs().GetBool("leaving")
 		s.mu.Unlock()
 	case "/load":
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		serve.JSON(c, map[string]any{"leaving": s.leaving})
+		serve.JSON(c, map[string]any{"leaving": s.draining})
 	default:
 		if s.Faults.Before(c) {
 			s.call(c, strings.TrimPrefix(p, "/"))
@@ -66,10 +67,12 @@
 	}
 }
 
+// call runs one call. A draining service rejects it with the X-Not-Run header,
+// which states that the call was not started.
 func (s *Service) call(c *fasthttp.RequestCtx, call string) {
 	k := call + "/" + string(c.Request.Header.Peek("Idempotency-Key"))
 	s.mu.Lock()
-	if s.leaving {
+	if s.draining {
 		s.mu.Unlock()
 		c.Response.Header.Set("X-Not-Run", "true")
 		c.SetStatusCode(fasthttp.StatusServiceUnavailable)
--- a/standin/traffic/traffic.go
+++ b/standin/traffic/traffic.go
@@ -1,4 +1,5 @@
-// Package traffic makes the requests of the two workloads, from a seed.
+// Package traffic generates the requests of the two example workloads from a
+// random seed.
 package traffic
 
 import (
@@ -7,22 +8,22 @@
 	"strings"
 )
 
-// Kind says how a request is sent.
+// Kind classifies requests by how they are sent.
 type Kind int
 
 // The kinds of request.
 const (
-	// Chat is answered by a model.
+	// Chat is a chat request to a model.
 	Chat Kind = iota
-	// Plain is a call of a plain service that may be repeated.
+	// Plain is an idempotent call of a plain service.
 	Plain
-	// Once is a call of a plain service that may not.
+	// Once is a call of a plain service that must not run twice.
 	Once
 )
 
 // Request is one request of a customer.
 type Request struct {
-	// ID is the request's own; it is also the marker in a prompt.
+	// ID is unique within the source; it is also the marker in the prompt.
 	ID       string
 	Team     string
 	Customer string
@@ -36,17 +37,18 @@
 	Text    string
 }
 
-// KeyOf returns the demo key of a customer.
+// KeyOf returns the API key of a customer in the example policies.
 func KeyOf(customer string) string { return "demo-key-" + customer }
 
-// customers of the example policies; the first three are large, the last one
-// may use the small model only.
+// customers lists the customers of the example policies by team. The first
+// largeCustomers of each team send most of the requests; the last one may use
+// the small model only.
 var customers = map[string][]string{
 	"shared-memory": {"inverness-loc", "skye-strings", "oban-words", "perth-lingua", "fife-texts", "angus-cat", "lothian-loc", "tweed-terms", "borders-lex", "galloway-gloss"},
 	"maizes-tilts":  {"riga-rye", "jelgava-bread", "cesis-cafe", "sigulda-oven", "tukums-mill", "valka-crumb", "ogre-loaf", "kuldiga-bake", "ventspils-bun", "liepaja-roll"},
 }
 
-const large = 3
+const largeCustomers = 3
 
 // MayUse reports whether the example policies let the customer use the model.
 func MayUse(customer, model string) bool {
@@ -56,6 +58,7 @@
 	return strings.HasPrefix(model, prefixOf(customer))
 }
 
+// prefixOf returns the prefix of the model names of the customer's team.
 func prefixOf(customer string) string {
 	for _, c := range customers["shared-memory"] {
 		if c == customer {
@@ -65,13 +68,13 @@
 	return "dough-"
 }
 
-// Source makes requests. It is not safe for concurrent use.
+// Source generates requests. It is not safe for concurrent use.
 type Source struct {
 	r *rand.Rand
 	n int
 }
 
-// New returns a source; the same seed makes the same requests.
+// New returns a source; the same seed gives the same sequence of requests.
 func New(seed uint64) *Source {
 	return &Source{r: rand.New(rand.NewPCG(seed, seed))}
 }
@@ -85,20 +88,23 @@
 	return s.orders()
 }
 
-// customer draws one; the large ones send two thirds.
+// customer draws a customer of the team. In two of three draws it is one of the
+// large customers.
 func (s *Source) customer(team string) string {
 	c := customers[team]
 	if s.r.IntN(3) < 2 {
-		return c[s.r.IntN(large)]
+		return c[s.r.IntN(largeCustomers)]
 	}
 	return c[s.r.IntN(len(c))]
 }
 
+// base returns a request with the fields that all kinds share.
 func (s *Source) base(team string) Request {
 	c := s.customer(team)
 	return Request{ID: fmt.Sprintf("%s-%d", c, s.n), Team: team, Customer: c, Thread: fmt.Sprintf("%s/%d", c, s.r.IntN(3))}
 }
 
+// memory draws a request of the translation memory workload.
 func (s *Source) memory() Request {
 	q := s.base("shared-memory")
 	switch n := s.r.IntN(10); {
@@ -119,6 +125,7 @@
 	return q
 }
 
+// orders draws a request of the order workload.
 func (s *Source) orders() Request {
 	q := s.base("maizes-tilts")
 	switch n := s.r.IntN(10); {
@@ -136,12 +143,12 @@
 	return q
 }
 
-var dictionary = strings.Fields("rye loaf wheat string release glen firth segment bakery café van dawn term gloss match plan price note river stone bridge order sack flour")
+var vocabulary = strings.Fields("rye loaf wheat string release glen firth segment bakery café van dawn term gloss match plan price note river stone bridge order sack flour")
 
 func (s *Source) words(n int) string {
 	w := make([]string, n)
 	for i := range w {
-		w[i] = dictionary[s.r.IntN(len(dictionary))]
+		w[i] = vocabulary[s.r.IntN(len(vocabulary))]
 	}
 	return strings.Join(w, " ")
 }
