--- a/faults/check_test.go
+++ b/faults/check_test.go
@@ -10,20 +10,20 @@
 	"fieldvale/standin/world"
 )
 
-// check looks whether every promise was kept.
-func (d *day) check(ctx context.Context) {
+// checkInvariants checks the guarantees of the system at the end of the script.
+func (d *deployment) checkInvariants(ctx context.Context) {
 	runs := d.runs()
 	d.checkAnswers(runs)
 	d.checkOnce(runs)
 	d.checkVersions(runs)
-	d.checkLeaving()
+	d.checkDraining()
 	d.checkSessions()
 	d.checkBills(ctx, runs)
 	d.checkConfiguration(ctx)
 }
 
-// runs returns the work that backend servers started, by request id.
-func (d *day) runs() map[string][]world.Run {
+// runs returns the runs of all backend servers by request ID.
+func (d *deployment) runs() map[string][]world.Run {
 	r := map[string][]world.Run{}
 	for _, b := range d.w.Backends() {
 		for _, x := range b.Runs() {
@@ -34,126 +34,130 @@
 	return r
 }
 
-// checkAnswers: a caller gets the whole answer to its own request, and a
-// refusal that says "not run" is true.
-func (d *day) checkAnswers(runs map[string][]world.Run) {
+// checkAnswers checks that answers are complete and belong to their requests, that a
+// request whose attempts were all reported as not run did not run, and that at least 60 % of
+// the requests were answered.
+func (d *deployment) checkAnswers(runs map[string][]world.Run) {
 	n := 0
 	for _, s := range d.sent {
 		if s.answered {
 			n++
 		}
-		if s.answered && !s.whole {
-			d.fail("%s (%s): the answer is not whole or not its own", s.id, s.kind)
+		if s.answered && !s.complete {
+			d.reportViolation("%s (%s): the answer is incomplete or belongs to another request", s.id, s.kind)
 		}
-		if s.denied && len(runs[s.id]) > 0 {
-			d.fail("%s (%s): told not run %d times by %v, ran %d times: %v", s.id, s.kind, s.tries, s.entries, len(runs[s.id]), s.last)
+		if s.allNotRun && len(runs[s.id]) > 0 {
+			d.reportViolation("%s (%s): reported as not run in %d attempts by %v, but ran %d times: %v", s.id, s.kind, s.attempts, s.entries, len(runs[s.id]), s.lastErr)
 		}
 	}
-	if n < requests*6/10 {
-		d.fail("only %d of %d requests were answered", n, requests)
+	if n < requestCount*6/10 {
+		d.reportViolation("only %d of %d requests were answered", n, requestCount)
 	}
 }
 
-// checkOnce: a request that may not be repeated runs at most once.
-func (d *day) checkOnce(runs map[string][]world.Run) {
+// checkOnce checks that a request of kind "once" ran at most once.
+func (d *deployment) checkOnce(runs map[string][]world.Run) {
 	for _, s := range d.sent {
 		if s.kind == "once" && len(runs[s.id]) > 1 {
-			d.fail("%s ran %d times: %v", s.id, len(runs[s.id]), runs[s.id])
+			d.reportViolation("%s ran %d times, want at most 1: %v", s.id, len(runs[s.id]), runs[s.id])
 		}
 	}
 }
 
-// checkVersions: a request runs only on what its customer allows, and a
-// withdrawn version gets no new work after seconds.
-func (d *day) checkVersions(runs map[string][]world.Run) {
+// checkVersions checks that requests ran only on versions that their customer may use,
+// and that no request ran on the withdrawn version once the withdrawal had propagated.
+func (d *deployment) checkVersions(runs map[string][]world.Run) {
 	for _, s := range d.sent {
 		for _, r := range runs[s.id] {
-			if bronze(s.n) && r.Version.Model == "large" {
-				d.fail("%s of a bronze customer ran on %s", s.id, r.Version)
+			if isBronze(s.n) && r.Version.Model == "large" {
+				d.reportViolation("%s of a bronze customer ran on %s", s.id, r.Version)
 			}
-			if r.Version == cheap1 && !d.withdrawnAt.IsZero() && r.At.After(d.withdrawnAt.Add(spreadBy)) {
-				d.fail("%s ran on withdrawn %s on %s, %s after", s.id, r.Version, r.Backend, r.At.Sub(d.withdrawnAt))
+			if r.Version == cheap1 && !d.withdrawalAt.IsZero() && r.At.After(d.withdrawalAt.Add(configPropagation)) {
+				d.reportViolation("%s ran on withdrawn %s on %s, %s after", s.id, r.Version, r.Backend, r.At.Sub(d.withdrawalAt))
 			}
 		}
 	}
 }
 
-// checkLeaving: a leaving backend server gets no new work after seconds.
-func (d *day) checkLeaving() {
-	if d.leavingAt.IsZero() {
+// checkDraining checks that draining backend servers received no requests once the
+// draining had propagated.
+func (d *deployment) checkDraining() {
+	if d.drainingAt.IsZero() {
 		return
 	}
-	for _, id := range leavers {
+	for _, id := range drainingBackends {
 		for _, r := range d.w.Backend(id).Runs() {
-			if r.At.After(d.leavingAt.Add(leavingBy)) && !d.exempt(r.At) {
-				d.fail("leaving %s got %s after %s", id, r.Marker, r.At.Sub(d.leavingAt))
+			if r.At.After(d.drainingAt.Add(drainPropagation)) && !d.mayBeUninformed(r.At) {
+				d.reportViolation("draining %s received %s, %s after it started to drain", id, r.Marker, r.At.Sub(d.drainingAt))
 			}
 		}
 	}
 }
 
-// exempt reports whether a fault held some instance at that time: one that is
-// cut off or paused can't know.
-func (d *day) exempt(t time.Time) bool {
-	for _, e := range d.touched {
-		if t.Before(e.Add(leavingBy)) {
+// mayBeUninformed reports whether t is within drainPropagation of the end of a fault that
+// pauses or partitions a process, or earlier: the process may then lack an update.
+func (d *deployment) mayBeUninformed(t time.Time) bool {
+	for _, e := range d.isolatedUntil {
+		if t.Before(e.Add(drainPropagation)) {
 			return true
 		}
 	}
 	return false
 }
 
-// checkSessions: a session keeps its version until it is withdrawn; the only
-// move that a day allows is away from cheap@1 after the withdrawal, or away
-// from cheap@2 if it was found bad.
-func (d *day) checkSessions() {
-	for k, l := range d.versions {
-		if len(l) > 2 || len(l) == 2 && l[0] == cheap1 && d.withdrawnAt.IsZero() {
-			d.fail("session %s went through %v", k, l)
+// checkSessions checks that sessions kept their version. The script allows one change of
+// the version: from cheap@1 after its withdrawal, or from cheap@2 if it was tripped.
+func (d *deployment) checkSessions() {
+	for k, l := range d.sessionVersions {
+		if len(l) > 2 || len(l) == 2 && l[0] == cheap1 && d.withdrawalAt.IsZero() {
+			d.reportViolation("session %s used the versions %v, want no change without a withdrawal", k, l)
 		}
 	}
 }
 
-// checkBills: each request is billed once.
-func (d *day) checkBills(ctx context.Context, runs map[string][]world.Run) {
-	b := d.lines(ctx)
+// checkBills checks that each answered request is billed once, except replayed ones, and
+// that no request is billed that did not run.
+func (d *deployment) checkBills(ctx context.Context, runs map[string][]world.Run) {
+	b := d.billedRequests(ctx)
 	for _, s := range d.sent {
-		n := b[customer(s.n)]
+		n := b[customerName(s.n)]
 		switch {
 		case n > 1:
-			d.fail("%s (%s) is billed %d times, tries %d, by %v", s.id, s.kind, n, s.tries, s.entries)
+			d.reportViolation("%s (%s) is billed %d times after %d attempts by %v, want at most 1", s.id, s.kind, n, s.attempts, s.entries)
 		case n == 0 && s.answered && !s.replayed:
-			d.fail("%s (%s) was answered by %v and is not billed", s.id, s.kind, s.entries)
+			d.reportViolation("%s (%s) was answered by %v but not billed", s.id, s.kind, s.entries)
 		case n == 1 && len(runs[s.id]) == 0:
-			d.fail("%s (%s) is billed and never ran", s.id, s.kind)
+			d.reportViolation("%s (%s) was billed but did not run", s.id, s.kind)
 		}
 	}
 }
 
-// checkConfiguration: all accepted changes are in force on all living
-// instances and in the store, and all are in the trail.
-func (d *day) checkConfiguration(ctx context.Context) {
+// checkConfiguration checks that all accepted changes are in force on all running
+// instances, and that the audit trail has them.
+func (d *deployment) checkConfiguration(ctx context.Context) {
 	for _, i := range d.w.Instances() {
-		if !i.Entry.Alive() || !i.Control.Alive() || i == d.stop {
+		if !i.Entry.Alive() || !i.Control.Alive() || i == d.stopped {
 			continue
 		}
 		a := i.View.Get().Active
 		if a == nil {
-			d.fail("%s has no configuration", i.ID)
+			d.reportViolation("%s has no configuration", i.ID)
 			continue
 		}
 		if a.Revision() < d.revision {
-			d.fail("%s has revision %d, %d was accepted", i.ID, a.Revision(), d.revision)
+			d.reportViolation("%s has revision %d, want at least %d", i.ID, a.Revision(), d.revision)
 		}
 	}
 	for _, id := range []string{"first", "roll", "withdraw"} {
-		if !d.recorded(ctx, id) {
-			d.fail("the trail has no entry of change %s", id)
+		if !d.isAudited(ctx, id) {
+			d.reportViolation("the audit trail has no entry of change %s", id)
 		}
 	}
 }
 
-func (d *day) recorded(ctx context.Context, id string) bool {
+// isAudited reports whether the audit trail has the change. An entry of a restore
+// also counts: the audit entries that the older store lacked are then lost.
+func (d *deployment) isAudited(ctx context.Context, id string) bool {
 	for _, i := range d.w.Instances() {
 		if !i.Control.Alive() {
 			continue
@@ -173,7 +177,7 @@
 }
 
 // engines returns the model engines.
-func (d *day) engines() []*world.Backend {
+func (d *deployment) engines() []*world.Backend {
 	var r []*world.Backend
 	for _, b := range d.w.Backends() {
 		if b.Kind == pool.Engine {
--- a/faults/client_test.go
+++ b/faults/client_test.go
@@ -17,70 +17,72 @@
 	"fieldvale/standin/world"
 )
 
-// sent is one request with all that its client saw.
-type sent struct {
+// clientRequest is one request with the results that its client received.
+type clientRequest struct {
 	n        int
 	id       string
 	kind     string
 	answered bool
-	whole    bool
+	complete bool
 	replayed bool
-	// denied is set if every try was told that it was not run.
-	denied bool
-	tries  int
-	took   time.Duration
-	last   error
-	// entries are the instances that were tried.
+	// allNotRun reports whether every attempt failed with outcome NotRun.
+	allNotRun bool
+	attempts  int
+	duration  time.Duration
+	lastErr   error
+	// entries are the IDs of the instances that the attempts were sent to.
 	entries []string
 }
 
-// traffic sends the requests, each from a client of its own.
-func (d *day) traffic(ctx context.Context) {
-	d.at(3)
+// sendTraffic sends the requests at a fixed interval, each from a client of its own.
+func (d *deployment) sendTraffic(ctx context.Context) {
+	d.waitUntil(3)
 	var g sync.WaitGroup
-	for n := range requests {
-		s := &sent{n: n, id: fmt.Sprintf("r%03d", n), kind: []string{"stream", "once", "chat", "once", "plain"}[n%5], denied: true}
+	for n := range requestCount {
+		s := &clientRequest{n: n, id: fmt.Sprintf("r%03d", n), kind: []string{"stream", "once", "chat", "once", "plain"}[n%5], allNotRun: true}
 		d.sent = append(d.sent, s)
-		g.Go(func() { d.send(ctx, s) })
-		time.Sleep(sendEvery)
+		g.Go(func() { d.sendWithRetries(ctx, s) })
+		time.Sleep(sendInterval)
 	}
 	g.Wait()
 }
 
-// send tries instances until one answers or refuses finally.
-func (d *day) send(ctx context.Context, s *sent) {
+// sendWithRetries sends the request to one ready instance after another until one
+// answers. It does not retry a request of kind "once" that may have run.
+func (d *deployment) sendWithRetries(ctx context.Context, s *clientRequest) {
 	c := world.Client{W: d.w, P: &world.Proc{Name: "client"}}
 	begin := time.Now()
 	for n := range 12 {
-		l := d.ready()
+		l := d.readyInstances()
 		if len(l) == 0 {
 			time.Sleep(time.Second)
 			continue
 		}
 		i := l[(s.n+n)%len(l)]
-		s.tries++
+		s.attempts++
 		s.entries = append(s.entries, i.ID)
-		d.hook("admission", i.Entry)
-		err := d.try(ctx, c, i, s)
-		d.late = max(d.late, time.Since(begin))
+		d.step("admission", i.Entry)
+		err := d.attempt(ctx, c, i, s)
+		d.longestRequest = max(d.longestRequest, time.Since(begin))
 		if err == nil {
-			s.answered, s.denied = true, false
+			s.answered, s.allNotRun = true, false
 			break
 		}
-		s.last = err
+		s.lastErr = err
 		var f *entry.Failure
 		if !errors.As(err, &f) || f.Outcome != outcome.NotRun {
-			s.denied = false
+			s.allNotRun = false
 		}
 		if s.kind == "once" && errors.As(err, &f) && f.Code == entry.MayHaveRun {
 			break
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
-	s.took = time.Since(begin)
+	s.duration = time.Since(begin)
 }
 
-func (d *day) ready() []*world.Instance {
+// readyInstances returns the instances that a load balancer would use.
+func (d *deployment) readyInstances() []*world.Instance {
 	var r []*world.Instance
 	for _, i := range d.w.Instances() {
 		if i.Ready() {
@@ -90,32 +92,35 @@
 	return r
 }
 
-// try makes one try and looks at what came back.
-func (d *day) try(ctx context.Context, c world.Client, i *world.Instance, s *sent) error {
-	x, cancel := context.WithTimeout(ctx, allowance+time.Second)
+// attempt sends the request to instance i once and checks that the attempt ended by its
+// deadline.
+func (d *deployment) attempt(ctx context.Context, c world.Client, i *world.Instance, s *clientRequest) error {
+	x, cancel := context.WithTimeout(ctx, requestTimeout+time.Second)
 	defer cancel()
 	begin := time.Now()
-	err := d.request(x, c, i, s)
-	if t := time.Since(begin); t > allowance+2*time.Second {
-		d.fail("%s: a try took %s, longer than its deadline", s.id, t)
+	err := d.sendRequest(x, c, i, s)
+	if t := time.Since(begin); t > requestTimeout+2*time.Second {
+		d.reportViolation("%s: an attempt took %s, longer than its deadline", s.id, t)
 	}
 	return err
 }
 
-func (d *day) request(x context.Context, c world.Client, i *world.Instance, s *sent) error {
+// sendRequest sends the request to instance i, as a chat or a service call, and records
+// the result in s.
+func (d *deployment) sendRequest(x context.Context, c world.Client, i *world.Instance, s *clientRequest) error {
 	switch s.kind {
 	case "once", "plain":
-		return d.plain(x, c, i, s)
+		return d.callService(x, c, i, s)
 	}
 	type reply struct {
 		text string
 		r    entry.Result
 	}
-	k := fmt.Sprintf("thread%d", s.n%threads)
+	k := fmt.Sprintf("thread%d", s.n%threadCount)
 	d.mu.Lock()
-	token := d.sessions[k]
+	token := d.sessionTokens[k]
 	d.mu.Unlock()
-	a, err := world.Do(x, c, i, func(y context.Context, r *entry.Router, v *entry.View) (reply, error) {
+	a, err := world.CallEntry(x, c, i, func(y context.Context, r *entry.Router, v *entry.View) (reply, error) {
 		if v.Active == nil {
 			return reply{}, &entry.Failure{Code: entry.NotReady, Outcome: outcome.NotRun}
 		}
@@ -127,88 +132,93 @@
 			a, f, err := r.Chat(y, q)
 			return reply{a.Text, f}, err
 		}
-		k := &sink{}
+		k := &streamRecorder{}
 		err = r.Stream(y, q, k)
 		return reply{strings.Join(k.text, ""), k.result}, err
 	})
 	if err != nil {
 		return err
 	}
-	s.whole = world.WholeAnswer(a.text, s.id)
-	d.keep(i, k, token, a.r)
+	s.complete = world.IsCompleteAnswer(a.text, s.id)
+	d.storeSession(i, k, token, a.r)
 	return nil
 }
 
-func (d *day) chatRequest(v *entry.View, s *sent, thread, token string) (entry.Request, error) {
+// chatRequest returns the chat request for s with the thread's session, from the token
+// if there is one.
+func (d *deployment) chatRequest(v *entry.View, s *clientRequest, thread, token string) (entry.Request, error) {
 	c, ok := v.Active.Caller("")
 	_ = ok
 	c.Team = "t"
-	c.Customer, _ = v.Active.Document().Part("t").Source.Catalog.Customer(customer(s.n))
-	q := entry.Request{ID: s.id, Caller: c, Task: "chat", Size: policy.Small, Model: entry.AutoModel, Body: world.Body(s.id), Deadline: time.Now().Add(allowance)}
+	c.Customer, _ = v.Active.Document().Part("t").Source.Catalog.Customer(customerName(s.n))
+	q := entry.Request{ID: s.id, Caller: c, Task: "chat", Size: policy.Small, Model: entry.AutoModel, Body: world.ChatBody(s.id), Deadline: time.Now().Add(requestTimeout)}
 	q.Session = session.New(thread, "", time.Now().Add(24*time.Hour))
 	if token != "" {
 		o, err := v.Active.Ring().Open(token, time.Now())
 		if err != nil {
-			d.fail("%s: session token is not honoured: %v", s.id, err)
+			d.reportViolation("%s: session token was rejected: %v", s.id, err)
 		}
 		q.Session = o
 	}
 	return q, nil
 }
 
-// keep notes the session's token and the version that it has now, unless a
-// later request of the thread got its answer, and a newer token, first.
-func (d *day) keep(i *world.Instance, thread, sent string, r entry.Result) {
+// storeSession stores the new token of the thread's session and its pinned version. It
+// stores neither if the token changed since the request was sent with the token `sent`:
+// a concurrent request of the thread then was answered first.
+func (d *deployment) storeSession(i *world.Instance, thread, sent string, r entry.Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.sessions[thread] != sent {
+	if d.sessionTokens[thread] != sent {
 		return
 	}
-	d.sessions[thread] = i.View.Get().Active.Ring().Mint(r.Session)
+	d.sessionTokens[thread] = i.View.Get().Active.Ring().Mint(r.Session)
 	if p, ok := r.Session.Pin("cheap"); ok {
-		l := d.versions[thread]
+		l := d.sessionVersions[thread]
 		if len(l) == 0 || l[len(l)-1] != p {
-			d.versions[thread] = append(l, p)
+			d.sessionVersions[thread] = append(l, p)
 		}
 	}
 }
 
-// sink gathers a stream.
-type sink struct {
+// streamRecorder records a streamed answer.
+type streamRecorder struct {
 	text   []string
 	result entry.Result
 }
 
-func (s *sink) Head(r entry.Result) error { s.result = r; return nil }
+func (s *streamRecorder) Head(r entry.Result) error { s.result = r; return nil }
 
-func (s *sink) Chunk(b []byte) error {
+func (s *streamRecorder) Chunk(b []byte) error {
 	s.text = append(s.text, string(b))
 	return nil
 }
 
-func (d *day) plain(x context.Context, c world.Client, i *world.Instance, s *sent) error {
+// callService calls the memory service through instance i: "write" with an idempotency
+// key for kind "once", else "search".
+func (d *deployment) callService(x context.Context, c world.Client, i *world.Instance, s *clientRequest) error {
 	call, key := "search", ""
 	if s.kind == "once" {
 		call, key = "write", s.id
 	}
-	a, err := world.Do(x, c, i, func(y context.Context, r *entry.Router, v *entry.View) (entry.ServiceResult, error) {
+	a, err := world.CallEntry(x, c, i, func(y context.Context, r *entry.Router, v *entry.View) (entry.ServiceResult, error) {
 		if v.Active == nil {
 			return entry.ServiceResult{}, &entry.Failure{Code: entry.NotReady, Outcome: outcome.NotRun}
 		}
 		k := config.Caller{Team: "t"}
-		k.Customer, _ = v.Active.Document().Part("t").Source.Catalog.Customer(customer(s.n))
-		return r.Call(y, entry.ServiceRequest{ID: s.id, Caller: k, Service: "memory", Call: call, Body: []byte(s.id), IdempotencyKey: key, Deadline: time.Now().Add(allowance)})
+		k.Customer, _ = v.Active.Document().Part("t").Source.Catalog.Customer(customerName(s.n))
+		return r.Call(y, entry.ServiceRequest{ID: s.id, Caller: k, Service: "memory", Call: call, Body: []byte(s.id), IdempotencyKey: key, Deadline: time.Now().Add(requestTimeout)})
 	})
 	if err != nil {
 		return err
 	}
 	s.replayed = a.Replayed
-	s.whole = string(a.Answer.Body) == "done "+s.id
+	s.complete = string(a.Answer.Body) == "done "+s.id
 	return nil
 }
 
-// lines are the billed requests by request number.
-func (d *day) lines(ctx context.Context) map[string]uint64 {
+// billedRequests returns the number of billed requests by customer.
+func (d *deployment) billedRequests(ctx context.Context) map[string]uint64 {
 	r := map[string]uint64{}
 	for l, a := range d.w.Billed(ctx) {
 		r[l.Customer] += a.Requests
--- a/faults/matrix_test.go
+++ b/faults/matrix_test.go
@@ -17,57 +17,62 @@
 
 type auditEntry = audit.Entry
 
-// steps at which faults are put in, in the order of a request's life and then
-// of the system's.
+// steps lists the steps at which faults are injected: first those of a request, in
+// the order in which it takes them, then those of the system.
 var steps = []string{
 	"admission", world.StepDecide, world.StepClaim, world.StepClaimed, world.StepQueue, world.StepDispatch, world.StepFirst, world.StepMid,
 	world.StepEnd, world.StepRate, world.StepBill, world.StepFlush, world.StepAccept, world.StepSpread, world.StepSync, "withdraw", "take-over", "leave", "stop", "join",
 }
 
-// fault is one kind of trouble.
-type fault struct {
+// faultKind is one kind of fault.
+type faultKind struct {
 	name string
-	// apply puts it in; p is the process that was about to take the step.
-	apply func(d *day, p *world.Proc)
-	// na is why it can't arise at a step; empty if it can.
-	na func(step string) string
+	// apply injects the fault; p is the process that is about to take the step.
+	apply func(d *deployment, p *world.Proc)
+	// notApplicable returns the reason why the fault has no effect at a step, or
+	// "" if it has one.
+	notApplicable func(step string) string
 }
 
-func always(string) string { return "" }
+// applicable is the notApplicable function of faults that have an effect at all steps.
+func applicable(string) string { return "" }
 
-// held is how long a fault lasts: longer than any deadline of a request.
-const held = 12 * time.Second
+// faultDuration is the duration of a fault. It exceeds the deadline of any request.
+const faultDuration = 12 * time.Second
 
-// after undoes something when the fault is over. Instances and data centres
-// that it holds are noted: they can't know what others do.
-func (d *day) after(name string, undo func()) {
+// undoLater calls undo at the end of the fault. If name is a process of an instance or a
+// data centre, it records the end in isolatedUntil, since the isolated instances do not
+// receive updates until then.
+func (d *deployment) undoLater(name string, undo func()) {
 	if strings.Contains(name, "/") || strings.HasPrefix(name, "site:") {
 		d.mu.Lock()
-		d.touched[name] = time.Now().Add(held)
+		d.isolatedUntil[name] = time.Now().Add(faultDuration)
 		d.mu.Unlock()
 	}
 	go func() {
-		time.Sleep(held)
+		time.Sleep(faultDuration)
 		undo()
 	}()
 }
 
-// owner is the instance whose process p is, or the first living one.
-func (d *day) owner(p *world.Proc) *world.Instance {
-	var f *world.Instance
+// instanceOf returns the instance that process p belongs to, or the first one whose
+// entry runs if p belongs to none.
+func (d *deployment) instanceOf(p *world.Proc) *world.Instance {
+	var firstRunning *world.Instance
 	for _, i := range d.w.Instances() {
 		if i.Entry == p || i.Control == p {
 			return i
 		}
-		if f == nil && i.Entry.Alive() {
-			f = i
+		if firstRunning == nil && i.Entry.Alive() {
+			firstRunning = i
 		}
 	}
-	return f
+	return firstRunning
 }
 
-// backend is the backend server that p is, or the first one.
-func (d *day) backend(p *world.Proc) *world.Backend {
+// backendOf returns the backend server whose process is p, or the first one if p is no
+// backend server.
+func (d *deployment) backendOf(p *world.Proc) *world.Backend {
 	for _, b := range d.w.Backends() {
 		if b.Proc == p {
 			return b
@@ -76,118 +81,128 @@
 	return d.w.Backend("e1")
 }
 
-// replace starts a new instance in the place of one that was lost.
-func (d *day) replace(i *world.Instance) {
-	if i == d.stop {
+// replace starts a new instance 3 seconds after instance i was killed, unless i was
+// stopped by the script.
+func (d *deployment) replace(i *world.Instance) {
+	if i == d.stopped {
 		return
 	}
 	go func() {
 		time.Sleep(3 * time.Second)
-		d.w.Start(i.ID+"x", i.Site)
-		d.w.Publish()
+		d.w.Start(i.ID+"x", i.DataCentre)
+		d.w.PublishList()
 	}()
 }
 
-func (d *day) pause(p *world.Proc) {
+// pauseProcess pauses a process for the duration of a fault.
+func (d *deployment) pauseProcess(p *world.Proc) {
 	p.Pause()
-	d.after(p.Name, p.Resume)
+	d.undoLater(p.Name, p.Resume)
 }
 
-func (d *day) cut(a, b string, both bool) {
-	d.w.Cut(a, b)
+// partition drops the messages from a to b, and from b to a if both is set, for the
+// duration of a fault.
+func (d *deployment) partition(a, b string, both bool) {
+	d.w.Partition(a, b)
 	if both {
-		d.w.Cut(b, a)
+		d.w.Partition(b, a)
 	}
-	d.after(a, func() {
-		d.w.Mend(a, b)
-		d.w.Mend(b, a)
+	d.undoLater(a, func() {
+		d.w.Heal(a, b)
+		d.w.Heal(b, a)
 	})
 }
 
-func (d *day) defect(f world.Defect, b ...*world.Backend) {
+// setDefect sets a defect of backend servers for the duration of a fault.
+func (d *deployment) setDefect(f world.Defect, b ...*world.Backend) {
 	for _, x := range b {
 		x.SetDefect(f)
-		d.after("defect of "+x.Proc.Name, func() { x.SetDefect(world.None) })
+		d.undoLater("defect of "+x.Proc.Name, func() { x.SetDefect(world.NoDefect) })
 	}
 }
 
-func (d *day) breakStore(f kv.Fault) {
-	d.w.BreakStore(f)
-	d.after("store", func() { d.w.BreakStore(kv.Sound) })
+// setStoreFault sets a fault of the store for the duration of a fault.
+func (d *deployment) setStoreFault(f kv.Fault) {
+	d.w.SetStoreFault(f)
+	d.undoLater("store", func() { d.w.SetStoreFault(kv.Sound) })
 }
 
-func faultList() []fault {
-	return []fault{
-		{"kill entry", func(d *day, p *world.Proc) { i := d.owner(p); i.Kill(); d.replace(i) }, always},
-		{"kill control", func(d *day, p *world.Proc) {
-			i := d.owner(p)
+// faultList returns all kinds of faults.
+func faultList() []faultKind {
+	return []faultKind{
+		{"kill entry", func(d *deployment, p *world.Proc) { i := d.instanceOf(p); i.Kill(); d.replace(i) }, applicable},
+		{"kill control", func(d *deployment, p *world.Proc) {
+			i := d.instanceOf(p)
 			i.Control.Kill()
 			go func() { time.Sleep(3 * time.Second); d.w.RestartControl(i) }()
-		}, always},
-		{"kill backend", func(d *day, p *world.Proc) { d.backend(p).Proc.Kill(); d.w.Publish() }, always},
-		{"pause entry", func(d *day, p *world.Proc) { d.pause(d.owner(p).Entry) }, always},
-		{"pause control", func(d *day, p *world.Proc) { d.pause(d.owner(p).Control) }, always},
-		{"pause backend", func(d *day, p *world.Proc) { d.pause(d.backend(p).Proc) }, always},
-		{"slow backend", func(d *day, p *world.Proc) { d.defect(world.Late, d.backend(p)) }, always},
-		{"cut from store", func(d *day, p *world.Proc) { d.cut(d.owner(p).Control.Name, "store", true) }, always},
-		{"cut from peers", func(d *day, p *world.Proc) {
-			i := d.owner(p)
+		}, applicable},
+		{"kill backend", func(d *deployment, p *world.Proc) { d.backendOf(p).Proc.Kill(); d.w.PublishList() }, applicable},
+		{"pause entry", func(d *deployment, p *world.Proc) { d.pauseProcess(d.instanceOf(p).Entry) }, applicable},
+		{"pause control", func(d *deployment, p *world.Proc) { d.pauseProcess(d.instanceOf(p).Control) }, applicable},
+		{"pause backend", func(d *deployment, p *world.Proc) { d.pauseProcess(d.backendOf(p).Proc) }, applicable},
+		{"slow backend", func(d *deployment, p *world.Proc) { d.setDefect(world.LateAnswers, d.backendOf(p)) }, applicable},
+		{"cut from store", func(d *deployment, p *world.Proc) { d.partition(d.instanceOf(p).Control.Name, "store", true) }, applicable},
+		{"cut from peers", func(d *deployment, p *world.Proc) {
+			i := d.instanceOf(p)
 			for _, o := range d.w.Instances() {
 				if o != i {
-					d.cut(i.Control.Name, o.Control.Name, true)
-					d.cut(i.Entry.Name, o.Control.Name, true)
+					d.partition(i.Control.Name, o.Control.Name, true)
+					d.partition(i.Entry.Name, o.Control.Name, true)
 				}
 			}
-		}, always},
-		{"cut from all", func(d *day, p *world.Proc) {
-			i := d.owner(p)
-			d.cut(i.Control.Name, "store", true)
+		}, applicable},
+		{"cut from all", func(d *deployment, p *world.Proc) {
+			i := d.instanceOf(p)
+			d.partition(i.Control.Name, "store", true)
 			for _, o := range d.w.Instances() {
 				if o != i {
-					d.cut(i.Control.Name, o.Control.Name, true)
-					d.cut(i.Entry.Name, o.Control.Name, true)
+					d.partition(i.Control.Name, o.Control.Name, true)
+					d.partition(i.Entry.Name, o.Control.Name, true)
 				}
 			}
-		}, always},
-		{"cut data centre", func(d *day, p *world.Proc) { d.cut("site:"+d.owner(p).Site, world.Any, true) }, always},
-		{"cut one way", func(d *day, p *world.Proc) { d.cut(d.owner(p).Control.Name, world.Any, false) }, always},
-		{"store down", func(d *day, _ *world.Proc) { d.breakStore(kv.Down) }, always},
-		{"store slow", func(d *day, _ *world.Proc) {
-			d.w.SlowStore(1500 * time.Millisecond)
-			d.after("store", func() { d.w.SlowStore(0) })
-		}, always},
-		{"store limited", func(d *day, _ *world.Proc) {
-			d.w.LimitStore(true)
-			d.after("store", func() { d.w.LimitStore(false) })
-		}, always},
-		{"store older", func(d *day, _ *world.Proc) {
+		}, applicable},
+		{"cut data centre", func(d *deployment, p *world.Proc) {
+			d.partition("site:"+d.instanceOf(p).DataCentre, world.AnyProcess, true)
+		}, applicable},
+		{"cut one way", func(d *deployment, p *world.Proc) { d.partition(d.instanceOf(p).Control.Name, world.AnyProcess, false) }, applicable},
+		{"store down", func(d *deployment, _ *world.Proc) { d.setStoreFault(kv.Down) }, applicable},
+		{"store slow", func(d *deployment, _ *world.Proc) {
+			d.w.SetStoreDelay(1500 * time.Millisecond)
+			d.undoLater("store", func() { d.w.SetStoreDelay(0) })
+		}, applicable},
+		{"store limited", func(d *deployment, _ *world.Proc) {
+			d.w.SetStoreLimited(true)
+			d.undoLater("store", func() { d.w.SetStoreLimited(false) })
+		}, applicable},
+		{"store older", func(d *deployment, _ *world.Proc) {
 			s := d.w.Store.Snapshot()
 			go func() { time.Sleep(2 * time.Second); d.w.Store.Restore(s) }()
-		}, always},
-		{"answer lost", func(d *day, _ *world.Proc) { d.breakStore(kv.LostAnswers) }, always},
-		{"answers late", func(d *day, _ *world.Proc) { d.defect(world.Late, d.engines()...) }, requestOnly},
-		{"answers crossed", func(d *day, p *world.Proc) { d.defect(world.Crossed, d.backend(p)) }, requestOnly},
-		{"answers cut", func(d *day, p *world.Proc) { d.defect(world.Truncated, d.backend(p)) }, requestOnly},
-		{"server errors", func(d *day, p *world.Proc) { d.defect(world.Broken, d.backend(p)) }, requestOnly},
-		{"list out", func(d *day, _ *world.Proc) { d.pause(d.w.ListAt) }, always},
-		{"rating out", func(d *day, _ *world.Proc) { d.pause(d.w.RatingAt) }, requestOnly},
-		{"load unknown", func(d *day, _ *world.Proc) {
+		}, applicable},
+		{"answer lost", func(d *deployment, _ *world.Proc) { d.setStoreFault(kv.LostAnswers) }, applicable},
+		{"answers late", func(d *deployment, _ *world.Proc) { d.setDefect(world.LateAnswers, d.engines()...) }, requestStepsOnly},
+		{"answers crossed", func(d *deployment, p *world.Proc) { d.setDefect(world.CrossedAnswers, d.backendOf(p)) }, requestStepsOnly},
+		{"answers cut", func(d *deployment, p *world.Proc) { d.setDefect(world.TruncatedAnswers, d.backendOf(p)) }, requestStepsOnly},
+		{"server errors", func(d *deployment, p *world.Proc) { d.setDefect(world.ServerErrors, d.backendOf(p)) }, requestStepsOnly},
+		{"list out", func(d *deployment, _ *world.Proc) { d.pauseProcess(d.w.ListProc) }, applicable},
+		{"rating out", func(d *deployment, _ *world.Proc) { d.pauseProcess(d.w.RatingProc) }, requestStepsOnly},
+		{"load unknown", func(d *deployment, _ *world.Proc) {
 			for _, b := range d.w.Backends() {
-				b.SetMute(true)
-				d.after("mute", func() { b.SetMute(false) })
+				b.SetReportsDisabled(true)
+				d.undoLater("load reports", func() { b.SetReportsDisabled(false) })
 			}
-		}, always},
-		{"version bad", func(d *day, _ *world.Proc) {
+		}, applicable},
+		{"version bad", func(d *deployment, _ *world.Proc) {
 			for _, b := range d.engines() {
 				b.SetBad(cheap2, true)
 			}
-		}, always},
-		{"no capacity", func(d *day, _ *world.Proc) { d.defect(world.Full, d.engines()...) }, always},
+		}, applicable},
+		{"no capacity", func(d *deployment, _ *world.Proc) { d.setDefect(world.NoCapacity, d.engines()...) }, applicable},
 	}
 }
 
-// requestOnly faults show in answers to requests.
-func requestOnly(step string) string {
+// requestStepsOnly is the notApplicable function of faults that show in the responses to
+// requests alone.
+func requestStepsOnly(step string) string {
 	switch step {
 	case world.StepAccept, world.StepSpread, world.StepFlush, world.StepSync, "withdraw", "take-over", "leave", "stop", "join":
 		return "no answer of a backend server at this step"
@@ -195,34 +210,35 @@
 	return ""
 }
 
-// placed is a fault that is put in when a step is first taken after a time
-// of the day.
-type placed struct {
-	fault fault
+// injection is a fault that is injected when its step is first taken after a time since
+// the start of the deployment.
+type injection struct {
+	fault faultKind
 	step  string
 	after time.Duration
 }
 
-func (p placed) String() string {
+func (p injection) String() string {
 	return fmt.Sprintf("%s at %s after %s", p.fault.name, p.step, p.after)
 }
 
-// play runs a day with the faults put in and returns what broke, and how
-// many faults found their step never taken.
-func play(t *testing.T, l ...placed) (bad []string, missed int) {
+// runWithFaults runs the script of a new deployment with the injections. It returns the
+// violations and the number of injections whose step was not taken.
+func runWithFaults(t *testing.T, l ...injection) (violations []string, missed int) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDay(t)
-		missed = run(d, l)
-		bad = d.bad
+		d := newDeployment(t)
+		missed = runInjected(d, l)
+		violations = d.violations
 	})
-	return bad, missed
+	return violations, missed
 }
 
-// run plays the day d with the faults put in.
-func run(d *day, l []placed) (missed int) {
+// runInjected runs the script of d with the injections and returns the number of those
+// whose step was not taken.
+func runInjected(d *deployment, l []injection) (missed int) {
 	var mu sync.Mutex
 	done := make([]bool, len(l))
-	d.faulty = func(d *day, step string, p *world.Proc) {
+	d.onStep = func(d *deployment, step string, p *world.Proc) {
 		for n, x := range l {
 			mu.Lock()
 			now := !done[n] && x.step == step && time.Since(d.started) >= x.after
@@ -233,7 +249,7 @@
 			}
 		}
 	}
-	d.run(context.Background())
+	d.runScript(context.Background())
 	for _, x := range done {
 		if !x {
 			missed++
@@ -242,20 +258,26 @@
 	return missed
 }
 
+// TestCalmDay runs the script without faults: a violation is then a fault of the system
+// in normal operation or of the test itself.
 func TestCalmDay(t *testing.T) {
-	bad, _ := play(t)
-	for _, b := range bad {
+	violations, _ := runWithFaults(t)
+	for _, b := range violations {
 		t.Error(b)
 	}
 }
 
-// cell is one fault at one step.
+// cell is the result of one fault at one step.
+// The violations of a cell that is not applicable hold the reason.
 type cell struct {
 	fault, step string
-	result      string
-	bad         []string
+	// result is pass, FAIL, n/a or notrun.
+	result     string
+	violations []string
 }
 
+// TestMatrix injects each fault at each step and random sets of faults. It guards against
+// code that handles a fault at some steps only, and prints the results as a table.
 func TestMatrix(t *testing.T) {
 	var mu sync.Mutex
 	var cells []*cell
@@ -264,44 +286,46 @@
 			for _, s := range steps {
 				c := &cell{fault: f.name, step: s}
 				cells = append(cells, c)
-				if n := f.na(s); n != "" {
+				if n := f.notApplicable(s); n != "" {
 					c.result = "n/a"
-					c.bad = []string{n}
+					c.violations = []string{n}
 					continue
 				}
 				t.Run(f.name+" at "+s, func(t *testing.T) {
 					t.Parallel()
-					bad, missed := play(t, placed{fault: f, step: s})
+					violations, missed := runWithFaults(t, injection{fault: f, step: s})
 					mu.Lock()
 					defer mu.Unlock()
-					c.bad = bad
+					c.violations = violations
 					switch {
 					case missed > 0:
 						c.result = "notrun"
-					case len(bad) > 0:
+					case len(violations) > 0:
 						c.result = "FAIL"
 					default:
 						c.result = "pass"
 					}
-					for _, b := range bad {
+					for _, b := range violations {
 						t.Error(b)
 					}
 				})
 			}
 		}
 	})
-	pairs := playPairs(t)
-	printTable(cells, pairs)
+	seeds := runSeeds(t)
+	printTable(cells, seeds)
 }
 
-func printTable(cells []*cell, pairs int) {
-	by := map[string]map[string]*cell{}
+// printTable prints the results as a table of faults and steps, the reasons for cells
+// without a result and the sums, which include the number of seeds.
+func printTable(cells []*cell, seeds int) {
+	byFault := map[string]map[string]*cell{}
 	count := map[string]int{}
 	for _, c := range cells {
-		if by[c.fault] == nil {
-			by[c.fault] = map[string]*cell{}
+		if byFault[c.fault] == nil {
+			byFault[c.fault] = map[string]*cell{}
 		}
-		by[c.fault][c.step] = c
+		byFault[c.fault][c.step] = c
 		count[c.result]++
 	}
 	var b strings.Builder
@@ -313,24 +337,24 @@
 		fmt.Fprintf(&b, " %6d", n+1)
 	}
 	b.WriteByte('\n')
-	var why []string
+	var reasons []string
 	for _, f := range faultList() {
 		fmt.Fprintf(&b, "%-16s", f.name)
 		for _, s := range steps {
-			c := by[f.name][s]
+			c := byFault[f.name][s]
 			fmt.Fprintf(&b, " %6s", c.result)
 			switch c.result {
 			case "n/a":
-				why = append(why, fmt.Sprintf("n/a: %s at %s: %s", c.fault, c.step, c.bad[0]))
+				reasons = append(reasons, fmt.Sprintf("n/a: %s at %s: %s", c.fault, c.step, c.violations[0]))
 			case "notrun":
-				why = append(why, fmt.Sprintf("notrun: %s at %s: the step was not taken", c.fault, c.step))
+				reasons = append(reasons, fmt.Sprintf("notrun: %s at %s: the step was not taken", c.fault, c.step))
 			}
 		}
 		b.WriteByte('\n')
 	}
-	sort.Strings(why)
-	b.WriteString(strings.Join(why, "\n"))
+	sort.Strings(reasons)
+	b.WriteString(strings.Join(reasons, "\n"))
 	n := count["pass"] + count["FAIL"] + count["notrun"]
-	fmt.Fprintf(&b, "\nfaults: cells=%d passed=%d failed=%d notrun=%d seeds=%d", n, count["pass"], count["FAIL"], count["notrun"], pairs)
+	fmt.Fprintf(&b, "\nfaults: cells=%d passed=%d failed=%d notrun=%d seeds=%d", n, count["pass"], count["FAIL"], count["notrun"], seeds)
 	fmt.Println(b.String())
 }
--- a/faults/mutate/main.go
+++ b/faults/mutate/main.go
@@ -1,6 +1,6 @@
-// Mutate shows that the proofs can fail: it takes one mechanism at a time out
-// of a copy of the tree and runs the tests that are to notice. It lists the
-// mechanisms whose loss nothing noticed and fails if there are any.
+// Mutate is a mutation test. For each mutant of mutants.ini it disables one
+// mechanism in a copy of the source tree and runs the tests that must then fail. It
+// lists the mutants that no test detected and exits with status 1 if there are any.
 package main
 
 import (
@@ -16,44 +16,47 @@
 	"fieldvale/adapter/inifile"
 )
 
-const listFile = "faults/mutants.ini"
+// mutantsFile is the list of mutants, from the root of the source tree.
+const mutantsFile = "faults/mutants.ini"
 
-// mutant is one mechanism that is taken out.
+// mutant is a change of the source code that disables one mechanism: in file, `from`
+// is replaced by `to`. The tests of pkg that match the pattern run must then fail.
+// promise is the guarantee that the mechanism provides.
 type mutant struct {
 	name, promise, file, from, to, pkg, run string
 }
 
 func main() {
-	b, err := os.ReadFile(listFile)
+	b, err := os.ReadFile(mutantsFile)
 	if err != nil {
 		exit(err)
 	}
 	var l []mutant
-	f := inifile.Parse(listFile, string(b))
+	f := inifile.Parse(mutantsFile, string(b))
 	f.Each([]string{"mutant"}, func(s *inifile.Section) {
 		l = append(l, mutant{s.Name, s.Need("promise"), s.Need("file"), s.Need("from"), s.Need("to"), s.Need("package"), s.Need("run")})
 	})
 	if e := f.Errors(); len(e) > 0 {
 		exit(e[0])
 	}
-	alive := 0
+	undetected := 0
 	for _, m := range l {
 		if len(os.Args) > 1 && !strings.Contains(m.name, os.Args[1]) {
 			continue
 		}
-		how, err := m.try()
+		result, err := m.test()
 		if err != nil {
-			how = "NOT TRIED: " + err.Error()
-			alive++
+			result = "NOT TRIED: " + err.Error()
+			undetected++
 		}
-		if how == "" {
-			alive++
-			how = "NOT NOTICED"
+		if result == "" {
+			undetected++
+			result = "NOT NOTICED"
 		}
-		fmt.Printf("%-34s %-26s %s\n", m.name, m.promise, how)
+		fmt.Printf("%-34s %-26s %s\n", m.name, m.promise, result)
 	}
-	fmt.Printf("mutants: %d not noticed\n", alive)
-	if alive > 0 {
+	fmt.Printf("mutants: %d not noticed\n", undetected)
+	if undetected > 0 {
 		os.Exit(1)
 	}
 }
@@ -63,8 +66,9 @@
 	os.Exit(2)
 }
 
-// try returns the first line by which a test noticed, empty if none did.
-func (m mutant) try() (string, error) {
+// test applies the mutant to a copy of the source tree and runs its tests. It
+// returns the first failure message, or "" if all tests passed.
+func (m mutant) test() (string, error) {
 	d, err := os.MkdirTemp("", "mutant")
 	if err != nil {
 		return "", err
@@ -79,7 +83,7 @@
 		return "", err
 	}
 	if bytes.Count(b, []byte(m.from)) != 1 {
-		return "", errors.Newf("%q stands %d times in %s, want once", m.from, bytes.Count(b, []byte(m.from)), m.file)
+		return "", errors.Newf("%q occurs %d times in %s, want once", m.from, bytes.Count(b, []byte(m.from)), m.file)
 	}
 	if err := os.WriteFile(p, bytes.Replace(b, []byte(m.from), []byte(m.to), 1), 0o644); err != nil {
 		return "", err
@@ -91,13 +95,14 @@
 		return "", nil
 	}
 	if bytes.Contains(o, []byte("[build failed]")) {
-		return "", errors.Newf("the copy does not build: %s", o)
+		return "", errors.Newf("source tree with the mutant does not build: %s", o)
 	}
-	return firstFailure(string(o)), nil
+	return failureLine(string(o)), nil
 }
 
-// firstFailure picks a line that tells why, not just that, a test failed.
-func firstFailure(o string) string {
+// failureLine returns the first line of the test output that gives the reason of a
+// failure, or the first line if there is none.
+func failureLine(o string) string {
 	for _, l := range strings.Split(o, "\n") {
 		t := strings.TrimSpace(l)
 		if strings.Contains(t, "_test.go:") && !strings.HasPrefix(t, "/") {
@@ -107,7 +112,8 @@
 	return strings.SplitN(strings.TrimSpace(o), "\n", 2)[0]
 }
 
-// copyTree copies what git tracks or would.
+// copyTree copies the files that git tracks and the untracked files that it does not
+// ignore into directory d.
 func copyTree(d string) error {
 	o, err := exec.Command("git", "ls-files", "-co", "--exclude-standard").Output()
 	if err != nil {
--- a/faults/once_test.go
+++ b/faults/once_test.go
@@ -13,64 +13,70 @@
 	"fieldvale/standin/world"
 )
 
+// Guards against a request that never runs or runs twice when the store writes its claim
+// but the response is lost.
 func TestClaimWrittenAndAnswerLost(t *testing.T) {
-	scene(t, func(d *day, ctx context.Context) {
-		// The write of the claim takes effect and its answer is lost; the
-		// holder reads its own nonce back and sends, once.
-		once := true
-		d.faulty = func(d *day, step string, _ *world.Proc) {
-			if step == world.StepClaim && once {
-				once = false
-				d.w.BreakStore(kv.LostAnswers)
+	withDeployment(t, func(d *deployment, ctx context.Context) {
+		// The claim is written and the response is lost. The instance reads the claim
+		// back, recognises its own nonce and sends the request, once.
+		firstClaim := true
+		d.onStep = func(d *deployment, step string, _ *world.Proc) {
+			if step == world.StepClaim && firstClaim {
+				firstClaim = false
+				d.w.SetStoreFault(kv.LostAnswers)
 			}
 		}
-		if _, err := d.one(ctx, "a1", "once", 1); err != nil {
-			t.Errorf("first: %v", err)
+		if _, err := d.sendOne(ctx, "a1", "once", 1); err != nil {
+			t.Errorf("first request: got %v, want an answer", err)
 		}
-		d.w.BreakStore(kv.Sound)
-		s, err := d.one(ctx, "b1", "once", 1)
-		if err != nil || !s.replayed || !s.whole {
-			t.Errorf("second: %v, replayed %t; want the first answer again", err, s.replayed)
+		d.w.SetStoreFault(kv.Sound)
+		s, err := d.sendOne(ctx, "b1", "once", 1)
+		if err != nil || !s.replayed || !s.complete {
+			t.Errorf("second request: got %v, replayed %t; want the first answer replayed", err, s.replayed)
 		}
-		d.wantRuns("r001", 1)
+		d.checkRunCount("r001", 1)
 	})
 }
 
+// Guards against a request that runs twice: an instance is paused between its claim and
+// the dispatch, another instance gets the same request, and the first one resumes.
 func TestHolderPausedBetweenClaimAndSend(t *testing.T) {
-	scene(t, func(d *day, ctx context.Context) {
-		d.faulty = func(d *day, step string, p *world.Proc) {
+	withDeployment(t, func(d *deployment, ctx context.Context) {
+		d.onStep = func(d *deployment, step string, p *world.Proc) {
 			if step == world.StepClaimed {
-				d.faulty = nil
+				d.onStep = nil
 				p.Pause()
 			}
 		}
 		a := d.instance("a1")
-		go func() { _, _ = d.one(ctx, "a1", "once", 1) }()
+		go func() { _, _ = d.sendOne(ctx, "a1", "once", 1) }()
 		time.Sleep(time.Second)
-		_, err := d.one(ctx, "b1", "once", 1)
-		if err == nil || runOf(err) == outcome.NotRun {
-			t.Errorf("the other instance: %v, want one that says that it may have run", err)
+		_, err := d.sendOne(ctx, "b1", "once", 1)
+		if err == nil || outcomeOf(err) == outcome.NotRun {
+			t.Errorf("request to the other instance: got %v, want an error whose outcome is not NotRun", err)
 		}
 		time.Sleep(claim.Margin / 2)
 		a.Entry.Resume()
 		time.Sleep(time.Second)
-		_, _ = d.one(ctx, "b1", "once", 1)
+		_, _ = d.sendOne(ctx, "b1", "once", 1)
 		time.Sleep(time.Second)
 		if n := len(d.runs()["r001"]); n > 1 {
-			t.Errorf("ran %d times", n)
+			t.Errorf("r001 ran %d times, want at most 1", n)
 		}
 	})
 }
 
+// Guards against concurrent requests with the same idempotency key that run more than
+// once or not at all, at all three instances.
 func TestSameKeyAtTwoInstancesAtOnce(t *testing.T) {
-	scene(t, func(d *day, ctx context.Context) {
+	withDeployment(t, func(d *deployment, ctx context.Context) {
 		for n := range 20 {
 			var g sync.WaitGroup
 			for _, id := range []string{"a1", "b1", "c1"} {
-				g.Go(func() { _, _ = d.one(ctx, id, "once", n) })
+				g.Go(func() { _, _ = d.sendOne(ctx, id, "once", n) })
 			}
 			g.Wait()
-			d.wantRuns(fmt.Sprintf("r%03d", n), 1)
+			d.checkRunCount(fmt.Sprintf("r%03d", n), 1)
 		}
 	})
 }
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -18,48 +18,51 @@
 	"fieldvale/standin/kv"
 )
 
-// World is a small system with its platform and backend servers.
+// World is a system of instances with its platform, store and backend servers.
 type World struct {
-	Store   *kv.Memory
-	StoreAt *Proc
-	ListAt  *Proc
-	// RatingAt is where answers are rated.
-	RatingAt *Proc
-	Times    control.Times
-	// Hook is told of each step as it is about to be taken, and of the
-	// process that takes it. It may be nil.
-	Hook func(step string, p *Proc)
-	// Log is told of each event of a node or entry; it may be nil.
+	Store *kv.Memory
+	// StoreProc, ListProc and RatingProc are the processes of the store, of the
+	// platform's instance list and of the rating service.
+	StoreProc  *Proc
+	ListProc   *Proc
+	RatingProc *Proc
+	Times      control.Times
+	// OnStep, if not nil, is called before each step, with the process that
+	// takes it.
+	OnStep func(step string, p *Proc)
+	// Log, if not nil, receives the log events of all nodes and entries.
 	Log func(instance, event string, fields ...any)
-	// ListLag is how old the platform's list is.
-	ListLag time.Duration
-
-	mu        sync.Mutex
-	cuts      map[[2]string]bool
-	fault     kv.Fault
-	limited   bool
-	storeSlow time.Duration
-	instances []*Instance
-	backends  []*Backend
-	lists     []listed
-	starts    int
+	// ListDelay is the delay until readers see a new version of the platform's
+	// list.
+	ListDelay time.Duration
+
+	mu            sync.Mutex
+	partitions    map[[2]string]bool
+	storeFault    kv.Fault
+	storeLimited  bool
+	storeDelay    time.Duration
+	instances     []*Instance
+	backends      []*Backend
+	listVersions  []listVersion
+	processStarts int
 }
 
-type listed struct {
-	at   time.Time
-	list platform.List
+// listVersion is one published version of the platform's list.
+type listVersion struct {
+	publishedAt time.Time
+	list        platform.List
 }
 
-// Instance is one entry with its control.
+// Instance is one instance: its entry process and its control process.
 type Instance struct {
-	ID      string
-	Site    string
-	Entry   *Proc
-	Control *Proc
-	Node    *control.Node
-	Router  *entry.Router
-	View    *entry.CurrentView
-	Biller  *biller.Biller
+	ID         string
+	DataCentre string
+	Entry      *Proc
+	Control    *Proc
+	Node       *control.Node
+	Router     *entry.Router
+	View       *entry.CurrentView
+	Biller     *biller.Biller
 
 	mu       sync.Mutex
 	stopping bool
@@ -68,17 +71,18 @@
 	done     sync.WaitGroup
 }
 
-// New returns a world with nothing in it.
+// New returns a world without instances and backend servers.
 func New(t control.Times) *World {
 	return &World{
-		Store: kv.NewMemory(), StoreAt: &Proc{Name: "store"}, ListAt: &Proc{Name: "list"}, RatingAt: &Proc{Name: "rating"},
-		Times: t, cuts: map[[2]string]bool{},
+		Store: kv.NewMemory(), StoreProc: &Proc{Name: "store"}, ListProc: &Proc{Name: "list"}, RatingProc: &Proc{Name: "rating"},
+		Times: t, partitions: map[[2]string]bool{},
 	}
 }
 
-func (w *World) hook(step string, p *Proc) {
-	if w.Hook != nil {
-		w.Hook(step, p)
+// step calls OnStep.
+func (w *World) step(step string, p *Proc) {
+	if w.OnStep != nil {
+		w.OnStep(step, p)
 	}
 }
 
@@ -88,38 +92,41 @@
 	}
 }
 
-// Cut stops what goes from one process to another, by name or by data
-// centre; Mend lets it through again.
-func (w *World) Cut(from, to string) {
+// Partition drops all messages from one process to another until Heal. Each
+// argument is a process name, "site:" and a data centre, or AnyProcess.
+func (w *World) Partition(from, to string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.cuts[[2]string{from, to}] = true
+	w.partitions[[2]string{from, to}] = true
 }
 
-// Mend undoes Cut.
-func (w *World) Mend(from, to string) {
+// Heal ends a partition made by Partition with the same arguments.
+func (w *World) Heal(from, to string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.cuts, [2]string{from, to})
+	delete(w.partitions, [2]string{from, to})
 }
 
-// Any stands for all other processes in a cut.
-const Any = "*"
+// AnyProcess matches all other processes in a partition.
+const AnyProcess = "*"
 
-func (w *World) isCut(from, to *Proc) bool {
+// isPartitioned reports whether messages from one process to another are dropped.
+// Partitions by data centre and by AnyProcess do not affect two processes of the
+// same data centre.
+func (w *World) isPartitioned(from, to *Proc) bool {
 	if from.Name == to.Name {
 		return false
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f := []string{from.Name, "site:" + from.Site, Any}
-	t := []string{to.Name, "site:" + to.Site, Any}
-	if from.Site != "" && from.Site == to.Site {
+	f := []string{from.Name, "site:" + from.DataCentre, AnyProcess}
+	t := []string{to.Name, "site:" + to.DataCentre, AnyProcess}
+	if from.DataCentre != "" && from.DataCentre == to.DataCentre {
 		f, t = f[:1], t[:1]
 	}
 	for _, a := range f {
 		for _, b := range t {
-			if w.cuts[[2]string{a, b}] {
+			if w.partitions[[2]string{a, b}] {
 				return true
 			}
 		}
@@ -127,13 +134,13 @@
 	return false
 }
 
-// Start adds an instance and runs it.
-func (w *World) Start(id, site string) *Instance {
+// Start adds an instance and starts its entry and control.
+func (w *World) Start(id, dataCentre string) *Instance {
 	w.mu.Lock()
-	w.starts++
-	n := w.starts
+	w.processStarts++
+	n := w.processStarts
 	w.mu.Unlock()
-	i := &Instance{ID: id, Site: site, Entry: &Proc{Name: id + "/entry", Site: site}, Control: &Proc{Name: id + "/control", Site: site}}
+	i := &Instance{ID: id, DataCentre: dataCentre, Entry: &Proc{Name: id + "/entry", DataCentre: dataCentre}, Control: &Proc{Name: id + "/control", DataCentre: dataCentre}}
 	w.startControl(i, n)
 	w.startEntry(i, n)
 	w.mu.Lock()
@@ -142,36 +149,40 @@
 	return i
 }
 
+// startControl starts a node in the instance's control process; n makes its
+// incarnation unique.
 func (w *World) startControl(i *Instance, n int) {
 	p := i.Control
 	i.Node = control.New(control.Parts{
-		Self: peer.Member{ID: i.ID, Addr: i.ID, DataCentre: i.Site}, Incarnation: fmt.Sprintf("%s/c%d", i.ID, n),
-		Store: &storeLink{w, p}, Peers: &peerLink{w, p}, Platform: &platformLink{w, p}, Clock: time.Now, Times: w.Times,
+		Self: peer.Member{ID: i.ID, Addr: i.ID, DataCentre: i.DataCentre}, Incarnation: fmt.Sprintf("%s/c%d", i.ID, n),
+		Store: &storeClient{w, p}, Peers: &peerClient{w, p}, Platform: &platformClient{w, p}, Clock: time.Now, Times: w.Times,
 		Rates: rollout.DefaultRates(), Log: func(event string, f ...any) { w.log(i.ID, event, f...) },
 	})
-	x := i.context()
+	x := i.newContext()
 	node := i.Node
 	i.done.Go(func() { _ = node.Run(x) })
 }
 
+// startEntry starts a router in the instance's entry process; n makes its
+// incarnation unique and seeds its random numbers.
 func (w *World) startEntry(i *Instance, n int) {
 	p := i.Entry
 	inc := fmt.Sprintf("%s/e%d", i.ID, n)
 	i.View = entry.NewCurrentView()
-	i.Biller = biller.New(&holdLink{w, p}, i.View.Members, i.ID, inc)
+	i.Biller = biller.New(&billClient{w, p}, i.View.Members, i.ID, inc)
 	i.Biller.Log = func(event string, f ...any) { w.log(i.ID, event, f...) }
 	i.Router = entry.NewRouter(entry.Ports{
-		View: i.View, Engines: &engineLink{w, p}, Services: &serviceLink{w, p}, Claims: &claimLink{w, i}, Rater: &rateLink{w, p},
+		View: i.View, Engines: &engineClient{w, p}, Services: &serviceClient{w, p}, Claims: &claimClient{w, i}, Rater: &ratingClient{w, p},
 		Biller: i.Biller, Clock: w.clock(p), Self: i.ID, Rand: rand.NewPCG(uint64(n), 1),
 	})
-	l := process.NewSyncer(&localLink{w, i}, i.View, i.Router, i.Biller, inc, func(event string, f ...any) { w.log(i.ID, event, f...) })
-	x := i.context()
+	l := process.NewSyncer(&controlClient{w, i}, i.View, i.Router, i.Biller, inc, func(event string, f ...any) { w.log(i.ID, event, f...) })
+	x := i.newContext()
 	i.done.Go(func() { _ = i.Router.Run(x) })
-	i.done.Go(func() { l.Run(x, syncEvery, i.isStopping, func() {}) })
+	i.done.Go(func() { l.Run(x, syncInterval, i.isStopping, func() {}) })
 }
 
-// context returns one that ends when the instance is killed.
-func (i *Instance) context() context.Context {
+// newContext returns a context that ends when the instance is killed.
+func (i *Instance) newContext() context.Context {
 	x, cancel := context.WithCancel(context.Background())
 	o := i.cancel
 	i.cancel = func() {
@@ -183,26 +194,27 @@
 	return x
 }
 
-// clock tells the time to an entry; it first asks for it when the policy has
-// decided on a request.
+// clock returns the clock of an entry. Each reading reports StepDecide, since the
+// router first reads its clock when the policy has decided on a request.
 func (w *World) clock(p *Proc) func() time.Time {
 	return func() time.Time {
-		w.hook(StepDecide, p)
+		w.step(StepDecide, p)
 		return time.Now()
 	}
 }
 
-const syncEvery = 200 * time.Millisecond
+// syncInterval is the interval between the syncs of an entry with its control.
+const syncInterval = 200 * time.Millisecond
 
-// RestartControl kills the control process and starts a new one.
+// RestartControl kills the instance's control process and starts a new one.
 func (w *World) RestartControl(i *Instance) {
 	w.mu.Lock()
-	w.starts++
-	n := w.starts
+	w.processStarts++
+	n := w.processStarts
 	w.mu.Unlock()
 	i.Control.Kill()
 	i.mu.Lock()
-	i.Control = &Proc{Name: i.ID + "/control", Site: i.Site}
+	i.Control = &Proc{Name: i.ID + "/control", DataCentre: i.DataCentre}
 	i.mu.Unlock()
 	w.startControl(i, n)
 }
@@ -213,8 +225,8 @@
 	return i.stopping
 }
 
-// node returns the control process that runs now.
-func (i *Instance) node() (*control.Node, *Proc) {
+// currentNode returns the node and the control process that are in use now.
+func (i *Instance) currentNode() (*control.Node, *Proc) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.Node, i.Control
@@ -227,46 +239,46 @@
 	i.cancel()
 }
 
-// Stop is a planned stop: no new requests, those that run are answered, and
-// the control hands over.
+// Stop shuts the instance down gracefully: it gets no new requests, completes
+// those in progress, and its control hands its bill records over to peers.
 func (i *Instance) Stop(ctx context.Context) {
 	i.mu.Lock()
 	i.stopping = true
 	i.mu.Unlock()
-	for i.running() > 0 {
-		time.Sleep(syncEvery)
+	for i.inflightRequests() > 0 {
+		time.Sleep(syncInterval)
 	}
 	i.Biller.Settle(ctx)
-	time.Sleep(2 * syncEvery)
-	n, _ := i.node()
+	time.Sleep(2 * syncInterval)
+	n, _ := i.currentNode()
 	n.Stop(ctx)
 	i.Kill()
 }
 
-func (i *Instance) running() int {
+func (i *Instance) inflightRequests() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.inflight
 }
 
-// Ready reports whether a balancer would send requests to the entry.
+// Ready reports whether a load balancer would send requests to the entry.
 func (i *Instance) Ready() bool {
 	return i.Entry.Alive() && !i.isStopping() && i.View.Get().Active != nil
 }
 
-// Instances returns all instances that were started.
+// Instances returns all instances that were started, in this order.
 func (w *World) Instances() []*Instance {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]*Instance(nil), w.instances...)
 }
 
-// Close ends everything that runs.
+// Close kills all instances and waits for their goroutines.
 func (w *World) Close() {
 	for _, b := range w.Backends() {
 		b.Proc.Resume()
 	}
-	w.StoreAt.Resume()
+	w.StoreProc.Resume()
 	for _, i := range w.Instances() {
 		i.Kill()
 	}
@@ -275,13 +287,13 @@
 	}
 }
 
-// Publish puts the state of all instances and backend servers on the
-// platform's list; readers see it after the lag.
-func (w *World) Publish() {
+// PublishList publishes a version of the platform's list with all instances and
+// backend servers that run; readers see it after ListDelay.
+func (w *World) PublishList() {
 	var l platform.List
 	for _, i := range w.Instances() {
 		if i.Control.Alive() {
-			l.Members = append(l.Members, peer.Member{ID: i.ID, Addr: i.ID, DataCentre: i.Site})
+			l.Members = append(l.Members, peer.Member{ID: i.ID, Addr: i.ID, DataCentre: i.DataCentre})
 		}
 	}
 	for _, b := range w.Backends() {
@@ -291,22 +303,25 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lists = append(w.lists, listed{time.Now(), l})
+	w.listVersions = append(w.listVersions, listVersion{time.Now(), l})
 }
 
-func (w *World) list() platform.List {
+// visibleList returns the newest version that is at least ListDelay old. The first
+// version is visible at once.
+func (w *World) visibleList() platform.List {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var l platform.List
-	for n, x := range w.lists {
-		if n == 0 || time.Since(x.at) >= w.ListLag {
+	for n, x := range w.listVersions {
+		if n == 0 || time.Since(x.publishedAt) >= w.ListDelay {
 			l = x.list
 		}
 	}
 	return l
 }
 
-// Billed returns the sums of all ledgers in the store.
+// Billed returns the sums of all ledgers in the store, or nil if they can not be
+// read.
 func (w *World) Billed(ctx context.Context) map[bill.Line]bill.Amount {
 	n := control.New(control.Parts{Self: peer.Member{ID: "reader"}, Store: kv.NewFake(w.Store), Clock: time.Now, Times: w.Times})
 	m, err := n.Bills(ctx, "")
@@ -316,8 +331,8 @@
 	return m
 }
 
-// instance returns the newest instance of that id.
-func (w *World) instance(id string) *Instance {
+// latestInstance returns the instance with that ID that was started last, or nil.
+func (w *World) latestInstance(id string) *Instance {
 	l := w.Instances()
 	for n := len(l) - 1; n >= 0; n-- {
 		if l[n].ID == id {
@@ -327,15 +342,15 @@
 	return nil
 }
 
-// Client is how a caller outside reaches an instance's entry.
+// Client is a process outside the system that calls entries.
 type Client struct {
 	W *World
 	P *Proc
 }
 
-// Do calls f in the instance's entry, as one request of a caller. It fails
-// with a *LinkError if the connection broke.
-func Do[T any](ctx context.Context, c Client, i *Instance, f func(context.Context, *entry.Router, *entry.View) (T, error)) (T, error) {
+// CallEntry calls f in the instance's entry process, as one request of a client. It
+// fails with a *CallError if the connection fails.
+func CallEntry[T any](ctx context.Context, c Client, i *Instance, f func(context.Context, *entry.Router, *entry.View) (T, error)) (T, error) {
 	return invoke(ctx, c.W, c.P, i.Entry, func(context.Context) (T, error) {
 		i.mu.Lock()
 		i.inflight++
@@ -349,8 +364,9 @@
 	})
 }
 
-// Admin calls f in the instance's control, as one call of an operator.
-func Admin[T any](ctx context.Context, w *World, i *Instance, f func(context.Context, *control.Node) (T, error)) (T, error) {
-	n, p := i.node()
+// CallControl calls f in the instance's control process, as one call of an operator.
+// It fails with a *CallError if the connection fails.
+func CallControl[T any](ctx context.Context, w *World, i *Instance, f func(context.Context, *control.Node) (T, error)) (T, error) {
+	n, p := i.currentNode()
 	return invoke(ctx, w, &Proc{Name: "operator"}, p, func(x context.Context) (T, error) { return f(x, n) })
 }
