--- a/faults/configuration_test.go
+++ b/faults/configuration_test.go
@@ -37,7 +37,7 @@
 	})
 }
 
-// Guards against an instance that can not start while the store is down: it gets its
+// Guards against an instance that cannot start while the store is down: it gets its
 // configuration from peers and reports that by an alarm.
 func TestStartWhileStoreIsOut(t *testing.T) {
 	withDeployment(t, func(d *deployment, ctx context.Context) {
--- a/faults/mutate/main.go
+++ b/faults/mutate/main.go
@@ -61,6 +61,7 @@
 	}
 }
 
+// exit prints the error and exits with status 2.
 func exit(err error) {
 	fmt.Fprintln(os.Stderr, "mutate:", err)
 	os.Exit(2)
--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -85,7 +85,7 @@
 		return
 	}
 	id := string(c.Request.Header.Peek("X-Request-Id"))
-	e.startRun(Run{Attempt: id, Model: q.Model, Marker: Marker(p)})
+	e.startRun(Run{AttemptID: id, Model: q.Model, Marker: Marker(p)})
 	t := e.answerTokens(q.Model, p)
 	if f.Bad {
 		id = "someone-else"
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -18,10 +18,11 @@
 
 // Model describes the answers of one model version.
 type Model struct {
-	// Quality is the quality of the answer to the easiest prompt. Answers to
-	// the hardest prompt have Quality - Spread.
+	// Quality is the quality of the answer to the easiest prompt.
 	Quality float64
-	Spread  float64
+	// Spread is the difference between the qualities of the answers to the
+	// easiest and to the hardest prompt.
+	Spread float64
 	// PerToken is the time that one token of an answer takes.
 	PerToken time.Duration
 	// Bad gives all answers badQuality.
@@ -31,9 +32,9 @@
 // Settings configures one engine.
 type Settings struct {
 	ID string
-	// Slots is the number of requests that run concurrently, and Queue the
-	// number that wait for a slot.
+	// Slots is the number of requests that run concurrently.
 	Slots int
+	// Queue is the number of requests that may wait for a slot.
 	Queue int
 	// Models holds the versions by name; all are loaded at the start.
 	Models map[string]Model
@@ -42,18 +43,18 @@
 	ChecksFence bool
 }
 
-// Run is one request that the engine started. Attempt is its X-Request-Id.
+// Run is one request that the engine started. AttemptID is its X-Request-Id.
 type Run struct {
-	Attempt string    `json:"attempt"`
-	Model   string    `json:"model"`
-	Marker  string    `json:"marker"`
-	At      time.Time `json:"at"`
+	AttemptID string    `json:"attempt"`
+	Model     string    `json:"model"`
+	Marker    string    `json:"marker"`
+	At        time.Time `json:"at"`
 }
 
 // Engine is a fake model engine. It is safe for concurrent use.
 type Engine struct {
 	Settings
-	Faults *fault.Box
+	Faults *fault.Injector
 
 	mu           sync.Mutex
 	loaded       map[string]bool
@@ -68,7 +69,7 @@
 
 // New returns an engine with all its models loaded.
 func New(s Settings) *Engine {
-	e := &Engine{Settings: s, Faults: &fault.Box{}, loaded: map[string]bool{}, badModels: map[string]bool{}, slots: make(chan struct{}, s.Slots)}
+	e := &Engine{Settings: s, Faults: &fault.Injector{}, loaded: map[string]bool{}, badModels: map[string]bool{}, slots: make(chan struct{}, s.Slots)}
 	for m := range s.Models {
 		e.loaded[m] = true
 	}
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -14,7 +14,7 @@
 // Path is the HTTP path on which a fake server accepts its faults.
 const Path = "/standin/fault"
 
-// Set is the faults of one fake server. The zero value injects none.
+// Set is a set of faults of one fake server. The zero value has none.
 type Set struct {
 	// Down closes the connection of each request without a response.
 	Down bool
@@ -34,35 +34,35 @@
 	FailPart float64
 }
 
-// Box holds a Set that can be replaced at run time. It is safe for concurrent
+// Injector holds a Set that can be replaced at run time. It is safe for concurrent
 // use.
-type Box struct {
-	mu sync.Mutex
-	s  Set
+type Injector struct {
+	mu     sync.Mutex
+	faults Set
 }
 
 // Get returns the current faults.
-func (b *Box) Get() Set {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.s
+func (i *Injector) Get() Set {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.faults
 }
 
 // Put replaces the faults.
-func (b *Box) Put(s Set) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.s = s
+func (i *Injector) Put(s Set) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.faults = s
 }
 
 // Handle serves Path. The query parameters are the faults to set; faults that
 // the query omits are cleared.
-func (b *Box) Handle(c *fasthttp.RequestCtx) {
+func (i *Injector) Handle(c *fasthttp.RequestCtx) {
 	a := c.QueryArgs()
 	cutAfter, _ := strconv.Atoi(string(a.Peek("cut_after")))
 	failPart, _ := strconv.ParseFloat(string(a.Peek("fail_part")), 64)
 	delay, _ := time.ParseDuration(string(a.Peek("slow")))
-	b.Put(Set{
+	i.Put(Set{
 		Down:        a.GetBool("down"),
 		Slow:        delay,
 		DropAnswers: a.GetBool("drop_answers"),
@@ -75,8 +75,8 @@
 
 // Before applies the faults that take effect before a request is handled. It
 // reports whether the handler should proceed.
-func (b *Box) Before(c *fasthttp.RequestCtx) bool {
-	s := b.Get()
+func (i *Injector) Before(c *fasthttp.RequestCtx) bool {
+	s := i.Get()
 	if s.Slow > 0 {
 		time.Sleep(s.Slow)
 	}
@@ -92,8 +92,8 @@
 }
 
 // After applies the faults that take effect once a request was handled.
-func (b *Box) After(c *fasthttp.RequestCtx) {
-	if b.Get().DropAnswers {
+func (i *Injector) After(c *fasthttp.RequestCtx) {
+	if i.Get().DropAnswers {
 		closeConnection(c)
 	}
 }
--- a/standin/kv/fake.go
+++ b/standin/kv/fake.go
@@ -31,7 +31,7 @@
 	// LostAnswers applies writes and loses their responses.
 	LostAnswers
 	// LostRequests loses requests before they reach the store. The client gets
-	// the same error as with LostAnswers.
+	// the same error as for a lost response, since it cannot tell the two apart.
 	LostRequests
 )
 
@@ -40,7 +40,7 @@
 	return &Fake{Memory: m, calls: map[string]int{}}
 }
 
-// Break sets the fault of all further calls; Sound removes it.
+// Break sets the fault of all further calls. The zero Fault removes it.
 func (f *Fake) Break(x Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/kv/server.go
+++ b/standin/kv/server.go
@@ -19,7 +19,7 @@
 // fieldvale uses it.
 type Server struct {
 	Memory *Memory
-	Faults *fault.Box
+	Faults *fault.Injector
 
 	mu sync.Mutex
 	// lastLease is the ID of the lease granted last.
@@ -34,7 +34,7 @@
 
 // NewServer returns a server over an empty store.
 func NewServer() *Server {
-	return &Server{Memory: NewMemory(), Faults: &fault.Box{}, leases: map[int64]time.Time{}}
+	return &Server{Memory: NewMemory(), Faults: &fault.Injector{}, leases: map[int64]time.Time{}}
 }
 
 type jsonKV struct {
--- a/standin/list/list.go
+++ b/standin/list/list.go
@@ -22,12 +22,12 @@
 	Service     string `json:"service,omitempty"`
 	Slots       int    `json:"slots,omitempty"`
 	ChecksFence bool   `json:"checks_fence,omitempty"`
-	Leaving     bool   `json:"leaving,omitempty"`
+	Draining    bool   `json:"leaving,omitempty"`
 }
 
 // List is a fake instance list. It is safe for concurrent use.
 type List struct {
-	Faults *fault.Box
+	Faults *fault.Injector
 	// Lag is the delay until readers see a new version of the list.
 	Lag time.Duration
 
@@ -43,7 +43,7 @@
 
 // New returns an empty list whose versions readers see after lag.
 func New(lag time.Duration) *List {
-	return &List{Faults: &fault.Box{}, Lag: lag}
+	return &List{Faults: &fault.Injector{}, Lag: lag}
 }
 
 // Set publishes a new version of the list, which readers see after Lag.
--- a/standin/rating/rating.go
+++ b/standin/rating/rating.go
@@ -20,7 +20,7 @@
 
 // Rating is a fake rating service. It is safe for concurrent use.
 type Rating struct {
-	Faults *fault.Box
+	Faults *fault.Injector
 	// Work is the duration of one rating.
 	Work time.Duration
 	// Count is the number of ratings made.
@@ -29,7 +29,7 @@
 
 // New returns a rating service that takes work for each rating.
 func New(work time.Duration) *Rating {
-	return &Rating{Faults: &fault.Box{}, Work: work}
+	return &Rating{Faults: &fault.Injector{}, Work: work}
 }
 
 // Handle serves one HTTP request.
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -16,12 +16,12 @@
 
 // Service is a fake service. It is safe for concurrent use.
 type Service struct {
-	// ChecksKey makes the service deduplicate calls by idempotency key: a second
+	// ChecksIdempotencyKey makes the service deduplicate calls by idempotency key: a second
 	// call with the same key is answered without a second run.
-	ChecksKey bool
+	ChecksIdempotencyKey bool
 	// Work is the duration of one call.
 	Work   time.Duration
-	Faults *fault.Box
+	Faults *fault.Injector
 
 	mu       sync.Mutex
 	runs     map[string]int
@@ -30,7 +30,7 @@
 
 // New returns a service whose calls take work.
 func New(work time.Duration, checksKey bool) *Service {
-	return &Service{ChecksKey: checksKey, Work: work, Faults: &fault.Box{}, runs: map[string]int{}}
+	return &Service{ChecksIdempotencyKey: checksKey, Work: work, Faults: &fault.Injector{}, runs: map[string]int{}}
 }
 
 // Runs returns the number of runs by "call/key".
@@ -78,7 +78,7 @@
 		c.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	if !s.ChecksKey || s.runs[k] == 0 {
+	if !s.ChecksIdempotencyKey || s.runs[k] == 0 {
 		s.runs[k]++
 	}
 	s.mu.Unlock()
--- a/standin/traffic/traffic.go
+++ b/standin/traffic/traffic.go
@@ -15,8 +15,8 @@
 const (
 	// Chat is a chat request to a model.
 	Chat Kind = iota
-	// Plain is an idempotent call of a plain service.
-	Plain
+	// ServiceCall is an idempotent call of a plain service.
+	ServiceCall
 	// Once is a call of a plain service that must not run twice.
 	Once
 )
@@ -118,7 +118,7 @@
 		q.Task = "terminology"
 		q.Text = fmt.Sprintf("<%s> Term: %s", q.ID, s.words(2))
 	case n < 9:
-		q.Kind, q.Service, q.Call, q.Text = Plain, "memory", "concordance", s.words(3)
+		q.Kind, q.Service, q.Call, q.Text = ServiceCall, "memory", "concordance", s.words(3)
 	default:
 		q.Kind, q.Service, q.Call, q.Text = Once, "memory", "write", s.words(12)
 	}
@@ -136,7 +136,7 @@
 		q.Task, q.Stream = "status", s.r.IntN(2) == 0
 		q.Text = fmt.Sprintf("<%s> Where is my delivery? %s", q.ID, s.words(4))
 	case n < 8:
-		q.Kind, q.Service, q.Call, q.Text = Plain, "orders", "status", s.words(2)
+		q.Kind, q.Service, q.Call, q.Text = ServiceCall, "orders", "status", s.words(2)
 	default:
 		q.Kind, q.Service, q.Call, q.Text = Once, "orders", "confirm", s.words(6)
 	}
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -320,7 +320,7 @@
 	return l
 }
 
-// Billed returns the sums of all ledgers in the store, or nil if they can not be
+// Billed returns the sums of all ledgers in the store, or nil if they cannot be
 // read.
 func (w *World) Billed(ctx context.Context) map[bill.Line]bill.Amount {
 	n := control.New(control.Parts{Self: peer.Member{ID: "reader"}, Store: kv.NewFake(w.Store), Clock: time.Now, Times: w.Times})
