--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -83,8 +83,8 @@
 	return append([]Run(nil), e.runs...)
 }
 
-// SetLeaving sets whether the engine is draining: it then rejects new requests.
-func (e *Engine) SetLeaving(b bool) {
+// SetDraining sets whether the engine is draining: it then rejects new requests.
+func (e *Engine) SetDraining(b bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = b
@@ -111,7 +111,7 @@
 		e.SetBad(string(c.QueryArgs().Peek("model")), c.QueryArgs().GetBool("bad"))
 		return
 	case "/standin/leaving":
-		e.SetLeaving(c.QueryArgs().GetBool("leaving"))
+		e.SetDraining(c.QueryArgs().GetBool("leaving"))
 		return
 	}
 	if !e.Faults.Before(c) {
--- a/standin/kv/fake.go
+++ b/standin/kv/fake.go
@@ -64,11 +64,11 @@
 	f.calls[name]++
 	switch f.fault {
 	case Down:
-		return nil, errors.Mark(errors.Wrapf(errFake, "%s: down", name), store.ErrUnavailable)
+		return nil, errors.Mark(errors.Wrapf(errFake, "%s: store is down", name), store.ErrUnavailable)
 	case LostRequests:
-		return nil, errors.Mark(errors.Wrapf(errFake, "%s: request lost", name), store.ErrUnknown)
+		return nil, errors.Mark(errors.Wrapf(errFake, "%s: request was lost", name), store.ErrUnknown)
 	case LostAnswers:
-		return errors.Mark(errors.Wrapf(errFake, "%s: answer lost", name), store.ErrUnknown), nil
+		return errors.Mark(errors.Wrapf(errFake, "%s: response was lost", name), store.ErrUnknown), nil
 	}
 	return nil, nil
 }
--- a/standin/ordered/ordered.go
+++ b/standin/ordered/ordered.go
@@ -36,6 +36,7 @@
 	good kind = iota
 	failing
 	slow
+	// kinds is the number of kinds.
 	kinds
 )
 
--- a/standin/serve/serve.go
+++ b/standin/serve/serve.go
@@ -22,7 +22,7 @@
 func On(addr string, h fasthttp.RequestHandler) (*Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, errors.Wrap(err, "serve.On")
+		return nil, errors.Wrapf(err, "serve: listen on %s", addr)
 	}
 	s := &Listener{Addr: l.Addr().String(), l: l, http: &fasthttp.Server{Handler: h, Logger: discardLogger{}, NoDefaultServerHeader: true}}
 	go func() { _ = s.http.Serve(l) }()
@@ -59,7 +59,7 @@
 		}
 		last = err
 	}
-	return "", errors.Wrap(last, "serve.FreePort")
+	return "", errors.Wrapf(last, "serve: no free port after %d attempts", portAttempts)
 }
 
 // JSON responds with v encoded as JSON.
