--- a/faults/configuration_test.go
+++ b/faults/configuration_test.go
@@ -64,7 +64,7 @@
 // Guards against instances that stop answering during a long outage of the store, run
 // a non-idempotent request without a claim, or lose bills and later changes once the store
 // is reachable again.
-func TestServesThroughHoursWithoutStoreAndJoinsAgain(t *testing.T) {
+func TestServesDuringLongStoreOutageAndRecovers(t *testing.T) {
 	withDeployment(t, func(d *deployment, ctx context.Context) {
 		d.w.SetStoreFault(kv.Down)
 		for n := range 12 {
--- a/faults/deployment_test.go
+++ b/faults/deployment_test.go
@@ -1,3 +1,6 @@
+// Package faults tests a small fieldvale system of several instances under injected
+// faults: the matrix injects each fault at each step of a scripted run, the other tests
+// reproduce single failures.
 package faults
 
 import (
--- a/faults/matrix_test.go
+++ b/faults/matrix_test.go
@@ -20,8 +20,8 @@
 // steps lists the steps at which faults are injected: first those of a request, in
 // the order in which it takes them, then those of the system.
 var steps = []string{
-	"admission", world.StepDecide, world.StepClaim, world.StepClaimed, world.StepQueue, world.StepDispatch, world.StepFirst, world.StepMid,
-	world.StepEnd, world.StepRate, world.StepBill, world.StepFlush, world.StepAccept, world.StepSpread, world.StepSync, "withdraw", "take-over", "leave", "stop", "join",
+	"admission", world.StepDecide, world.StepClaim, world.StepClaimed, world.StepQueue, world.StepDispatch, world.StepFirstChunk, world.StepMidStream,
+	world.StepAnswerDone, world.StepRate, world.StepBill, world.StepFlushBills, world.StepWriteConfig, world.StepFetchDocument, world.StepSync, "withdraw", "take-over", "leave", "stop", "join",
 }
 
 // faultKind is one kind of fault.
@@ -204,7 +204,7 @@
 // requests alone.
 func requestStepsOnly(step string) string {
 	switch step {
-	case world.StepAccept, world.StepSpread, world.StepFlush, world.StepSync, "withdraw", "take-over", "leave", "stop", "join":
+	case world.StepWriteConfig, world.StepFetchDocument, world.StepFlushBills, world.StepSync, "withdraw", "take-over", "leave", "stop", "join":
 		return "no answer of a backend server at this step"
 	}
 	return ""
--- a/faults/once_test.go
+++ b/faults/once_test.go
@@ -15,7 +15,7 @@
 
 // Guards against a request that never runs or runs twice when the store writes its claim
 // but the response is lost.
-func TestClaimWrittenAndAnswerLost(t *testing.T) {
+func TestClaimWrittenAndResponseLost(t *testing.T) {
 	withDeployment(t, func(d *deployment, ctx context.Context) {
 		// The claim is written and the response is lost. The instance reads the claim
 		// back, recognises its own nonce and sends the request, once.
--- a/faults/versions_test.go
+++ b/faults/versions_test.go
@@ -81,7 +81,7 @@
 
 // Guards against a roll-out that continues with a bad version, and against a version that
 // stays tripped after an operator reinstated it.
-func TestBadVersionIsTrippedAndMayBeTriedAgain(t *testing.T) {
+func TestBadVersionIsTrippedAndCanBeReinstated(t *testing.T) {
 	withDeployment(t, func(d *deployment, ctx context.Context) {
 		start := func(id string) {
 			r, err := rollout.New(cheap1, cheap2, []int{5000, rollout.FullShare}, time.Now(), time.Hour)
@@ -126,7 +126,7 @@
 // Guards against a roll-out that takes its last step because the time of the step has
 // come, while the version fails every request but has had too few requests to be tripped.
 // After the last step the version is no longer evaluated.
-func TestAVersionNearToBeingFoundBadTakesNoStep(t *testing.T) {
+func TestFailingVersionWithFewRequestsTakesNoStep(t *testing.T) {
 	withDeployment(t, func(d *deployment, ctx context.Context) {
 		r, err := rollout.New(cheap1, cheap2, []int{5000, rollout.FullShare}, time.Now(), 20*time.Second)
 		if err != nil {
@@ -247,7 +247,7 @@
 
 // Guards against an outdated order that unloads a version in use: engines that check
 // fencing tokens reject it, and requests avoid the engines that accept it.
-func TestFenceOfBackendServersThatCheckAndThoseThatDoNot(t *testing.T) {
+func TestOutdatedUnloadOrderWithAndWithoutTokenCheck(t *testing.T) {
 	withDeployment(t, func(d *deployment, ctx context.Context) {
 		d.mustChange(ctx, withdrawal(cheap1))
 		time.Sleep(3 * time.Second)
--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -178,7 +178,7 @@
 
 // order serves /orders: {"order":"unload"|"load","version":V,"fence":N}. An engine
 // that checks fencing tokens rejects an order with a lower token than the highest
-// one that it has received, since the sender has lost its lease.
+// one that it has received, since such an order is outdated.
 func (e *Engine) order(c *fasthttp.RequestCtx) {
 	var q struct {
 		Order   string `json:"order"`
--- a/standin/world/backend.go
+++ b/standin/world/backend.go
@@ -298,7 +298,7 @@
 			return entry.Answer{}, err
 		}
 	}
-	b.onStep(StepEnd, b.Proc)
+	b.onStep(StepAnswerDone, b.Proc)
 	x := strings.Join(t, "")
 	return entry.Answer{Body: []byte(x), Text: x, TokensIn: 10, TokensOut: uint64(len(t))}, b.defectError(d)
 }
@@ -358,7 +358,7 @@
 	if err := b.Proc.waitWhilePaused(); err != nil {
 		return entry.ServiceAnswer{}, outcome.New(outcome.Unknown, "call", b.Proc.Name, err)
 	}
-	b.onStep(StepEnd, b.Proc)
+	b.onStep(StepAnswerDone, b.Proc)
 	return entry.ServiceAnswer{Status: 200, Body: append([]byte("done "), c.Body...)}, b.defectError(d)
 }
 
--- a/standin/world/clients.go
+++ b/standin/world/clients.go
@@ -23,20 +23,20 @@
 
 // Steps for which World.OnStep is called.
 const (
-	StepDecide   = "decision"      // the policy decided on a request
-	StepClaim    = "claim"         // an entry makes a claim
-	StepClaimed  = "claimed"       // the claim was made
-	StepDispatch = "dispatch"      // an entry sends a request to a backend server
-	StepQueue    = "queue"         // a backend server queues a request
-	StepFirst    = "first byte"    // the first chunk of a stream arrives
-	StepMid      = "mid-stream"    // the middle chunk of a stream arrives
-	StepEnd      = "end of answer" // a backend server completed an answer
-	StepRate     = "rating"        // an entry requests the rating of an answer
-	StepBill     = "bill"          // an entry sends a bill record to a node that holds it
-	StepFlush    = "flush"         // a node writes bills to the store
-	StepAccept   = "accept"        // a node writes the configuration to the store
-	StepSpread   = "spread"        // a node fetches the configuration from a peer
-	StepSync     = "sync"          // an entry syncs with its control
+	StepDecide        = "decision"      // the policy decided on a request
+	StepClaim         = "claim"         // an entry makes a claim
+	StepClaimed       = "claimed"       // the claim was made
+	StepDispatch      = "dispatch"      // an entry sends a request to a backend server
+	StepQueue         = "queue"         // a backend server queues a request
+	StepFirstChunk    = "first byte"    // the first chunk of a stream arrives
+	StepMidStream     = "mid-stream"    // the middle chunk of a stream arrives
+	StepAnswerDone    = "end of answer" // a backend server completed an answer
+	StepRate          = "rating"        // an entry requests the rating of an answer
+	StepBill          = "bill"          // an entry sends a bill record to a node that holds it
+	StepFlushBills    = "flush"         // a node writes bills to the store
+	StepWriteConfig   = "accept"        // a node writes the configuration to the store
+	StepFetchDocument = "spread"        // a node fetches the configuration from a peer
+	StepSync          = "sync"          // an entry syncs with its control
 )
 
 // SetStoreFault sets the fault of the store for all nodes.
@@ -119,9 +119,9 @@
 func commitStep(key string) string {
 	switch {
 	case len(key) > 16 && key[:16] == "/fieldvale/bill/":
-		return StepFlush
+		return StepFlushBills
 	case key == "/fieldvale/config":
-		return StepAccept
+		return StepWriteConfig
 	}
 	return ""
 }
@@ -160,7 +160,7 @@
 
 // Document implements control.Peers.
 func (l *peerClient) Document(ctx context.Context, m peer.Member, above uint64) ([]byte, error) {
-	l.w.step(StepSpread, l.p)
+	l.w.step(StepFetchDocument, l.p)
 	return peerCall(ctx, l.w, l.p, m.ID, func(n *control.Node) ([]byte, error) {
 		d, b := n.Document()
 		if d.Revision <= above {
@@ -330,9 +330,9 @@
 			}
 			switch n {
 			case 0:
-				l.w.step(StepFirst, l.p)
+				l.w.step(StepFirstChunk, l.p)
 			case chunksPerAnswer / 2:
-				l.w.step(StepMid, l.p)
+				l.w.step(StepMidStream, l.p)
 			}
 			if err := l.p.waitWhilePaused(); err != nil {
 				return outcome.New(outcome.Unknown, "stream", r.ID, err)
