--- a/adapter/backend/engine.go
+++ b/adapter/backend/engine.go
@@ -127,10 +127,10 @@
 		return entry.Answer{}, invalidResponse(r, err)
 	}
 	if w.Model != a.Version.String() {
-		return entry.Answer{}, invalidResponse(r, errors.Newf("response is of model %q, want %q", w.Model, a.Version))
+		return entry.Answer{}, invalidResponse(r, errors.Newf("answer is of model %q, asked %q", w.Model, a.Version))
 	}
 	if len(w.Choices) == 0 || w.Choices[0].Finish == nil {
-		return entry.Answer{}, invalidResponse(r, errors.New("response has no finish_reason"))
+		return entry.Answer{}, invalidResponse(r, errors.New("answer has no finish_reason"))
 	}
 	n := entry.Answer{Body: b, Text: w.Choices[0].Message.Content}
 	if w.Usage != nil {
@@ -196,14 +196,14 @@
 			return n, invalidResponse(r, err)
 		}
 		if w.Model != a.Version.String() || w.ID != a.ID {
-			return n, invalidResponse(r, errors.Newf("chunk is of model %q and request %q, want %q and %q", w.Model, w.ID, a.Version, a.ID))
+			return n, invalidResponse(r, errors.Newf("chunk is of model %q and request %q, asked %q and %q", w.Model, w.ID, a.Version, a.ID))
 		}
 		finished = finished || appendChunk(w, &n, &t)
 		if err := sink(d); err != nil {
 			return n, err
 		}
 	}
-	return n, outcome.New(outcome.Unknown, "stream", r.ID, errors.Wrap(cmp.Or(s.Err(), io.ErrUnexpectedEOF), "stream ended before its end marker"))
+	return n, outcome.New(outcome.Unknown, "stream", r.ID, errors.Wrap(cmp.Or(s.Err(), io.ErrUnexpectedEOF), "cut before its end"))
 }
 
 // discardRest reads the body after the end marker, so that the connection can be reused.
@@ -270,11 +270,11 @@
 func rewriteBody(a entry.Attempt, stream bool) ([]byte, error) {
 	var m map[string]json.RawMessage
 	if err := json.Unmarshal(a.Body, &m); err != nil {
-		return nil, errors.Wrap(err, "backend: parse the request body")
+		return nil, errors.Wrap(err, "backend.rewrite")
 	}
 	v, err := json.Marshal(a.Version.String())
 	if err != nil {
-		return nil, errors.Wrap(err, "backend: encode the version")
+		return nil, errors.Wrap(err, "backend.rewrite")
 	}
 	m["model"] = v
 	if stream {
@@ -294,7 +294,7 @@
 		return err
 	}
 	if g := string(p.Header.Peek(HeaderAttempt)); g != a.ID {
-		return invalidResponse(r, errors.Newf("response belongs to request %q, want %q", g, a.ID))
+		return invalidResponse(r, errors.Newf("answer belongs to request %q, asked %q", g, a.ID))
 	}
 	return nil
 }
--- a/adapter/exchange/exchange.go
+++ b/adapter/exchange/exchange.go
@@ -53,7 +53,7 @@
 const maxSkipped = 2
 
 // ErrUnmatched is returned if more than maxSkipped responses belong to other requests.
-var ErrUnmatched = errors.New("response belongs to another request")
+var ErrUnmatched = errors.New("the answer is another request's")
 
 // Do sends the request and reads the response's header. A failure is an
 // *outcome.Error of kind NotRun if no byte was sent, else Unknown.
--- a/adapter/exchange/pool.go
+++ b/adapter/exchange/pool.go
@@ -113,7 +113,7 @@
 	}
 	k, err := d.DialContext(ctx, "tcp4", addr)
 	if err != nil {
-		return nil, errors.Wrap(err, "exchange: connect")
+		return nil, errors.Wrap(err, "exchange")
 	}
 	p.mu.Lock()
 	p.dialed++
--- a/adapter/httpconn/httpconn.go
+++ b/adapter/httpconn/httpconn.go
@@ -149,7 +149,7 @@
 	d := net.Dialer{Timeout: dialTimeout}
 	k, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
-		return nil, errors.Wrap(err, "httpconn: connect")
+		return nil, errors.Wrap(err, "httpconn")
 	}
 	return &conn{netConn: k, reader: bufio.NewReader(k), writer: bufio.NewWriter(k)}, nil
 }
--- a/entry/router.go
+++ b/entry/router.go
@@ -346,7 +346,7 @@
 
 // errWithdrawn reports that the version was withdrawn while the request was under way, so that
 // another version is picked.
-var errWithdrawn = errors.New("the version was withdrawn while the request was under way")
+var errWithdrawn = errors.New("version was withdrawn")
 
 // lessCertain keeps the error whose outcome is less certain, so that the caller gets "not run"
 // only if no attempt may have run.
