--- a/entry/ports.go
+++ b/entry/ports.go
@@ -83,8 +83,8 @@
 // false if that state is unavailable; that none of the replicas may be used is a valid choice.
 type Placer interface {
 	Choose(ctx context.Context, group string, a placement.Request) (placement.Choice, placement.Ticket, bool)
-	// ReportPrefilled reports that the replica has read the prompt, Lost that the attempt failed before
-	// that.
+	// ReportPrefilled reports that the replica has read the prompt, ReportAborted that the attempt
+	// failed before that.
 	ReportPrefilled(t placement.Ticket)
 	ReportAborted(t placement.Ticket, fault placement.Fault)
 }
--- a/standin/world/clients.go
+++ b/standin/world/clients.go
@@ -209,7 +209,7 @@
 	i *Instance
 }
 
-// Sync implements process.Controller.
+// Sync implements process.ControlClient.
 func (l *controlClient) Sync(ctx context.Context, r control.Report) (control.Update, error) {
 	l.w.step(StepSync, l.i.Entry)
 	n, c := l.i.currentNode()
@@ -253,7 +253,7 @@
 	p *Proc
 }
 
-// Hold implements entry.Holder.
+// Hold implements biller.Holder.
 func (l *billClient) Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.Word, error) {
 	l.w.step(StepBill, l.p)
 	return peerCall(ctx, l.w, l.p, m.ID, func(n *control.Node) (bill.Word, error) {
@@ -261,7 +261,7 @@
 	})
 }
 
-// Release implements entry.Holder.
+// Release implements biller.Holder.
 func (l *billClient) Release(ctx context.Context, m peer.Member, r bill.Record) error {
 	_, err := peerCall(ctx, l.w, l.p, m.ID, func(n *control.Node) (bool, error) {
 		n.Hold(nil, []bill.Record{r})
