--- a/cmd/fieldvale/main.go
+++ b/cmd/fieldvale/main.go
@@ -1,4 +1,5 @@
-// Fieldvale is the operators' command line.
+// Fieldvale is the command-line client with which operators manage policies,
+// roll-outs and the system. See usage for its exit codes.
 package main
 
 import (
@@ -30,7 +31,7 @@
 operator's change, 4 the system or its store can't be reached now; the same
 command may be repeated.`
 
-// Exit codes.
+// Exit codes of every command; usage documents them.
 const (
 	exitOK          = 0
 	exitRefused     = 1
@@ -39,8 +40,8 @@
 	exitUnavailable = 4
 )
 
-// global holds the options of all commands.
-var global struct {
+// globalOptions holds the options that every command accepts.
+var globalOptions struct {
 	Admin string `long:"admin" env:"FIELDVALE_ADMIN" value-name:"URL" description:"administration API of any instance"`
 	Key   string `long:"key" env:"FIELDVALE_KEY" description:"administration key"`
 	CA    string `long:"ca" env:"FIELDVALE_CA" value-name:"FILE" description:"certificates to trust"`
@@ -52,76 +53,84 @@
 	os.Exit(run(os.Args[1:]))
 }
 
+// run parses the arguments, executes the command that they name and returns
+// the exit code.
 func run(args []string) int {
 	p := flags.NewNamedParser("fieldvale", flags.HelpFlag|flags.PassDoubleDash)
 	p.LongDescription = usage
-	if _, err := p.AddGroup("Global options", "", &global); err != nil {
-		return fail(err)
+	if _, err := p.AddGroup("Global options", "", &globalOptions); err != nil {
+		return printError(err)
 	}
 	if err := addCommands(p); err != nil {
-		return fail(err)
+		return printError(err)
 	}
-	if _, err := p.ParseArgs(helpFirst(args)); err != nil {
-		return fail(err)
+	if _, err := p.ParseArgs(helpFlagLast(args)); err != nil {
+		return printError(err)
 	}
 	return exitOK
 }
 
-// helpFirst turns "help COMMAND" into "COMMAND --help".
-func helpFirst(args []string) []string {
+// helpFlagLast turns "help COMMAND" into "COMMAND --help".
+func helpFlagLast(args []string) []string {
 	if len(args) > 0 && args[0] == "help" {
 		return append(append([]string{}, args[1:]...), "--help")
 	}
 	return args
 }
 
-// command is one subcommand as it is added to the parser.
+// command describes one subcommand. Its commander holds the subcommand's
+// options and implements flags.Commander.
 type command struct {
-	name  string
-	short string
-	long  string
-	data  any
+	name      string
+	short     string
+	long      string
+	commander any
 }
 
+// addCommands registers all commands with the parser.
 func addCommands(p *flags.Parser) error {
-	c, err := p.AddCommand("policy", "write, test and accept policies", "", &struct{}{})
+	policy, err := p.AddCommand("policy", "write, test and accept policies", "", &struct{}{})
 	if err != nil {
 		return err
 	}
-	if err := addAll(c, policyCommands()); err != nil {
+	if err := addSubcommands(policy, policyCommands()); err != nil {
 		return err
 	}
-	r, err := p.AddCommand("rollout", "move a model's new sessions to another version", "", &struct{}{})
+	rollout, err := p.AddCommand("rollout", "move a model's new sessions to another version", "", &struct{}{})
 	if err != nil {
 		return err
 	}
-	if err := addAll(r, rolloutCommands()); err != nil {
+	if err := addSubcommands(rollout, rolloutCommands()); err != nil {
 		return err
 	}
-	return addAll(p.Command, systemCommands())
+	return addSubcommands(p.Command, systemCommands())
 }
 
-func addAll(p *flags.Command, l []command) error {
-	for _, c := range l {
-		if _, err := p.AddCommand(c.name, c.short, c.long, c.data); err != nil {
+// addSubcommands registers commands below p.
+func addSubcommands(p *flags.Command, commands []command) error {
+	for _, c := range commands {
+		if _, err := p.AddCommand(c.name, c.short, c.long, c.commander); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// errRefused marks a refusal that was explained on the output already.
+// errRefused is the cause of the error that a command returns after it has
+// printed why it refuses its input.
 var errRefused = errors.New("refused")
 
-// fail prints the error and returns its exit code.
-func fail(err error) int {
-	var f *flags.Error
-	if errors.As(err, &f) {
-		if f.Type == flags.ErrHelp {
-			fmt.Println(f.Message)
+// printError prints the error and returns the exit code for it: help goes to
+// standard output with exitOK, everything else to standard error. Connect's
+// code Aborted reports a conflict with another operator's change.
+func printError(err error) int {
+	var flagError *flags.Error
+	if errors.As(err, &flagError) {
+		if flagError.Type == flags.ErrHelp {
+			fmt.Println(flagError.Message)
 			return exitOK
 		}
-		fmt.Fprintln(os.Stderr, f.Message)
+		fmt.Fprintln(os.Stderr, flagError.Message)
 		return exitUsage
 	}
 	fmt.Fprintln(os.Stderr, "fieldvale:", err)
@@ -134,39 +143,42 @@
 	return exitRefused
 }
 
-// callTimeout bounds one command's call.
+// callTimeout bounds one call to the administration API.
 const callTimeout = 30 * time.Second
 
-// admin returns the client and a context for one call.
-func admin() (fieldvalev1connect.AdminClient, context.Context, context.CancelFunc, error) {
-	if global.Admin == "" || global.Key == "" {
+// newAdminClient returns a client of the administration API and a context, with
+// its cancel function, for one call.
+func newAdminClient() (fieldvalev1connect.AdminClient, context.Context, context.CancelFunc, error) {
+	if globalOptions.Admin == "" || globalOptions.Key == "" {
 		return nil, nil, nil, errors.New("give --admin and --key, or set FIELDVALE_ADMIN and FIELDVALE_KEY")
 	}
-	c, err := rpc.NewAdmin(global.Admin, global.Key, global.CA)
+	client, err := rpc.NewAdmin(globalOptions.Admin, globalOptions.Key, globalOptions.CA)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	x, cancel := context.WithTimeout(context.Background(), callTimeout)
-	return c, x, cancel, nil
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+	return client, ctx, cancel, nil
 }
 
-func needTeam() error {
-	if global.Team == "" {
+// requireTeam returns an error if the operator set no team.
+func requireTeam() error {
+	if globalOptions.Team == "" {
 		return errors.New("give --team or set FIELDVALE_TEAM")
 	}
 	return nil
 }
 
-// show prints v as JSON if that was asked for, else calls text.
-func show(v any, text func()) error {
-	if !global.JSON {
-		text()
+// printResult prints v as JSON if the option --json is set; otherwise it calls
+// printText.
+func printResult(v any, printText func()) error {
+	if !globalOptions.JSON {
+		printText()
 		return nil
 	}
-	b, err := json.MarshalIndent(v, "", "  ")
+	encoded, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
 		return err
 	}
-	fmt.Println(string(b))
+	fmt.Println(string(encoded))
 	return nil
 }
--- a/cmd/fieldvale/policy.go
+++ b/cmd/fieldvale/policy.go
@@ -26,6 +26,7 @@
     catalog.ini   the team's customers, versions with costs, tasks, services
     cases.ini     test cases that must hold before the policy is accepted`
 
+// policyCommands returns the subcommands of "policy".
 func policyCommands() []command {
 	return []command{
 		{"check", "compile a policy and report every fault", policyLong, &policyCheck{}},
@@ -37,46 +38,50 @@
 	}
 }
 
+// policyDir is the argument of the commands that read a policy directory.
 type policyDir struct {
 	Args struct {
 		Dir string `positional-arg-name:"DIR" description:"policy directory" required:"true"`
 	} `positional-args:"true"`
 }
 
-// compile reads and compiles the directory and prints every fault.
+// compile reads and compiles the policy in the directory. It prints every
+// fault of the policy and returns an error if there is one.
 func (d policyDir) compile() (policy.Source, *policy.Table, error) {
-	f, err := policyfile.ReadDir(d.Args.Dir)
+	files, err := policyfile.ReadDir(d.Args.Dir)
 	if err != nil {
 		return policy.Source{}, nil, err
 	}
-	s, e := policyfile.Parse(f)
-	if len(e) > 0 {
-		return s, nil, report(e)
+	source, faults := policyfile.Parse(files)
+	if len(faults) > 0 {
+		return source, nil, printFaults(faults)
 	}
-	t, e := policy.Compile(s)
-	return s, t, report(e)
+	table, faults := policy.Compile(source)
+	return source, table, printFaults(faults)
 }
 
-func report(e []error) error {
-	if len(e) == 0 {
+// printFaults prints all faults to standard error and returns an error with
+// their number, or nil if there are none.
+func printFaults(faults []error) error {
+	if len(faults) == 0 {
 		return nil
 	}
-	for _, err := range e {
+	for _, err := range faults {
 		fmt.Fprintln(os.Stderr, err)
 	}
-	return errors.Wrapf(errRefused, "faults: %d", len(e))
+	return errors.Wrapf(errRefused, "faults: %d", len(faults))
 }
 
 type policyCheck struct{ policyDir }
 
 // Execute implements flags.Commander.
 func (c *policyCheck) Execute([]string) error {
-	s, _, err := c.compile()
+	source, _, err := c.compile()
 	if err != nil {
 		return err
 	}
-	g := s.Catalog
-	fmt.Printf("team %s: %d customers, %d versions, %d tasks, %d services: sound\n", g.Team, len(g.Customers), len(g.Versions), len(g.Tasks), len(g.Services))
+	catalog := source.Catalog
+	fmt.Printf("team %s: %d customers, %d versions, %d tasks, %d services: sound\n", catalog.Team, len(catalog.Customers), len(catalog.Versions), len(catalog.Tasks), len(catalog.Services))
 	return nil
 }
 
@@ -84,14 +89,14 @@
 
 // Execute implements flags.Commander.
 func (c *policyTest) Execute([]string) error {
-	s, t, err := c.compile()
+	source, table, err := c.compile()
 	if err != nil {
 		return err
 	}
-	if err := report(t.Check(s.Cases)); err != nil {
+	if err := printFaults(table.Check(source.Cases)); err != nil {
 		return err
 	}
-	fmt.Printf("%d cases passed\n", len(s.Cases))
+	fmt.Printf("%d cases passed\n", len(source.Cases))
 	return nil
 }
 
@@ -99,40 +104,41 @@
 
 // Execute implements flags.Commander.
 func (c *policyDiff) Execute([]string) error {
-	s, t, err := c.compile()
+	source, table, err := c.compile()
 	if err != nil {
 		return err
 	}
-	w, err := getPolicy(s.Catalog.Team, 0)
+	current, err := getPolicy(source.Catalog.Team, 0)
 	if err != nil {
 		return err
 	}
-	var o *policy.Table
-	if len(w.Files) > 0 {
-		p, e := policyfile.Parse(w.Files)
-		if len(e) > 0 {
-			return e[0]
+	var currentTable *policy.Table
+	if len(current.Files) > 0 {
+		parsed, faults := policyfile.Parse(current.Files)
+		if len(faults) > 0 {
+			return faults[0]
 		}
-		if o, e = policy.Compile(p); len(e) > 0 {
-			return e[0]
+		if currentTable, faults = policy.Compile(parsed); len(faults) > 0 {
+			return faults[0]
 		}
 	}
-	l := t.Diff(o)
-	return show(l, func() {
-		for _, d := range l {
+	differences := table.Diff(currentTable)
+	return printResult(differences, func() {
+		for _, d := range differences {
 			fmt.Printf("%s: %q -> %q\n", d.What, d.From, d.To)
 		}
-		fmt.Printf("%d decisions differ from revision %d\n", len(l), w.Revision)
+		fmt.Printf("%d decisions differ from revision %d\n", len(differences), current.Revision)
 	})
 }
 
+// getPolicy fetches a team's policy; revision 0 selects the one in force.
 func getPolicy(team string, revision uint64) (*fieldvalev1.GetPolicyResponse, error) {
-	a, x, cancel, err := admin()
+	a, ctx, cancel, err := newAdminClient()
 	if err != nil {
 		return nil, err
 	}
 	defer cancel()
-	return a.GetPolicy(x, &fieldvalev1.GetPolicyRequest{Team: team, Revision: revision})
+	return a.GetPolicy(ctx, &fieldvalev1.GetPolicyRequest{Team: team, Revision: revision})
 }
 
 const acceptLong = `Accept runs the policy's test cases, refuses it if one fails, and puts it in
@@ -141,8 +147,9 @@
 between, it is refused with exit code 3 and nothing is changed. It may be
 repeated: a policy that is in force is not accepted again.`
 
-// baseFile holds the revision that a directory started from.
-const baseFile = ".base"
+// baseRevisionFile is the file in a policy directory that holds the revision
+// on which the directory's policy is based.
+const baseRevisionFile = ".base"
 
 type policyAccept struct {
 	policyDir
@@ -152,30 +159,31 @@
 
 // Execute implements flags.Commander.
 func (c *policyAccept) Execute([]string) error {
-	s, t, err := c.compile()
+	source, table, err := c.compile()
 	if err != nil {
 		return err
 	}
-	if err := report(t.Check(s.Cases)); err != nil {
+	if err := printFaults(table.Check(source.Cases)); err != nil {
 		return err
 	}
-	b, err := c.base(s.Catalog.Team)
+	base, err := c.baseRevision(source.Catalog.Team)
 	if err != nil {
 		return err
 	}
-	q := &fieldvalev1.ChangeRequest{
-		Id: changeID(s.Catalog.Team, b, s.Files), Team: s.Catalog.Team, Why: c.Why,
-		Action: string(audit.Accept), Base: b, Files: s.Files,
+	request := &fieldvalev1.ChangeRequest{
+		Id: changeID(source.Catalog.Team, base, source.Files), Team: source.Catalog.Team, Why: c.Why,
+		Action: string(audit.Accept), Base: base, Files: source.Files,
 	}
-	r, err := change(q)
+	response, err := submitChange(request)
 	if err != nil {
 		return err
 	}
-	return saveBase(c.Args.Dir, r.Revision)
+	return writeBaseRevision(c.Args.Dir, response.Revision)
 }
 
-// changeID is the same for the same policy from the same base, so that
-// repeating the command repeats no change.
+// changeID derives the id of a change from the team, the base revision and the
+// files. A repeated command thus sends the same id, and the system doesn't make
+// the change twice.
 func changeID(team string, base uint64, files map[string]string) string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%s\x00%d\x00", team, base)
@@ -185,45 +193,50 @@
 	return "accept/" + hex.EncodeToString(h.Sum(nil))[:24]
 }
 
-func (c *policyAccept) base(team string) (uint64, error) {
+// baseRevision returns the revision on which the policy is based: the option
+// --base, else the content of baseRevisionFile, else the revision in force.
+func (c *policyAccept) baseRevision(team string) (uint64, error) {
 	if c.Base != "" {
-		n, err := strconv.ParseUint(c.Base, 10, 64)
-		return n, errors.Wrap(err, "--base")
+		revision, err := strconv.ParseUint(c.Base, 10, 64)
+		return revision, errors.Wrap(err, "--base is not a revision number")
 	}
-	b, err := os.ReadFile(filepath.Join(c.Args.Dir, baseFile))
+	text, err := os.ReadFile(filepath.Join(c.Args.Dir, baseRevisionFile))
 	if err == nil {
-		n, err := strconv.ParseUint(strings.TrimSpace(string(b)), 10, 64)
-		return n, errors.Wrap(err, baseFile)
+		revision, err := strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64)
+		return revision, errors.Wrap(err, baseRevisionFile)
 	}
-	w, err := getPolicy(team, 0)
+	current, err := getPolicy(team, 0)
 	if err != nil {
 		return 0, err
 	}
-	return w.Revision, nil
+	return current.Revision, nil
 }
 
-func saveBase(dir string, revision uint64) error {
-	return os.WriteFile(filepath.Join(dir, baseFile), []byte(strconv.FormatUint(revision, 10)+"\n"), 0o644)
+// writeBaseRevision records in the policy directory on which revision its
+// policy is based.
+func writeBaseRevision(dir string, revision uint64) error {
+	return os.WriteFile(filepath.Join(dir, baseRevisionFile), []byte(strconv.FormatUint(revision, 10)+"\n"), 0o644)
 }
 
-// change makes a change and tells where it is in force.
-func change(q *fieldvalev1.ChangeRequest) (*fieldvalev1.ChangeResponse, error) {
-	a, x, cancel, err := admin()
+// submitChange sends a change to the administration API and prints on which
+// instances it is in force.
+func submitChange(request *fieldvalev1.ChangeRequest) (*fieldvalev1.ChangeResponse, error) {
+	a, ctx, cancel, err := newAdminClient()
 	if err != nil {
 		return nil, err
 	}
 	defer cancel()
-	r, err := a.Change(x, q)
+	response, err := a.Change(ctx, request)
 	if err != nil {
 		return nil, err
 	}
-	return r, show(r, func() {
-		if r.RepeatedChange {
+	return response, printResult(response, func() {
+		if response.RepeatedChange {
 			fmt.Println("nothing to change: it is made already")
 		}
-		fmt.Printf("revision %d in force on %d of %d instances\n", r.Revision, len(r.InForce), len(r.InForce)+len(r.NotInForce))
-		for _, i := range r.NotInForce {
-			fmt.Printf("not in force yet on %s\n", i)
+		fmt.Printf("revision %d in force on %d of %d instances\n", response.Revision, len(response.InForce), len(response.InForce)+len(response.NotInForce))
+		for _, instance := range response.NotInForce {
+			fmt.Printf("not in force yet on %s\n", instance)
 		}
 	})
 }
@@ -235,35 +248,36 @@
 
 // Execute implements flags.Commander.
 func (c *policyShow) Execute([]string) error {
-	if err := needTeam(); err != nil {
+	if err := requireTeam(); err != nil {
 		return err
 	}
-	w, err := getPolicy(global.Team, c.Revision)
+	response, err := getPolicy(globalOptions.Team, c.Revision)
 	if err != nil {
 		return err
 	}
 	if c.Out != "" {
-		return save(c.Out, w)
+		return savePolicy(c.Out, response)
 	}
-	return show(w, func() {
-		fmt.Printf("team %s revision %d\n", w.Team, w.Revision)
-		for _, n := range slices.Sorted(maps.Keys(w.Files)) {
-			fmt.Printf("--- %s\n%s", n, w.Files[n])
+	return printResult(response, func() {
+		fmt.Printf("team %s revision %d\n", response.Team, response.Revision)
+		for _, name := range slices.Sorted(maps.Keys(response.Files)) {
+			fmt.Printf("--- %s\n%s", name, response.Files[name])
 		}
-		fmt.Printf("--- withdrawn: %s\n", strings.Join(w.Withdrawn, " "))
+		fmt.Printf("--- withdrawn: %s\n", strings.Join(response.Withdrawn, " "))
 	})
 }
 
-func save(dir string, w *fieldvalev1.GetPolicyResponse) error {
+// savePolicy writes a policy's files and its revision into the directory.
+func savePolicy(dir string, response *fieldvalev1.GetPolicyResponse) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	for n, t := range w.Files {
-		if err := os.WriteFile(filepath.Join(dir, filepath.Base(n)), []byte(t), 0o644); err != nil {
+	for name, text := range response.Files {
+		if err := os.WriteFile(filepath.Join(dir, filepath.Base(name)), []byte(text), 0o644); err != nil {
 			return err
 		}
 	}
-	return saveBase(dir, w.Revision)
+	return writeBaseRevision(dir, response.Revision)
 }
 
 type policyHistory struct {
@@ -272,7 +286,7 @@
 
 // Execute implements flags.Commander.
 func (c *policyHistory) Execute([]string) error {
-	if err := needTeam(); err != nil {
+	if err := requireTeam(); err != nil {
 		return err
 	}
 	return printAudit(c.Limit, func(e *fieldvalev1.AuditEntry) bool { return e.Action == string(audit.Accept) })
--- a/cmd/fieldvale/rollout.go
+++ b/cmd/fieldvale/rollout.go
@@ -19,6 +19,7 @@
 version turns bad it gets no more work at once, is withdrawn, and the roll-out
 ends as tripped. Any instance takes the next step when it is due.`
 
+// rolloutCommands returns the subcommands of "rollout".
 func rolloutCommands() []command {
 	return []command{
 		{"start", "start a roll-out", rolloutLong, &rolloutStart{}},
@@ -40,34 +41,36 @@
 
 // Execute implements flags.Commander.
 func (c *rolloutStart) Execute([]string) error {
-	if err := needTeam(); err != nil {
+	if err := requireTeam(); err != nil {
 		return err
 	}
-	s, err := shares(c.Steps)
+	steps, err := parseShares(c.Steps)
 	if err != nil {
 		return err
 	}
-	_, err = change(&fieldvalev1.ChangeRequest{
-		Id: idOr(c.ID), Team: global.Team, Why: c.Why, Action: string(audit.StartRoll), FromVersion: c.Args.From,
-		Version: c.Args.To, Shares: s, EveryMillis: c.Every.Milliseconds(),
+	_, err = submitChange(&fieldvalev1.ChangeRequest{
+		Id: idOrRandom(c.ID), Team: globalOptions.Team, Why: c.Why, Action: string(audit.StartRoll), FromVersion: c.Args.From,
+		Version: c.Args.To, Shares: steps, EveryMillis: c.Every.Milliseconds(),
 	})
 	return err
 }
 
-// shares reads percentages into parts of rollout.Whole.
-func shares(t string) ([]int32, error) {
-	var r []int32
-	for _, x := range strings.Split(t, ",") {
-		f, err := strconv.ParseFloat(strings.TrimSpace(x), 64)
-		if err != nil || f <= 0 || f > 100 {
-			return nil, errors.Newf("--steps: %q is not a share in percent", x)
+// parseShares converts comma-separated percentages to parts of
+// rollout.FullShare.
+func parseShares(list string) ([]int32, error) {
+	var parts []int32
+	for _, share := range strings.Split(list, ",") {
+		percent, err := strconv.ParseFloat(strings.TrimSpace(share), 64)
+		if err != nil || percent <= 0 || percent > 100 {
+			return nil, errors.Newf("--steps: %q is not a percentage above 0 and up to 100", share)
 		}
-		r = append(r, int32(f*rollout.FullShare/100))
+		parts = append(parts, int32(percent*rollout.FullShare/100))
 	}
-	return r, nil
+	return parts, nil
 }
 
-func idOr(id string) string {
+// idOrRandom returns the change id that the operator gave, or a random one.
+func idOrRandom(id string) string {
 	if id == "" {
 		return uuid.NewString()
 	}
@@ -79,26 +82,26 @@
 }
 
 // Execute implements flags.Commander.
-func (c *rolloutHalt) Execute([]string) error { return c.change(audit.HaltRoll) }
+func (c *rolloutHalt) Execute([]string) error { return c.submit(audit.HaltRoll) }
 
 type rolloutShow struct{}
 
 // Execute implements flags.Commander.
 func (c *rolloutShow) Execute([]string) error {
-	if err := needTeam(); err != nil {
+	if err := requireTeam(); err != nil {
 		return err
 	}
-	w, err := getPolicy(global.Team, 0)
+	current, err := getPolicy(globalOptions.Team, 0)
 	if err != nil {
 		return err
 	}
-	return show(w.Rollouts, func() {
-		for _, r := range w.Rollouts {
-			n := ""
+	return printResult(current.Rollouts, func() {
+		for _, r := range current.Rollouts {
+			nextStep := ""
 			if r.NextDue != "" {
-				n = ", next step due " + r.NextDue
+				nextStep = ", next step due " + r.NextDue
 			}
-			fmt.Printf("%s -> %s: %s at %g%%, step %d of %d%s\n", r.From, r.To, r.State, float64(r.Share)*100/rollout.FullShare, r.Taken, r.Steps, n)
+			fmt.Printf("%s -> %s: %s at %g%%, step %d of %d%s\n", r.From, r.To, r.State, float64(r.Share)*100/rollout.FullShare, r.Taken, r.Steps, nextStep)
 		}
 	})
 }
--- a/cmd/fieldvale/system.go
+++ b/cmd/fieldvale/system.go
@@ -16,6 +16,7 @@
 the version in use, once, and their callers are told. Engines are ordered to
 unload it, so that an instance which is cut off is refused by them.`
 
+// systemCommands returns the commands at the top level.
 func systemCommands() []command {
 	return []command{
 		{"status", "show instances, backend servers and alarms", "", &status{}},
@@ -24,11 +25,12 @@
 		{"audit", "show the trail of changes", "", &auditTrail{}},
 		{"bills", "show what customers owe", "", &bills{}},
 		{"rotate-keys", "sign session tokens with a new key", "Tokens signed with the two keys before it stay good.", &rotateKeys{}},
-		{"hash-key", "print the key_sha256 of a key", "The key is read from the argument; only the sum belongs into a file.", &hashKey{}},
+		{"hash-key", "print the key_sha256 of a key", "The key is read from the argument; only its hash belongs in a file.", &hashKey{}},
 	}
 }
 
-// versionChange is a command that changes the standing of one version.
+// versionChange holds the options and the argument of the commands that change
+// the state of one version.
 type versionChange struct {
 	Why  string `long:"why" required:"true" description:"reason, for the audit trail"`
 	ID   string `long:"id" description:"id of the change, to repeat it safely"`
@@ -37,23 +39,24 @@
 	} `positional-args:"true"`
 }
 
-func (c versionChange) change(a audit.Action) error {
-	if err := needTeam(); err != nil {
+// submit sends the change to the administration API.
+func (c versionChange) submit(action audit.Action) error {
+	if err := requireTeam(); err != nil {
 		return err
 	}
-	_, err := change(&fieldvalev1.ChangeRequest{Id: idOr(c.ID), Team: global.Team, Why: c.Why, Action: string(a), Version: c.Args.Version})
+	_, err := submitChange(&fieldvalev1.ChangeRequest{Id: idOrRandom(c.ID), Team: globalOptions.Team, Why: c.Why, Action: string(action), Version: c.Args.Version})
 	return err
 }
 
 type withdraw struct{ versionChange }
 
 // Execute implements flags.Commander.
-func (c *withdraw) Execute([]string) error { return c.change(audit.Withdraw) }
+func (c *withdraw) Execute([]string) error { return c.submit(audit.Withdraw) }
 
 type reinstate struct{ versionChange }
 
 // Execute implements flags.Commander.
-func (c *reinstate) Execute([]string) error { return c.change(audit.Reinstate) }
+func (c *reinstate) Execute([]string) error { return c.submit(audit.Reinstate) }
 
 type rotateKeys struct {
 	Why string `long:"why" required:"true" description:"reason, for the audit trail"`
@@ -62,7 +65,7 @@
 
 // Execute implements flags.Commander.
 func (c *rotateKeys) Execute([]string) error {
-	_, err := change(&fieldvalev1.ChangeRequest{Id: idOr(c.ID), Why: c.Why, Action: string(audit.RotateKeys)})
+	_, err := submitChange(&fieldvalev1.ChangeRequest{Id: idOrRandom(c.ID), Why: c.Why, Action: string(audit.RotateKeys)})
 	return err
 }
 
@@ -78,8 +81,8 @@
 	return nil
 }
 
-// table prints rows in columns.
-func table(rows [][]string) {
+// printTable prints rows with their cells aligned in columns.
+func printTable(rows [][]string) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	for _, r := range rows {
 		fmt.Fprintln(w, strings.Join(r, "\t"))
@@ -91,48 +94,50 @@
 
 // Execute implements flags.Commander.
 func (c *status) Execute([]string) error {
-	a, x, cancel, err := admin()
+	a, ctx, cancel, err := newAdminClient()
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	s, err := a.Status(x, &fieldvalev1.StatusRequest{})
+	s, err := a.Status(ctx, &fieldvalev1.StatusRequest{})
 	if err != nil {
 		return err
 	}
-	return show(s, func() { printStatus(s) })
+	return printResult(s, func() { printStatus(s) })
 }
 
+// printStatus prints the instances, the backend servers and the alarms.
 func printStatus(s *fieldvalev1.StatusResponse) {
 	fmt.Printf("configuration revision %d\n\n", s.Revision)
-	r := [][]string{{"INSTANCE", "DATA CENTRE", "REVISION", "IN FORCE", "STORE", "ENTRY", "HEARD"}}
+	rows := [][]string{{"INSTANCE", "DATA CENTRE", "REVISION", "IN FORCE", "STORE", "ENTRY", "HEARD"}}
 	for _, i := range s.Instances {
-		r = append(r, []string{
+		rows = append(rows, []string{
 			i.Id, i.DataCentre, fmt.Sprint(i.Revision), fmt.Sprint(i.EntryRevision),
-			word(i.StoreOk, "reached", "cut off"), word(i.EntryOk, "up", "down"), fmt.Sprintf("%.1fs ago", float64(i.HeardMillisAgo)/1000),
+			either(i.StoreOk, "reached", "cut off"), either(i.EntryOk, "up", "down"), fmt.Sprintf("%.1fs ago", float64(i.HeardMillisAgo)/1000),
 		})
 	}
-	table(r)
+	printTable(rows)
 	fmt.Println()
-	r = [][]string{{"BACKEND SERVER", "DATA CENTRE", "KIND", "STATE", "RUNNING", "WAITING", "SERVES"}}
+	rows = [][]string{{"BACKEND SERVER", "DATA CENTRE", "KIND", "STATE", "RUNNING", "WAITING", "SERVES"}}
 	for _, b := range s.Replicas {
-		v := strings.Join(b.Versions, " ")
+		serves := strings.Join(b.Versions, " ")
 		if b.Service != "" {
-			v = b.Service
+			serves = b.Service
 		}
-		r = append(r, []string{b.Id, b.DataCentre, b.Kind, word(b.Leaving, "leaving", "live"), fmt.Sprint(b.Running), fmt.Sprint(b.Waiting), v})
+		rows = append(rows, []string{b.Id, b.DataCentre, b.Kind, either(b.Leaving, "leaving", "live"), fmt.Sprint(b.Running), fmt.Sprint(b.Waiting), serves})
 	}
-	table(r)
+	printTable(rows)
 	fmt.Println()
-	for _, l := range s.Alarms {
-		fmt.Println("ALARM", l)
+	for _, alarm := range s.Alarms {
+		fmt.Println("ALARM", alarm)
 	}
 	if len(s.Alarms) == 0 {
 		fmt.Println("no alarms")
 	}
 }
 
-func word(b bool, yes, no string) string {
+// either returns yes if b is true, else no.
+func either(b bool, yes, no string) string {
 	if b {
 		return yes
 	}
@@ -148,28 +153,30 @@
 	return printAudit(c.Limit, func(*fieldvalev1.AuditEntry) bool { return true })
 }
 
+// printAudit prints those of the team's last changes, up to limit, that keep
+// selects.
 func printAudit(limit int32, keep func(*fieldvalev1.AuditEntry) bool) error {
-	a, x, cancel, err := admin()
+	a, ctx, cancel, err := newAdminClient()
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	w, err := a.Audit(x, &fieldvalev1.AuditRequest{Team: global.Team, Limit: limit})
+	response, err := a.Audit(ctx, &fieldvalev1.AuditRequest{Team: globalOptions.Team, Limit: limit})
 	if err != nil {
 		return err
 	}
-	var l []*fieldvalev1.AuditEntry
-	for _, e := range w.Entries {
+	var entries []*fieldvalev1.AuditEntry
+	for _, e := range response.Entries {
 		if keep(e) {
-			l = append(l, e)
+			entries = append(entries, e)
 		}
 	}
-	return show(l, func() {
-		r := [][]string{{"REVISION", "AT", "WHO", "TEAM", "ACTION", "FROM", "TO", "WHY"}}
-		for _, e := range l {
-			r = append(r, []string{fmt.Sprint(e.Revision), e.At, e.Who, e.Team, e.Action, e.From, e.To, e.Why})
+	return printResult(entries, func() {
+		rows := [][]string{{"REVISION", "AT", "WHO", "TEAM", "ACTION", "FROM", "TO", "WHY"}}
+		for _, e := range entries {
+			rows = append(rows, []string{fmt.Sprint(e.Revision), e.At, e.Who, e.Team, e.Action, e.From, e.To, e.Why})
 		}
-		table(r)
+		printTable(rows)
 	})
 }
 
@@ -177,20 +184,20 @@
 
 // Execute implements flags.Commander.
 func (c *bills) Execute([]string) error {
-	a, x, cancel, err := admin()
+	a, ctx, cancel, err := newAdminClient()
 	if err != nil {
 		return err
 	}
 	defer cancel()
-	w, err := a.Bills(x, &fieldvalev1.BillsRequest{Team: global.Team})
+	response, err := a.Bills(ctx, &fieldvalev1.BillsRequest{Team: globalOptions.Team})
 	if err != nil {
 		return err
 	}
-	return show(w.Lines, func() {
-		r := [][]string{{"TEAM", "CUSTOMER", "VERSION", "REQUESTS", "TOKENS IN", "TOKENS OUT", "COST"}}
-		for _, l := range w.Lines {
-			r = append(r, []string{l.Team, l.Customer, l.Version, fmt.Sprint(l.Requests), fmt.Sprint(l.TokensIn), fmt.Sprint(l.TokensOut), fmt.Sprintf("%.6f", float64(l.Cost)/1e6)})
+	return printResult(response.Lines, func() {
+		rows := [][]string{{"TEAM", "CUSTOMER", "VERSION", "REQUESTS", "TOKENS IN", "TOKENS OUT", "COST"}}
+		for _, l := range response.Lines {
+			rows = append(rows, []string{l.Team, l.Customer, l.Version, fmt.Sprint(l.Requests), fmt.Sprint(l.TokensIn), fmt.Sprint(l.TokensOut), fmt.Sprintf("%.6f", float64(l.Cost)/1e6)})
 		}
-		table(r)
+		printTable(rows)
 	})
 }
