--- a/cmd/fieldvale-control/main.go
+++ b/cmd/fieldvale-control/main.go
@@ -1,5 +1,5 @@
-// Fieldvale-control is the part of an instance that talks to the platform's
-// store and to other instances. See usage for how to run it.
+// Fieldvale-control is the process of an instance that communicates with the
+// platform's store and with other instances. See usage for how to run it.
 package main
 
 import (
@@ -9,13 +9,13 @@
 	"fieldvale/process"
 )
 
-const usage = `fieldvale-control does an instance's work that is not a request's: it gets
-the configuration from the platform's store or from other instances, spreads
-news between instances, drives roll-outs, makes claims, writes bills, orders
-model engines, and serves the administration API.
+const usage = `fieldvale-control does the work of an instance outside of requests: it
+fetches the configuration from the platform's store or from other instances,
+exchanges updates with other instances, drives roll-outs, makes claims, writes
+bills, sends orders to model engines, and serves the administration API.
 
 It keeps nothing on the instance and may be restarted at any time. SIGTERM or
-SIGINT stops it in order and it exits with 0.
+SIGINT stops it in order, and it exits with 0.
 
 The settings file is INI; examples/control.ini has every key with a comment.`
 
--- a/cmd/fieldvale-entry/main.go
+++ b/cmd/fieldvale-entry/main.go
@@ -1,4 +1,5 @@
-// Fieldvale-entry answers callers. See usage for how to run it.
+// Fieldvale-entry is the process of an instance that answers callers' requests.
+// See usage for how to run it.
 package main
 
 import (
--- a/cmd/fieldvale-soak/main.go
+++ b/cmd/fieldvale-soak/main.go
@@ -1,4 +1,5 @@
-// Fieldvale-soak runs fault soaks by seed. See usage for how to run it.
+// Fieldvale-soak runs soak tests with injected faults, each reproducible by its
+// seed. See usage for how to run it.
 package main
 
 import (
@@ -19,80 +20,84 @@
 	"fieldvale/platform/soak"
 )
 
-const usage = `fieldvale-soak runs instances of fieldvale-node as processes of their own and
-injects faults from outside: ways that are slow, reset or silent, processes that
-are killed, stopped and paused, a store that refuses or forgets. It checks what
-clients and replicas see, prints a line a seed with the failures by cause, and exits with 1 if a promise
-was broken; the faults and the end of the log are printed then.`
+const usage = `fieldvale-soak runs instances of fieldvale-node as separate processes and
+injects faults from outside: connections that are slow, reset or silent,
+processes that are killed, stopped and paused, a store that refuses calls or
+drops its history. It checks what clients and replicas observe and prints one
+line for each seed, with the failures by cause. If a guarantee was violated it
+prints the faults and the end of the log, and exits with 1.`
 
 type options struct {
-	Binary     string        `long:"binary" default:"bin/fieldvale-node" description:"the program to soak"`
-	Seed       uint64        `long:"seed" default:"1" description:"the first seed"`
-	Seeds      int           `long:"seeds" default:"1" description:"how many seeds, one after another"`
-	For        time.Duration `long:"for" default:"10s" description:"how long faults are injected, a seed"`
-	Nodes      int           `long:"nodes" default:"5" description:"instances"`
-	Replicas   int           `long:"replicas" default:"4" description:"replicas"`
-	Clients    int           `long:"clients" default:"12" description:"clients"`
-	Crashing   bool          `long:"crashing" description:"send a request all the while under which replicas end"`
-	Limited    bool          `long:"limited" description:"have replicas name limits all the while"`
-	Forgetting bool          `long:"forgetting" description:"have the store turn instances away and drop its history all the while"`
-	Noticing   bool          `long:"noticing" description:"have replicas say that they leave, or ask for rest, all the while"`
+	Binary          string        `long:"binary" default:"bin/fieldvale-node" description:"the program to test"`
+	Seed            uint64        `long:"seed" default:"1" description:"first seed"`
+	Seeds           int           `long:"seeds" default:"1" description:"number of seeds, run one after another"`
+	FaultTime       time.Duration `long:"for" default:"10s" description:"time for which faults are injected in the run of each seed"`
+	Nodes           int           `long:"nodes" default:"5" description:"number of instances"`
+	Replicas        int           `long:"replicas" default:"4" description:"number of replicas"`
+	Clients         int           `long:"clients" default:"12" description:"number of clients"`
+	CrashingRequest bool          `long:"crashing" description:"keep sending a request that crashes the replicas that run it"`
+	Limits          bool          `long:"limited" description:"have replicas advertise rate limits throughout the run"`
+	StoreOutages    bool          `long:"forgetting" description:"have the store refuse instances and drop its history throughout the run"`
+	Notices         bool          `long:"noticing" description:"have replicas announce that they drain, or request backoff, throughout the run"`
 }
 
 func main() { os.Exit(run()) }
 
+// run tests one seed after the other and returns the exit code.
 func run() int {
-	var o options
-	p := flags.NewNamedParser("fieldvale-soak", flags.Default)
-	p.LongDescription = usage
-	if _, err := p.AddGroup("Options", "", &o); err != nil {
+	var opts options
+	parser := flags.NewNamedParser("fieldvale-soak", flags.Default)
+	parser.LongDescription = usage
+	if _, err := parser.AddGroup("Options", "", &opts); err != nil {
 		return 2
 	}
-	if _, err := p.Parse(); err != nil {
-		var f *flags.Error
-		if errors.As(err, &f) && f.Type == flags.ErrHelp {
+	if _, err := parser.Parse(); err != nil {
+		var flagError *flags.Error
+		if errors.As(err, &flagError) && flagError.Type == flags.ErrHelp {
 			return 0
 		}
 		return 2
 	}
-	x, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGHUP, os.Interrupt)
+	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGHUP, os.Interrupt)
 	defer cancel()
 	failed := 0
-	for i := range o.Seeds {
-		if !once(x, o, o.Seed+uint64(i)) {
+	for i := range opts.Seeds {
+		if !runSeed(ctx, opts, opts.Seed+uint64(i)) {
 			failed++
 		}
-		if x.Err() != nil {
+		if ctx.Err() != nil {
 			break
 		}
 	}
-	fmt.Printf("seeds=%d failed=%d\n", o.Seeds, failed)
+	fmt.Printf("seeds=%d failed=%d\n", opts.Seeds, failed)
 	if failed > 0 {
 		return 1
 	}
 	return 0
 }
 
-func once(ctx context.Context, o options, seed uint64) bool {
-	d, err := os.MkdirTemp("", "fieldvale-soak-")
+// runSeed runs the soak test of one seed, prints its result and reports whether
+// it passed.
+func runSeed(ctx context.Context, opts options, seed uint64) bool {
+	dir, err := os.MkdirTemp("", "fieldvale-soak-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return false
 	}
-	defer os.RemoveAll(d)
-	b, err := filepath.Abs(o.Binary)
+	defer os.RemoveAll(dir)
+	binary, err := filepath.Abs(opts.Binary)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return false
 	}
-	r, err := soak.Run(ctx, soak.Settings{Seed: seed, Binary: b, FaultTime: o.For, Nodes: o.Nodes, Replicas: o.Replicas, Clients: o.Clients, CrashingRequest: o.Crashing, Limits: o.Limited, Notices: o.Noticing, StoreOutages: o.Forgetting, Dir: d})
-	ok := err == nil && len(r.Violations) == 0
-	fmt.Printf("seed=%d ok=%t answered=%d failed=%d after: answered=%d failed=%d faults=%d crashed=%d release=%s\n", seed, ok, r.Answered, r.Failed, r.AnsweredAfterFaults, r.FailedAfterFaults, len(r.Faults), r.CrashedReplicas, r.Release)
-	for _, c := range slices.Sorted(maps.Keys(r.Causes)) {
-		fmt.Printf("  %6d %s\n", r.Causes[c], c)
+	result, err := soak.Run(ctx, soak.Settings{Seed: seed, Binary: binary, FaultTime: opts.FaultTime, Nodes: opts.Nodes, Replicas: opts.Replicas, Clients: opts.Clients, CrashingRequest: opts.CrashingRequest, Limits: opts.Limits, Notices: opts.Notices, StoreOutages: opts.StoreOutages, Dir: dir})
+	ok := err == nil && len(result.Violations) == 0
+	fmt.Printf("seed=%d ok=%t answered=%d failed=%d after: answered=%d failed=%d faults=%d crashed=%d release=%s\n", seed, ok, result.Answered, result.Failed, result.AnsweredAfterFaults, result.FailedAfterFaults, len(result.Faults), result.CrashedReplicas, result.Release)
+	for _, c := range slices.Sorted(maps.Keys(result.Causes)) {
+		fmt.Printf("  %6d %s\n", result.Causes[c], c)
 	}
 	if !ok {
-		fmt.Printf("error: %v\nbroken:\n  %s\nfaults:\n  %s\nlog:\n%s\n", err, strings.Join(r.Violations, "\n  "), strings.Join(r.Faults, "\n  "), r.Log)
+		fmt.Printf("error: %v\nbroken:\n  %s\nfaults:\n  %s\nlog:\n%s\n", err, strings.Join(result.Violations, "\n  "), strings.Join(result.Faults, "\n  "), result.Log)
 	}
 	return ok
 }
--- a/cmd/fieldvale-standin/main.go
+++ b/cmd/fieldvale-standin/main.go
@@ -1,5 +1,6 @@
-// Fieldvale-standin runs small stand-ins of the platform and of backend
-// servers, for the demo, for tests of processes and for trying things out.
+// Fieldvale-standin runs small in-memory fakes of the platform's services and of
+// backend servers, for the demo, for tests that start processes and for manual
+// tests.
 package main
 
 import (
@@ -25,81 +26,85 @@
 const usage = `fieldvale-standin runs stand-ins of the systems that fieldvale works with. They
 keep everything in memory and print their addresses as one line of JSON.
 
-Each takes faults while it runs, such as
+Faults can be injected into each while it runs, such as
     curl 'ADDRESS/standin/fault?down=true'     refuse everything
     curl 'ADDRESS/standin/fault?slow=500ms'    be slow
     curl 'ADDRESS/standin/fault'               be sound again`
 
 func main() {
-	p := flags.NewNamedParser("fieldvale-standin", flags.Default)
-	p.LongDescription = usage
+	parser := flags.NewNamedParser("fieldvale-standin", flags.Default)
+	parser.LongDescription = usage
 	for _, c := range []struct {
 		name, short string
 		data        any
 	}{
-		{"platform", "key-value service, instance list and rating service", &platform{}},
-		{"backends", "model engines and plain services", &backends{}},
+		{"platform", "key-value service, instance list and rating service", &platformCommand{}},
+		{"backends", "model engines and plain services", &backendsCommand{}},
 	} {
-		if _, err := p.AddCommand(c.name, c.short, "", c.data); err != nil {
+		if _, err := parser.AddCommand(c.name, c.short, "", c.data); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 	}
-	if _, err := p.Parse(); err != nil {
-		var f *flags.Error
-		if errors.As(err, &f) && f.Type == flags.ErrHelp {
+	if _, err := parser.Parse(); err != nil {
+		var flagError *flags.Error
+		if errors.As(err, &flagError) && flagError.Type == flags.ErrHelp {
 			return
 		}
 		os.Exit(1)
 	}
 }
 
-// wait ends with the process.
-func wait() {
-	c := make(chan os.Signal, 1)
-	signal.Notify(c, syscall.SIGTERM, os.Interrupt)
-	<-c
+// waitForSignal blocks until the process is asked to stop.
+func waitForSignal() {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
+	<-signals
 }
 
-func announce(v any) error {
-	b, err := json.Marshal(v)
+// printJSON prints v as one line of JSON, from which the starting program reads
+// the addresses.
+func printJSON(v any) error {
+	encoded, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	fmt.Println(string(b))
+	fmt.Println(string(encoded))
 	return nil
 }
 
-type platform struct {
+// platformCommand runs the platform's services.
+type platformCommand struct {
 	KV     string        `long:"kv" default:"127.0.0.1:0" description:"address of the key-value service"`
 	List   string        `long:"list" default:"127.0.0.1:0" description:"address of the instance list"`
 	Rating string        `long:"rating" default:"127.0.0.1:0" description:"address of the rating service"`
-	Lag    time.Duration `long:"lag" default:"1s" description:"how old the instance list is"`
+	Lag    time.Duration `long:"lag" default:"1s" description:"age of the instance list that callers get"`
 }
 
 // Execute implements flags.Commander.
-func (p *platform) Execute([]string) error {
-	k, err := serve.On(p.KV, kv.NewServer().Handle)
+func (p *platformCommand) Execute([]string) error {
+	kvServer, err := serve.On(p.KV, kv.NewServer().Handle)
 	if err != nil {
 		return err
 	}
-	l, err := serve.On(p.List, list.New(p.Lag).Handle)
+	listServer, err := serve.On(p.List, list.New(p.Lag).Handle)
 	if err != nil {
 		return err
 	}
-	r, err := serve.On(p.Rating, rating.New(2*time.Millisecond).Handle)
+	ratingServer, err := serve.On(p.Rating, rating.New(2*time.Millisecond).Handle)
 	if err != nil {
 		return err
 	}
-	if err := announce(map[string]string{"kv": k.Addr, "list": l.Addr, "rating": r.Addr}); err != nil {
+	if err := printJSON(map[string]string{"kv": kvServer.Addr, "list": listServer.Addr, "rating": ratingServer.Addr}); err != nil {
 		return err
 	}
-	wait()
+	waitForSignal()
 	return nil
 }
 
-// models are those that each engine has, by team.
-var models = map[string]map[string]engine.Model{
+// engineModels maps each team to the models that its engines serve, by
+// MODEL@VERSION.
+var engineModels = map[string]map[string]engine.Model{
 	"shared-memory": {
 		"lingua-small@1": {Quality: 0.95, Spread: 0.45, PerToken: 500 * time.Microsecond},
 		"lingua-small@2": {Quality: 0.97, Spread: 0.45, PerToken: 500 * time.Microsecond},
@@ -112,52 +117,53 @@
 	},
 }
 
-// services are the plain services, by name, with their team.
-var services = []string{"memory", "orders"}
+// serviceNames lists the plain services.
+var serviceNames = []string{"memory", "orders"}
 
 const (
-	slots       = 8
-	queue       = 32
-	serviceWork = 3 * time.Millisecond
+	replicaSlots = 8
+	engineQueue  = 32
+	serviceTime  = 3 * time.Millisecond
 )
 
-type backends struct {
+// backendsCommand runs the backend servers.
+type backendsCommand struct {
 	Engines  int `long:"engines" default:"3" description:"model engines of each team"`
 	Services int `long:"services" default:"2" description:"replicas of each plain service"`
 }
 
 // Execute implements flags.Commander.
-func (b *backends) Execute([]string) error {
-	var l []list.Instance
-	add := func(i list.Instance, h fasthttp.RequestHandler) error {
-		s, err := serve.On("127.0.0.1:0", h)
+func (b *backendsCommand) Execute([]string) error {
+	var instances []list.Instance
+	addInstance := func(instance list.Instance, handler fasthttp.RequestHandler) error {
+		server, err := serve.On("127.0.0.1:0", handler)
 		if err != nil {
 			return err
 		}
-		i.Addr, i.DataCentre = s.Addr, fmt.Sprintf("dc-%c", 'a'+len(l)%3)
-		l = append(l, i)
+		instance.Addr, instance.DataCentre = server.Addr, fmt.Sprintf("dc-%c", 'a'+len(instances)%3)
+		instances = append(instances, instance)
 		return nil
 	}
-	for t, m := range models {
+	for team, teamModels := range engineModels {
 		for n := range b.Engines {
-			id := fmt.Sprintf("engine-%s-%d", t, n+1)
-			e := engine.New(engine.Settings{ID: id, Slots: slots, Queue: queue, Models: m, ChecksFence: n%2 == 0})
-			if err := add(list.Instance{ID: id, Kind: "engine", Slots: slots, ChecksFence: n%2 == 0}, e.Handle); err != nil {
+			id := fmt.Sprintf("engine-%s-%d", team, n+1)
+			modelEngine := engine.New(engine.Settings{ID: id, Slots: replicaSlots, Queue: engineQueue, Models: teamModels, ChecksFence: n%2 == 0})
+			if err := addInstance(list.Instance{ID: id, Kind: "engine", Slots: replicaSlots, ChecksFence: n%2 == 0}, modelEngine.Handle); err != nil {
 				return err
 			}
 		}
 	}
-	for _, s := range services {
+	for _, name := range serviceNames {
 		for n := range b.Services {
-			id := fmt.Sprintf("service-%s-%d", s, n+1)
-			if err := add(list.Instance{ID: id, Kind: "service", Service: s, Slots: slots}, service.New(serviceWork, false).Handle); err != nil {
+			id := fmt.Sprintf("service-%s-%d", name, n+1)
+			if err := addInstance(list.Instance{ID: id, Kind: "service", Service: name, Slots: replicaSlots}, service.New(serviceTime, false).Handle); err != nil {
 				return err
 			}
 		}
 	}
-	if err := announce(l); err != nil {
+	if err := printJSON(instances); err != nil {
 		return err
 	}
-	wait()
+	waitForSignal()
 	return nil
 }
