--- a/cmd/fieldvale-demo/client.go
+++ b/cmd/fieldvale-demo/client.go
@@ -18,46 +18,52 @@
 	"fieldvale/standin/traffic"
 )
 
-// state is what became of a request, as its client knows it.
-type state int
+// outcome is the final result of a request as its client observes it.
+type outcome int
 
 const (
-	lost state = iota
+	// lost is the outcome of a request that got no answer and may have run.
+	lost outcome = iota
 	answered
+	// refused is the outcome of a request that was rejected before it ran.
 	refused
-	// found is a request whose entry died and that the service's records
-	// show to have run: the caller has no answer, and maybe no bill.
-	found
+	// ranUnanswered is the outcome of a request whose entry died and that ran
+	// according to the service's records: the caller has no answer, and the request
+	// may not be billed.
+	ranUnanswered
 )
 
-// result is one request with what became of it.
+// result is a request with its outcome.
 type result struct {
 	request traffic.Request
-	state   state
-	// wrong tells of an answer that the caller should not have got.
-	wrong string
-	// key is the key under which a request that may not be repeated ran, and
-	// unrun in how many looks the service's records did not have it.
-	key   string
-	unrun int
-	took  time.Duration
-	last  error
+	outcome outcome
+	// violation describes an answer that the caller should not have received; it is
+	// empty if there was none.
+	violation string
+	// idempotencyKey is the key that is sent with a request that must not run twice,
+	// and absentLookups counts the look-ups in which the service's records did not
+	// contain the key.
+	idempotencyKey string
+	absentLookups  int
+	took           time.Duration
+	lastErr        error
 }
 
 const (
-	maxTries = 10
-	tryPause = 250 * time.Millisecond
-	// looks is how often the service's records must lack a request that may have
-	// run before it is sent with a new key: some 1 s, in which one that was under
-	// way would have run.
-	looks      = 4
-	tryTimeout = 10 * time.Second
-	// again ends the new key of a request that did not run under its first.
-	again = "-again"
+	maxAttempts = 10
+	retryDelay  = 250 * time.Millisecond
+	// maxAbsentLookups is the number of look-ups in which the service's records must
+	// lack a request that may have run before the client sends it with a new key.
+	// They take about 1 s, within which a request in flight would have run.
+	maxAbsentLookups = 4
+	attemptTimeout   = 10 * time.Second
+	// newKeySuffix is appended to the first key of a request, which did not run, to
+	// form its new key.
+	newKeySuffix = "-again"
 )
 
-// client sends requests as the customers' programs would: to any instance,
-// and again with the same id if the connection broke.
+// client sends requests as customers' programs would: to a random instance, and
+// with the same id to another random one if the connection breaks.
 type client struct {
 	s        *system
 	http     *http.Client
@@ -66,181 +72,188 @@
 }
 
 func newClient(s *system) *client {
-	return &client{s: s, http: &http.Client{Timeout: tryTimeout}, sessions: map[string]string{}}
+	return &client{s: s, http: &http.Client{Timeout: attemptTimeout}, sessions: map[string]string{}}
 }
 
-// send sends one request until it is answered or finally refused.
-func (c *client) send(q traffic.Request) result {
-	r := result{request: q, key: q.ID}
-	t := time.Now()
-	for range maxTries {
-		l := c.s.living()
-		u := l[rand.IntN(len(l))].url
-		again := false
-		if q.Kind == traffic.Chat {
-			again = c.chat(u, &r)
+// send sends a request up to maxAttempts times, until it is answered or refused
+// in a way that a retry would not change.
+func (c *client) send(request traffic.Request) result {
+	r := result{request: request, idempotencyKey: request.ID}
+	started := time.Now()
+	for range maxAttempts {
+		live := c.s.live()
+		url := live[rand.IntN(len(live))].url
+		retry := false
+		if request.Kind == traffic.Chat {
+			retry = c.tryChat(url, &r)
 		} else {
-			again = c.service(u, &r)
+			retry = c.tryService(url, &r)
 		}
-		if !again {
+		if !retry {
 			break
 		}
-		time.Sleep(tryPause)
+		time.Sleep(retryDelay)
 	}
-	r.took = time.Since(t)
+	r.took = time.Since(started)
 	return r
 }
 
-// chat makes one try by the OpenAI client and reports whether to try again.
-func (c *client) chat(url string, r *result) bool {
-	q := r.request
-	var h *http.Response
-	o := []option.RequestOption{
-		option.WithHeader("X-Request-Id", q.ID), option.WithHeader("X-Fieldvale-Task", q.Task), option.WithResponseInto(&h),
+// tryChat makes one attempt with the OpenAI client and reports whether to retry.
+func (c *client) tryChat(url string, r *result) bool {
+	request := r.request
+	var response *http.Response
+	opts := []option.RequestOption{
+		option.WithHeader("X-Request-Id", request.ID), option.WithHeader("X-Fieldvale-Task", request.Task), option.WithResponseInto(&response),
 	}
 	c.mu.Lock()
-	if t := c.sessions[q.Thread]; t != "" {
-		o = append(o, option.WithHeader("X-Fieldvale-Session", t))
+	if token := c.sessions[request.Thread]; token != "" {
+		opts = append(opts, option.WithHeader("X-Fieldvale-Session", token))
 	}
 	c.mu.Unlock()
-	k := openai.NewClient(option.WithBaseURL(url+"/v1/"), option.WithAPIKey(traffic.KeyOf(q.Customer)), option.WithMaxRetries(0))
-	x, cancel := context.WithTimeout(context.Background(), tryTimeout)
+	api := openai.NewClient(option.WithBaseURL(url+"/v1/"), option.WithAPIKey(traffic.KeyOf(request.Customer)), option.WithMaxRetries(0))
+	ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 	defer cancel()
-	p := openai.ChatCompletionNewParams{Model: "auto", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage(q.Text)}}
-	text, err := complete(x, k, p, q.Stream, o)
+	params := openai.ChatCompletionNewParams{Model: "auto", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage(request.Text)}}
+	text, err := completeChat(ctx, api, params, request.Stream, opts)
 	if err != nil {
 		return c.chatFailed(r, err)
 	}
-	r.state = answered
+	r.outcome = answered
 	c.mu.Lock()
-	if t := h.Header.Get("X-Fieldvale-Session"); t != "" {
-		c.sessions[q.Thread] = t
+	if token := response.Header.Get("X-Fieldvale-Session"); token != "" {
+		c.sessions[request.Thread] = token
 	}
 	c.mu.Unlock()
-	r.check(text, h.Header.Get("X-Fieldvale-Model"))
+	r.checkAnswer(text, response.Header.Get("X-Fieldvale-Model"))
 	return false
 }
 
-func complete(x context.Context, k openai.Client, p openai.ChatCompletionNewParams, stream bool, o []option.RequestOption) (string, error) {
+// completeChat returns the text of a chat completion, which it requests as a
+// stream if stream is set. A stream that ends without a finish_reason is an error.
+func completeChat(ctx context.Context, api openai.Client, params openai.ChatCompletionNewParams, stream bool, opts []option.RequestOption) (string, error) {
 	if !stream {
-		a, err := k.Chat.Completions.New(x, p, o...)
+		completion, err := api.Chat.Completions.New(ctx, params, opts...)
 		if err != nil {
 			return "", err
 		}
-		return a.Choices[0].Message.Content, nil
-	}
-	s := k.Chat.Completions.NewStreaming(x, p, o...)
-	var b strings.Builder
-	end := false
-	for s.Next() {
-		for _, y := range s.Current().Choices {
-			b.WriteString(y.Delta.Content)
-			end = end || y.FinishReason != ""
+		return completion.Choices[0].Message.Content, nil
+	}
+	events := api.Chat.Completions.NewStreaming(ctx, params, opts...)
+	var text strings.Builder
+	finished := false
+	for events.Next() {
+		for _, choice := range events.Current().Choices {
+			text.WriteString(choice.Delta.Content)
+			finished = finished || choice.FinishReason != ""
 		}
 	}
-	if s.Err() == nil && !end {
+	if events.Err() == nil && !finished {
 		return "", errors.New("the stream ended without a finish_reason")
 	}
-	return b.String(), s.Err()
+	return text.String(), events.Err()
 }
 
+// chatFailed sets the outcome of a failed attempt and reports whether to retry.
 func (c *client) chatFailed(r *result, err error) bool {
-	r.last = err
-	var e *openai.Error
-	if !errors.As(err, &e) {
+	r.lastErr = err
+	var apiError *openai.Error
+	if !errors.As(err, &apiError) {
 		return true
 	}
-	if strings.Contains(e.RawJSON(), `"not_run"`) {
-		r.state = refused
-		return comeBack(e.StatusCode)
+	if strings.Contains(apiError.RawJSON(), `"not_run"`) {
+		r.outcome = refused
+		return isRetryable(apiError.StatusCode)
 	}
-	r.state = lost
+	r.outcome = lost
 	return true
 }
 
-// comeBack reports whether a refusal asks the client to come back.
-func comeBack(status int) bool {
+// isRetryable reports whether the status of a refusal invites a retry.
+func isRetryable(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// check looks whether the answer is whole, the caller's own, and of a model
-// that the customer may use.
-func (r *result) check(text, model string) {
+// checkAnswer records a violation if the answer belongs to another request, is
+// truncated, or comes from a model that the customer may not use.
+func (r *result) checkAnswer(text, model string) {
 	switch {
 	case !strings.HasPrefix(text, "<"+r.request.ID+"> "):
-		r.wrong = "another's answer: " + text
+		r.violation = "the answer to another request: " + text
 	case !traffic.MayUse(r.request.Customer, model):
-		r.wrong = "model " + model + " is not allowed"
+		r.violation = "the customer may not use model " + model
 	case !strings.Contains(text, " w7"):
-		r.wrong = "not whole: " + text
+		r.violation = "a truncated answer: " + text
 	}
 }
 
-// service makes one try at a plain service.
-func (c *client) service(url string, r *result) bool {
-	q := r.request
-	status, b, err := c.post(url, q, r.key)
+// tryService makes one attempt to call a plain service and reports whether to
+// retry. After a conflict (a request with this key may have run) it looks the key
+// up in the service's records, and changes the key once they have lacked it
+// maxAbsentLookups times.
+func (c *client) tryService(url string, r *result) bool {
+	request := r.request
+	status, body, err := c.post(url, request, r.idempotencyKey)
 	if err != nil {
-		r.last = err
+		r.lastErr = err
 		return true
 	}
 	if status == http.StatusOK {
-		var w struct {
+		var response struct {
 			Echo string `json:"echo"`
 		}
-		if json.Unmarshal(b, &w) != nil || w.Echo != q.Text {
-			r.wrong = "another's answer: " + string(b)
+		if json.Unmarshal(body, &response) != nil || response.Echo != request.Text {
+			r.violation = "the answer to another request: " + string(body)
 		}
-		r.state = answered
+		r.outcome = answered
 		return false
 	}
-	r.last = errors.Newf("status %d: %s", status, b)
-	if bytes.Contains(b, []byte(`"not_run"`)) {
-		r.state = refused
-		return comeBack(status)
+	r.lastErr = errors.Newf("status %d: %s", status, body)
+	if bytes.Contains(body, []byte(`"not_run"`)) {
+		r.outcome = refused
+		return isRetryable(status)
 	}
 	if status == http.StatusConflict {
-		if c.ranAtService(q, r.key) {
-			r.state = found
+		if c.ranAtService(request, r.idempotencyKey) {
+			r.outcome = ranUnanswered
 			return false
 		}
-		if r.unrun++; r.unrun == looks {
-			r.key += again
+		if r.absentLookups++; r.absentLookups == maxAbsentLookups {
+			r.idempotencyKey += newKeySuffix
 		}
 	}
-	r.state = lost
+	r.outcome = lost
 	return true
 }
 
-func (c *client) post(url string, q traffic.Request, key string) (int, []byte, error) {
-	h, err := http.NewRequest(http.MethodPost, url+"/v1/services/"+q.Service+"/"+q.Call, strings.NewReader(q.Text))
+// post sends a request to a plain service and returns the status and the body.
+func (c *client) post(url string, request traffic.Request, key string) (int, []byte, error) {
+	httpRequest, err := http.NewRequest(http.MethodPost, url+"/v1/services/"+request.Service+"/"+request.Call, strings.NewReader(request.Text))
 	if err != nil {
 		return 0, nil, err
 	}
-	h.Header.Set("Authorization", "Bearer "+traffic.KeyOf(q.Customer))
-	h.Header.Set("X-Request-Id", q.ID)
-	h.Header.Set("Content-Type", "text/plain")
-	if q.Kind == traffic.Once {
-		h.Header.Set("Idempotency-Key", key)
+	httpRequest.Header.Set("Authorization", "Bearer "+traffic.KeyOf(request.Customer))
+	httpRequest.Header.Set("X-Request-Id", request.ID)
+	httpRequest.Header.Set("Content-Type", "text/plain")
+	if request.Kind == traffic.Once {
+		httpRequest.Header.Set("Idempotency-Key", key)
 	}
-	p, err := c.http.Do(h)
+	response, err := c.http.Do(httpRequest)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = p.Body.Close() }()
-	b, err := io.ReadAll(p.Body)
-	return p.StatusCode, b, err
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
+	return response.StatusCode, body, err
 }
 
-// ranAtService asks the service's own records, as a shop owner would look
-// into the order desk, whether a request that may have run did.
-func (c *client) ranAtService(q traffic.Request, key string) bool {
-	for _, b := range c.s.backends {
-		if b.Service != q.Service {
+// ranAtService reports whether the service's own records contain the request.
+func (c *client) ranAtService(request traffic.Request, key string) bool {
+	for _, backend := range c.s.backends {
+		if backend.Service != request.Service {
 			continue
 		}
-		var m map[string]int
-		if get("http://"+b.Addr+"/standin/runs", &m) == nil && m[q.Call+"/"+key] > 0 {
+		var runs map[string]int
+		if get("http://"+backend.Addr+"/standin/runs", &runs) == nil && runs[request.Call+"/"+key] > 0 {
 			return true
 		}
 	}
--- a/cmd/fieldvale-demo/main.go
+++ b/cmd/fieldvale-demo/main.go
@@ -1,5 +1,6 @@
-// Fieldvale-demo starts a small system of processes on loopback and shows
-// that it keeps its promises, or leaves it running to be tried by hand.
+// Fieldvale-demo starts a small system of processes on loopback. It checks the
+// system's guarantees under injected faults, or leaves the system running for
+// manual tests.
 package main
 
 import (
@@ -14,11 +15,11 @@
 stand-ins of the platform and of backend servers, all on loopback.
 
     run   send requests of both workloads, kill an instance midway, roll a
-          version out and withdraw one, and count what became of each request
+          version out and withdraw one, and check the outcome of each request
           at the client and at the stand-ins
     up    leave the system running until it is interrupted`
 
-// options of both subcommands.
+// options are the options of both subcommands.
 type options struct {
 	Bin      string `long:"bin" default:"bin" description:"directory of the built programs"`
 	Examples string `long:"examples" default:"examples" description:"directory of the example policies"`
@@ -27,23 +28,23 @@
 }
 
 func main() {
-	p := flags.NewNamedParser("fieldvale-demo", flags.Default)
-	p.LongDescription = usage
+	parser := flags.NewNamedParser("fieldvale-demo", flags.Default)
+	parser.LongDescription = usage
 	for _, c := range []struct {
 		name, short string
 		data        any
 	}{
-		{"run", "send requests and check the promises", &runCommand{}},
+		{"run", "send requests and check the guarantees", &runCommand{}},
 		{"up", "leave the system running", &upCommand{}},
 	} {
-		if _, err := p.AddCommand(c.name, c.short, "", c.data); err != nil {
+		if _, err := parser.AddCommand(c.name, c.short, "", c.data); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 	}
-	if _, err := p.Parse(); err != nil {
-		var f *flags.Error
-		if errors.As(err, &f) && f.Type == flags.ErrHelp {
+	if _, err := parser.Parse(); err != nil {
+		var flagError *flags.Error
+		if errors.As(err, &flagError) && flagError.Type == flags.ErrHelp {
 			return
 		}
 		os.Exit(1)
--- a/cmd/fieldvale-demo/system.go
+++ b/cmd/fieldvale-demo/system.go
@@ -21,22 +21,23 @@
 )
 
 const (
-	// fleetKey begins the fleet's key. Each run has its own: runs beside each
-	// other take ports that others' killed instances had, and one of 240 joined
-	// another's fleet and took its configuration.
-	fleetKey    = "demo-fleet-key-"
-	platformKey = "demo-platform-key"
-	instances   = 3
-	// startWithin bounds the wait for the system to be ready.
-	startWithin = 20 * time.Second
-	// stopWithin bounds the wait for a process to stop in order.
-	stopWithin = 20 * time.Second
-	// listenWithin bounds the wait for an instance's listeners.
-	listenWithin = 5 * time.Second
-	pollEvery    = 50 * time.Millisecond
+	// fleetKey is the prefix of the fleet's key. Each run has its own key: a
+	// concurrent run may reuse the ports of another run's killed instances. With a
+	// shared key, one run of 240 joined another run's fleet and adopted its
+	// configuration.
+	fleetKey      = "demo-fleet-key-"
+	platformKey   = "demo-platform-key"
+	instanceCount = 3
+	// readyTimeout bounds the wait until the system is ready.
+	readyTimeout = 20 * time.Second
+	// stopTimeout bounds the wait for the graceful stop of a process.
+	stopTimeout = 20 * time.Second
+	// listenTimeout bounds the wait for an instance's listeners.
+	listenTimeout = 5 * time.Second
+	pollInterval  = 50 * time.Millisecond
 )
 
-// instance is one entry with its control.
+// instance is an entry process and its control process.
 type instance struct {
 	id      string
 	entry   *exec.Cmd
@@ -44,28 +45,28 @@
 	url     string
 	admin   string
 	metrics string
-	dead    bool
+	stopped bool
 }
 
-// system is all processes of the demo.
+// system holds all processes of the demo and their addresses.
 type system struct {
-	o         options
+	opts      options
 	dir       string
 	platform  map[string]string
 	backends  []list.Instance
 	instances []*instance
 	procs     []*exec.Cmd
-	// keepLogs leaves the processes' logs and settings behind.
+	// keepLogs keeps the processes' logs and settings after the demo ends.
 	keepLogs bool
 }
 
-// start builds the settings and starts everything.
-func start(o options) (*system, error) {
-	d, err := os.MkdirTemp("", "fieldvale-demo")
+// start starts all processes in a new temporary directory.
+func start(opts options) (*system, error) {
+	dir, err := os.MkdirTemp("", "fieldvale-demo")
 	if err != nil {
 		return nil, err
 	}
-	s := &system{o: o, dir: d}
+	s := &system{opts: opts, dir: dir}
 	if err := s.startAll(); err != nil {
 		s.kill()
 		return nil, err
@@ -73,14 +74,15 @@
 	return s, nil
 }
 
+// startAll starts the stand-ins and the instances, and registers all of them.
 func (s *system) startAll() error {
-	if err := s.announced(&s.platform, "platform"); err != nil {
+	if err := s.startStandin(&s.platform, "platform"); err != nil {
 		return err
 	}
-	if err := s.announced(&s.backends, "backends"); err != nil {
+	if err := s.startStandin(&s.backends, "backends"); err != nil {
 		return err
 	}
-	for n := range instances {
+	for n := range instanceCount {
 		if err := s.startInstance(n); err != nil {
 			return err
 		}
@@ -88,254 +90,272 @@
 	return s.publish()
 }
 
-// announced starts a stand-in and reads the addresses that it prints.
-func (s *system) announced(v any, name string) error {
-	c := exec.Command(filepath.Join(s.o.Bin, "fieldvale-standin"), name)
-	c.Stderr = os.Stderr
-	p, err := c.StdoutPipe()
+// startStandin starts a stand-in and decodes the addresses that it prints into out.
+func (s *system) startStandin(out any, name string) error {
+	cmd := exec.Command(filepath.Join(s.opts.Bin, "fieldvale-standin"), name)
+	cmd.Stderr = os.Stderr
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		return err
 	}
-	if err := s.launch(c); err != nil {
+	if err := s.startProcess(cmd); err != nil {
 		return err
 	}
-	b, err := bufio.NewReader(p).ReadBytes('\n')
+	line, err := bufio.NewReader(stdout).ReadBytes('\n')
 	if err != nil {
-		return errors.Wrapf(err, "stand-in %s", name)
+		return errors.Wrapf(err, "read the addresses of stand-in %s", name)
 	}
-	return json.Unmarshal(b, v)
+	return json.Unmarshal(line, out)
 }
 
-func (s *system) launch(c *exec.Cmd) error {
-	if err := c.Start(); err != nil {
-		return errors.Wrapf(err, "start %s", c.Path)
+// startProcess starts a command and records it, so that kill ends it.
+func (s *system) startProcess(cmd *exec.Cmd) error {
+	if err := cmd.Start(); err != nil {
+		return errors.Wrapf(err, "start %s", cmd.Path)
 	}
-	s.procs = append(s.procs, c)
+	s.procs = append(s.procs, cmd)
 	return nil
 }
 
-// startTries bounds the starts of one instance: a port that was free may be
-// taken by the time it is used.
-const startTries = 5
+// maxStartAttempts bounds the attempts to start one instance: another process may
+// take a free port before the instance listens on it.
+const maxStartAttempts = 5
 
+// startInstance starts the instance with index n.
 func (s *system) startInstance(n int) error {
 	var err error
-	for range startTries {
-		var i *instance
-		if i, err = s.tryInstance(n); err == nil {
-			s.instances = append(s.instances, i)
+	for range maxStartAttempts {
+		var started *instance
+		if started, err = s.tryStartInstance(n); err == nil {
+			s.instances = append(s.instances, started)
 			return nil
 		}
 	}
 	return err
 }
 
-// listening waits until both processes of the instance serve.
-func (i *instance) listening() error {
-	d := time.Now().Add(listenWithin)
-	for time.Now().Before(d) {
+// awaitListening waits until both processes of the instance serve. On a timeout it
+// kills them and returns an error.
+func (i *instance) awaitListening() error {
+	deadline := time.Now().Add(listenTimeout)
+	for time.Now().Before(deadline) {
 		if get(i.url+"/healthz", nil) == nil && get("http://"+i.metrics+"/healthz", nil) == nil {
 			return nil
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	_ = i.entry.Process.Kill()
 	_ = i.control.Process.Kill()
-	return errors.Newf("%s does not listen", i.id)
+	return errors.Newf("%s does not listen within the time limit", i.id)
 }
 
-func (s *system) tryInstance(n int) (*instance, error) {
-	var a [6]string
-	for i := range a {
-		p, err := serve.FreePort()
+// tryStartInstance makes one attempt to start the instance with index n on free
+// ports.
+func (s *system) tryStartInstance(n int) (*instance, error) {
+	var addrs [6]string
+	for i := range addrs {
+		addr, err := serve.FreePort()
 		if err != nil {
 			return nil, err
 		}
-		a[i] = p
+		addrs[i] = addr
 	}
-	i := &instance{id: fmt.Sprintf("entry-%c1", 'a'+n), url: "http://" + a[0], admin: "http://" + a[4], metrics: a[5]}
+	i := &instance{id: fmt.Sprintf("entry-%c1", 'a'+n), url: "http://" + addrs[0], admin: "http://" + addrs[4], metrics: addrs[5]}
 	dc := fmt.Sprintf("dc-%c", 'a'+n)
 	entry := fmt.Sprintf("[entry]\nid = %s\ndata_centre = %s\nlisten = %s\nmetrics_listen = %s\ncontrol = %s\nfleet_key = %s\ndrain = 500ms\n\n[platform]\nrating = %s\n",
-		i.id, dc, a[0], a[1], a[2], s.fleetKey(), s.platform["rating"])
+		i.id, dc, addrs[0], addrs[1], addrs[2], s.fleetKey(), s.platform["rating"])
 	control := fmt.Sprintf("[control]\nid = %s\ndata_centre = %s\npeer_listen = %s\npeer_addr = %s\nlocal_listen = %s\nadmin_listen = %s\nmetrics_listen = %s\nfleet_key = %s\n\n[platform]\nstore = %s\nlist = %s\n\n[admin platform]\nrole = platform\nkey_sha256 = %s\n\n[times]\nflush = 2s\norphan = 6s\nload = 300ms\n",
-		i.id, dc, a[3], a[3], a[2], a[4], a[5], s.fleetKey(), s.platform["kv"], s.platform["list"], catalog.HashKey(platformKey))
+		i.id, dc, addrs[3], addrs[3], addrs[2], addrs[4], addrs[5], s.fleetKey(), s.platform["kv"], s.platform["list"], catalog.HashKey(platformKey))
 	var err error
-	if i.control, err = s.process("fieldvale-control", i.id, control); err != nil {
+	if i.control, err = s.startProgram("fieldvale-control", i.id, control); err != nil {
 		return nil, err
 	}
-	if i.entry, err = s.process("fieldvale-entry", i.id, entry); err != nil {
+	if i.entry, err = s.startProgram("fieldvale-entry", i.id, entry); err != nil {
 		return nil, err
 	}
-	if err := i.listening(); err != nil {
+	if err := i.awaitListening(); err != nil {
 		return nil, err
 	}
-	s.backends = append(s.backends, list.Instance{ID: i.id, Addr: a[3], DataCentre: dc, Kind: "fieldvale"})
+	s.backends = append(s.backends, list.Instance{ID: i.id, Addr: addrs[3], DataCentre: dc, Kind: "fieldvale"})
 	return i, nil
 }
 
+// fleetKey returns this run's key, which ends with the name of its directory.
 func (s *system) fleetKey() string { return fleetKey + filepath.Base(s.dir) }
 
-// process starts one of fieldvale's own with its settings and log in files.
-func (s *system) process(name, id, text string) (*exec.Cmd, error) {
-	f := filepath.Join(s.dir, name+"-"+id+".ini")
-	if err := os.WriteFile(f, []byte(text), 0o600); err != nil {
+// startProgram starts one of fieldvale's programs. It writes the settings to a
+// file, and the program logs to a file beside it.
+func (s *system) startProgram(name, id, settings string) (*exec.Cmd, error) {
+	file := filepath.Join(s.dir, name+"-"+id+".ini")
+	if err := os.WriteFile(file, []byte(settings), 0o600); err != nil {
 		return nil, err
 	}
-	l, err := os.Create(filepath.Join(s.dir, name+"-"+id+".log"))
+	log, err := os.Create(filepath.Join(s.dir, name+"-"+id+".log"))
 	if err != nil {
 		return nil, err
 	}
-	c := exec.Command(filepath.Join(s.o.Bin, name), "-c", f)
-	c.Stderr = l
-	return c, s.launch(c)
+	cmd := exec.Command(filepath.Join(s.opts.Bin, name), "-c", file)
+	cmd.Stderr = log
+	return cmd, s.startProcess(cmd)
 }
 
-// publish puts the instances on the platform's list.
+// publish registers the instances and the backend servers on the platform's
+// instance list.
 func (s *system) publish() error {
-	b, err := json.Marshal(map[string]any{"instances": s.backends})
+	body, err := json.Marshal(map[string]any{"instances": s.backends})
 	if err != nil {
 		return err
 	}
-	return post("http://"+s.platform["list"]+"/v1/instances", b, nil)
+	return post("http://"+s.platform["list"]+"/v1/instances", body, nil)
 }
 
-func post(url string, b []byte, out any) error {
-	p, err := http.Post(url, "application/json", bytes.NewReader(b))
+// post sends a JSON body and decodes the response into out.
+func post(url string, body []byte, out any) error {
+	response, err := http.Post(url, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	return read(p, out)
+	return decodeResponse(response, out)
 }
 
+// get fetches a URL and decodes the response into out.
 func get(url string, out any) error {
-	p, err := http.Get(url)
+	response, err := http.Get(url)
 	if err != nil {
 		return err
 	}
-	return read(p, out)
+	return decodeResponse(response, out)
 }
 
-func read(p *http.Response, out any) error {
-	defer func() { _ = p.Body.Close() }()
-	b, err := io.ReadAll(p.Body)
+// decodeResponse decodes a JSON response into out, unless out is nil or the body
+// is empty. A status other than 200 is an error.
+func decodeResponse(response *http.Response, out any) error {
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
 	}
-	if p.StatusCode != http.StatusOK {
-		return errors.Newf("%s: status %d", p.Request.URL, p.StatusCode)
+	if response.StatusCode != http.StatusOK {
+		return errors.Newf("%s: status %d, want 200", response.Request.URL, response.StatusCode)
 	}
-	if out == nil || len(b) == 0 {
+	if out == nil || len(body) == 0 {
 		return nil
 	}
-	return json.Unmarshal(b, out)
+	return json.Unmarshal(body, out)
 }
 
-// operator runs the operators' command line against the first living instance.
-func (s *system) operator(args ...string) error {
-	c := exec.Command(filepath.Join(s.o.Bin, "fieldvale"), args...)
-	c.Env = append(os.Environ(), "FIELDVALE_ADMIN="+s.living()[0].admin, "FIELDVALE_KEY="+platformKey)
-	c.Stdout, c.Stderr = os.Stdout, os.Stderr
+// runFieldvale runs the operators' command line against the first live instance.
+func (s *system) runFieldvale(args ...string) error {
+	cmd := exec.Command(filepath.Join(s.opts.Bin, "fieldvale"), args...)
+	cmd.Env = append(os.Environ(), "FIELDVALE_ADMIN="+s.live()[0].admin, "FIELDVALE_KEY="+platformKey)
+	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
 	fmt.Println("$ fieldvale", args)
-	return errors.Wrapf(c.Run(), "fieldvale %v", args)
+	return errors.Wrapf(cmd.Run(), "fieldvale %v", args)
 }
 
-func (s *system) living() []*instance {
-	var r []*instance
+// live returns the instances that were neither killed nor stopped.
+func (s *system) live() []*instance {
+	var live []*instance
 	for _, i := range s.instances {
-		if !i.dead {
-			r = append(r, i)
+		if !i.stopped {
+			live = append(live, i)
 		}
 	}
-	return r
+	return live
 }
 
-// acceptAll puts the example policies in force. Accept is repeated until the
-// instances can reach each other: that is safe.
+// acceptAll puts the example policies in force. It repeats "policy accept", which
+// is idempotent, until the instances can reach each other.
 func (s *system) acceptAll() error {
-	d := time.Now().Add(startWithin)
-	for _, t := range []string{"shared-memory", "maizes-tilts"} {
-		p := filepath.Join(s.dir, t)
-		if err := os.CopyFS(p, os.DirFS(filepath.Join(s.o.Examples, t))); err != nil {
+	deadline := time.Now().Add(readyTimeout)
+	for _, team := range []string{"shared-memory", "maizes-tilts"} {
+		dir := filepath.Join(s.dir, team)
+		if err := os.CopyFS(dir, os.DirFS(filepath.Join(s.opts.Examples, team))); err != nil {
 			return err
 		}
 		for {
-			err := s.operator("policy", "accept", p, "--why", "first policy")
+			err := s.runFieldvale("policy", "accept", dir, "--why", "first policy")
 			if err == nil {
 				break
 			}
-			if time.Now().After(d) {
+			if time.Now().After(deadline) {
 				return err
 			}
-			time.Sleep(10 * pollEvery)
+			time.Sleep(10 * pollInterval)
 		}
 	}
-	return s.awaitReady(d)
+	return s.awaitReady(deadline)
 }
 
-func (s *system) awaitReady(d time.Time) error {
+// awaitReady waits until all instances report that they are ready.
+func (s *system) awaitReady(deadline time.Time) error {
 	for _, i := range s.instances {
 		for get(i.url+"/readyz", nil) != nil {
-			if time.Now().After(d) {
-				return errors.Newf("%s is not ready in time", i.id)
+			if time.Now().After(deadline) {
+				return errors.Newf("%s is not ready within the time limit", i.id)
 			}
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
 }
 
-// killInstance ends an entry and its control with no warning.
+// killInstance kills an entry and its control without a graceful stop.
 func (s *system) killInstance(n int) {
 	i := s.instances[n]
-	i.dead = true
+	i.stopped = true
 	_ = i.entry.Process.Kill()
 	_ = i.control.Process.Kill()
 	_ = i.entry.Wait()
 	_ = i.control.Wait()
 }
 
-// pauseEntry freezes an entry for a while, as a machine in trouble would.
+// pauseEntry suspends an entry for the time d, as happens on a faulty or
+// overloaded machine.
 func (s *system) pauseEntry(n int, d time.Duration) {
-	p := s.instances[n].entry.Process
-	_ = p.Signal(syscall.SIGSTOP)
-	time.AfterFunc(d, func() { _ = p.Signal(syscall.SIGCONT) })
+	process := s.instances[n].entry.Process
+	_ = process.Signal(syscall.SIGSTOP)
+	time.AfterFunc(d, func() { _ = process.Signal(syscall.SIGCONT) })
 }
 
-// breakStore has the platform's store refuse everything for a while.
-func (s *system) breakStore(d time.Duration) error {
-	u := "http://" + s.platform["kv"] + "/standin/fault"
-	time.AfterFunc(d, func() { _ = get(u, nil) })
-	return get(u+"?down=true", nil)
+// injectStoreOutage makes the platform's store refuse all requests for the time d.
+func (s *system) injectStoreOutage(d time.Duration) error {
+	url := "http://" + s.platform["kv"] + "/standin/fault"
+	time.AfterFunc(d, func() { _ = get(url, nil) })
+	return get(url+"?down=true", nil)
 }
 
-// stop ends the living instances in order and reports one that did not.
+// stop stops the live instances gracefully and returns the errors of processes
+// that were killed on a timeout or exited with a failure.
 func (s *system) stop() error {
-	var l []*exec.Cmd
-	for _, i := range s.living() {
-		i.dead = true
-		l = append(l, i.entry, i.control)
+	var cmds []*exec.Cmd
+	for _, i := range s.live() {
+		i.stopped = true
+		cmds = append(cmds, i.entry, i.control)
 	}
-	for _, c := range l {
-		_ = c.Process.Signal(syscall.SIGTERM)
+	for _, cmd := range cmds {
+		_ = cmd.Process.Signal(syscall.SIGTERM)
 	}
 	var err error
-	for _, c := range l {
-		err = errors.CombineErrors(err, waitFor(c))
+	for _, cmd := range cmds {
+		err = errors.CombineErrors(err, awaitExit(cmd))
 	}
 	return err
 }
 
-func waitFor(c *exec.Cmd) error {
-	t := time.AfterFunc(stopWithin, func() { _ = c.Process.Kill() })
-	defer t.Stop()
-	return errors.Wrapf(c.Wait(), "stop %s", filepath.Base(c.Path))
+// awaitExit waits for a process to exit and kills it after stopTimeout.
+func awaitExit(cmd *exec.Cmd) error {
+	timer := time.AfterFunc(stopTimeout, func() { _ = cmd.Process.Kill() })
+	defer timer.Stop()
+	return errors.Wrapf(cmd.Wait(), "stop %s", filepath.Base(cmd.Path))
 }
 
-// kill ends all that is left.
+// kill kills all remaining processes and deletes their directory unless keepLogs
+// is set.
 func (s *system) kill() {
-	for _, c := range s.procs {
-		_ = c.Process.Kill()
-		_ = c.Wait()
+	for _, cmd := range s.procs {
+		_ = cmd.Process.Kill()
+		_ = cmd.Wait()
 	}
 	if s.keepLogs {
 		fmt.Println("demo: the logs of all processes are kept in", s.dir)
