--- a/cmd/fieldvale-demo/client.go
+++ b/cmd/fieldvale-demo/client.go
@@ -180,7 +180,7 @@
 	case !strings.HasPrefix(text, "<"+r.request.ID+"> "):
 		r.violation = "the answer to another request: " + text
 	case !traffic.MayUse(r.request.Customer, model):
-		r.violation = "the customer may not use model " + model
+		r.violation = "model " + model + " is not allowed for the customer"
 	case !strings.Contains(text, " w7"):
 		r.violation = "a truncated answer: " + text
 	}
--- a/measure/bills.go
+++ b/measure/bills.go
@@ -10,20 +10,23 @@
 	"fieldvale/version"
 )
 
-// bookSizes are the numbers of held records that are measured.
-var bookSizes = []int{10_000, 50_000, 150_000}
+// heldRecordCounts lists the numbers of held records for which the memory is
+// measured.
+var heldRecordCounts = []int{10_000, 50_000, 150_000}
 
-// ledgerLines are the numbers of lines of a ledger that are measured.
-var ledgerLines = []int{10, 100, 1000}
+// ledgerLineCounts lists the numbers of ledger lines for which the encoded size is
+// measured.
+var ledgerLineCounts = []int{10, 100, 1000}
 
-// Bills measures what held records take in memory and a ledger in the store.
+// Bills measures the memory that held billing records use and the size of a
+// ledger in the store.
 func Bills(r *Report) error {
-	for _, n := range bookSizes {
-		b := heapOf(func() any { return fullBook(n) })
+	for _, n := range heldRecordCounts {
+		b := heapOf(func() any { return newFilledBook(n) })
 		r.Add("bills", fmt.Sprint(n), "heap_of_held_records", b/1e6, "MB")
 		r.Add("bills", fmt.Sprint(n), "heap_of_a_record", b/float64(n), "bytes")
 	}
-	for _, n := range ledgerLines {
+	for _, n := range ledgerLineCounts {
 		l := bill.NewLedger("owner")
 		for i := range n {
 			l = l.With(bill.Record{Owner: "owner", Seq: uint64(i + 1), Line: bill.Line{Team: "shared-memory", Customer: fmt.Sprint("customer-", i), Version: version.New("lingua-small", "1")}, Add: bill.Amount{Requests: 1000, TokensIn: 1e6, TokensOut: 1e6, Cost: 1e6}})
@@ -37,23 +40,24 @@
 	return nil
 }
 
-func fullBook(n int) *bill.Book {
-	b := bill.NewBook()
+// newFilledBook returns a book that holds n records.
+func newFilledBook(n int) *bill.Book {
+	book := bill.NewBook()
 	now := time.Now()
 	for i := range n {
-		b.Hold(bill.Record{RequestID: fmt.Sprintf("fieldvale-%036d", i), Owner: "owner", Seq: uint64(i), Line: bill.Line{Team: "t", Customer: "c", Version: version.New("m", "1")}}, now)
+		book.Hold(bill.Record{RequestID: fmt.Sprintf("fieldvale-%036d", i), Owner: "owner", Seq: uint64(i), Line: bill.Line{Team: "t", Customer: "c", Version: version.New("m", "1")}}, now)
 	}
-	return b
+	return book
 }
 
-// heapOf returns the bytes that what f makes keeps on the heap.
-func heapOf(f func() any) float64 {
-	var a, b runtime.MemStats
+// heapOf returns the number of heap bytes that the value built by build retains.
+func heapOf(build func() any) float64 {
+	var before, after runtime.MemStats
 	runtime.GC()
-	runtime.ReadMemStats(&a)
-	x := f()
+	runtime.ReadMemStats(&before)
+	built := build()
 	runtime.GC()
-	runtime.ReadMemStats(&b)
-	runtime.KeepAlive(x)
-	return float64(b.HeapAlloc) - float64(a.HeapAlloc)
+	runtime.ReadMemStats(&after)
+	runtime.KeepAlive(built)
+	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
--- a/measure/clock.go
+++ b/measure/clock.go
@@ -5,59 +5,68 @@
 	"time"
 )
 
-// event is something that happens at a time of a replay, in seconds.
+// event is a function to run at a simulated time, in seconds. seq keeps the order
+// in which events of the same time were scheduled.
 type event struct {
-	at float64
-	n  int
-	f  func()
+	at  float64
+	seq int
+	run func()
 }
 
+// events is a heap of events, the earliest first. It implements heap.Interface.
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].n < e[j].n
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
 func (e *events) Pop() any {
-	o := *e
-	x := o[len(o)-1]
-	*e = o[:len(o)-1]
-	return x
+	old := *e
+	last := old[len(old)-1]
+	*e = old[:len(old)-1]
+	return last
 }
 
-// replay runs events in the order of their times.
-type replay struct {
-	now float64
-	q   events
-	n   int
+// simulation is a discrete-event simulation: it runs scheduled events in the order
+// of their times.
+type simulation struct {
+	now       float64
+	queue     events
+	scheduled int
 }
 
-func (r *replay) at(t float64, f func()) {
-	r.n++
-	heap.Push(&r.q, event{t, r.n, f})
+// at schedules f for the time t.
+func (r *simulation) at(t float64, f func()) {
+	r.scheduled++
+	heap.Push(&r.queue, event{t, r.scheduled, f})
 }
 
-func (r *replay) after(d float64, f func()) { r.at(r.now+d, f) }
+// after schedules f for d seconds from the current simulated time.
+func (r *simulation) after(d float64, f func()) { r.at(r.now+d, f) }
 
-func (r *replay) every(d float64, until float64, f func()) {
+// every schedules f at each multiple of d before the time until.
+func (r *simulation) every(d float64, until float64, f func()) {
 	for t := d; t < until; t += d {
 		r.at(t, f)
 	}
 }
 
-func (r *replay) run() {
-	for len(r.q) > 0 {
-		e := heap.Pop(&r.q).(event)
+// run runs events until none is left.
+func (r *simulation) run() {
+	for len(r.queue) > 0 {
+		e := heap.Pop(&r.queue).(event)
 		r.now = e.at
-		e.f()
+		e.run()
 	}
 }
 
-// epoch is where the time of a replay starts.
+// epoch is the wall time at which each simulation starts.
 var epoch = time.Unix(1_700_000_000, 0)
 
-func (r *replay) time() time.Time { return epoch.Add(seconds(r.now)) }
+// wallTime converts the current simulated time for code that takes a time.Time.
+func (r *simulation) wallTime() time.Time { return epoch.Add(seconds(r.now)) }
 
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/measure/compare.go
+++ b/measure/compare.go
@@ -15,34 +15,37 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Trial is one run of one way to decide, on one day with one seed.
+// Trial is the result of one run of one variant of a decision on one workload.
 type Trial struct {
+	// Decision names the decision for which variants are compared.
 	Decision string
-	Way      string
-	// Day names what was played, its seed included: ways are compared on the same.
-	Day    string
-	Figure float64
+	Variant  string
+	// Workload identifies the simulated load, its seed included. Variants are compared
+	// on equal workloads only.
+	Workload string
+	Figure   float64
 }
 
-// Paired is one way beside the one that stands, over the days that both were played
-// on.
-type Paired struct {
-	Decision, Way string
-	Days          int
-	Mean          float64
-	// Difference is the mean of the differences to the way that stands, and Spread their
-	// standard deviation; below two days there is none.
+// Comparison compares a variant with the baseline of its decision over the
+// workloads on which both were run.
+type Comparison struct {
+	Decision, Variant string
+	Workloads         int
+	Mean              float64
+	// Difference is the mean of the differences to the baseline, and Spread their
+	// standard deviation, which is 0 for fewer than two workloads.
 	Difference, Spread float64
 }
 
-// IsEqual reports whether the ways can't be told apart: they differ by less than the
-// spread. Then the simpler one stays.
-func (p Paired) IsEqual() bool { return math.Abs(p.Difference) <= p.Spread }
+// IsWithinSpread reports whether the variant differs from the baseline by no more
+// than the spread. The two then can't be distinguished, and the simpler one is kept.
+func (p Comparison) IsWithinSpread() bool { return math.Abs(p.Difference) <= p.Spread }
 
-// trialColumns are the first line of a file of trials.
+// trialColumns is the required header of a file of trials. Its columns way and day
+// hold Trial.Variant and Trial.Workload.
 var trialColumns = []string{"decision", "way", "day", "figure"}
 
-// ReadTrials reads comma-separated lines of decision, way, day and figure.
+// ReadTrials reads trials from CSV with the header trialColumns.
 func ReadTrials(r io.Reader) ([]Trial, error) {
 	rows, err := csv.NewReader(r).ReadAll()
 	if err != nil {
@@ -51,128 +54,132 @@
 	if len(rows) == 0 || !slices.Equal(rows[0], trialColumns) {
 		return nil, errors.Newf("measure.ReadTrials: the first line is not %q", trialColumns)
 	}
-	var l []Trial
-	for i, x := range rows[1:] {
-		f, err := strconv.ParseFloat(x[3], 64)
+	var trials []Trial
+	for i, row := range rows[1:] {
+		figure, err := strconv.ParseFloat(row[3], 64)
 		if err != nil {
-			return nil, errors.Wrapf(err, "measure.ReadTrials: line %d", i+2)
+			return nil, errors.Wrapf(err, "measure.ReadTrials: line %d: figure is not a number", i+2)
 		}
-		l = append(l, Trial{Decision: x[0], Way: x[1], Day: x[2], Figure: f})
+		trials = append(trials, Trial{Decision: row[0], Variant: row[1], Workload: row[2], Figure: figure})
 	}
-	return l, nil
+	return trials, nil
 }
 
-// Compare sets each way beside the first one of its decision, which stands.
-func Compare(l []Trial) []Paired {
-	var r []Paired
-	stands := map[string]string{}
+// Compare compares each variant with the first one listed for its decision, which
+// is the baseline. The baseline itself is included.
+func Compare(trials []Trial) []Comparison {
+	var comparisons []Comparison
+	baselines := map[string]string{}
 	seen := map[[2]string]bool{}
-	for _, t := range l {
-		if _, ok := stands[t.Decision]; !ok {
-			stands[t.Decision] = t.Way
+	for _, t := range trials {
+		if _, ok := baselines[t.Decision]; !ok {
+			baselines[t.Decision] = t.Variant
 		}
-		if k := [2]string{t.Decision, t.Way}; !seen[k] {
-			seen[k] = true
-			r = append(r, pair(figures(l, t.Decision, stands[t.Decision]), figures(l, t.Decision, t.Way), t))
+		if key := [2]string{t.Decision, t.Variant}; !seen[key] {
+			seen[key] = true
+			comparisons = append(comparisons, compareVariants(figuresByWorkload(trials, t.Decision, baselines[t.Decision]), figuresByWorkload(trials, t.Decision, t.Variant), t))
 		}
 	}
-	return r
+	return comparisons
 }
 
-// figures are those of one way by day.
-func figures(l []Trial, decision, way string) map[string]float64 {
-	m := map[string]float64{}
-	for _, t := range l {
-		if t.Decision == decision && t.Way == way {
-			m[t.Day] = t.Figure
+// figuresByWorkload returns the figures of one variant by workload.
+func figuresByWorkload(trials []Trial, decision, variant string) map[string]float64 {
+	figures := map[string]float64{}
+	for _, t := range trials {
+		if t.Decision == decision && t.Variant == variant {
+			figures[t.Workload] = t.Figure
 		}
 	}
-	return m
+	return figures
 }
 
-// pair compares a way with the one that stands.
-func pair(stands, way map[string]float64, t Trial) Paired {
-	p := Paired{Decision: t.Decision, Way: t.Way}
-	var d []float64
-	for day, f := range way {
-		if s, ok := stands[day]; ok {
-			d = append(d, f-s)
-			p.Mean += f
+// compareVariants compares a variant's figures with the baseline's, both by
+// workload. The trial t names the decision and the variant.
+func compareVariants(baseline, variant map[string]float64, t Trial) Comparison {
+	c := Comparison{Decision: t.Decision, Variant: t.Variant}
+	var differences []float64
+	for workload, figure := range variant {
+		if base, ok := baseline[workload]; ok {
+			differences = append(differences, figure-base)
+			c.Mean += figure
 		}
 	}
-	p.Days = len(d)
-	if p.Days == 0 {
-		return p
+	c.Workloads = len(differences)
+	if c.Workloads == 0 {
+		return c
 	}
-	p.Mean /= float64(p.Days)
-	p.Difference, p.Spread = meanAndSpread(d)
-	return p
+	c.Mean /= float64(c.Workloads)
+	c.Difference, c.Spread = meanAndStdDev(differences)
+	return c
 }
 
-// meanAndSpread returns the mean and the standard deviation; that is 0 for less than
-// two values.
-func meanAndSpread(l []float64) (mean, spread float64) {
-	for _, x := range l {
-		mean += x / float64(len(l))
+// meanAndStdDev returns the mean and the sample standard deviation, which is 0 for
+// fewer than two values.
+func meanAndStdDev(values []float64) (mean, stdDev float64) {
+	for _, x := range values {
+		mean += x / float64(len(values))
 	}
-	if len(l) < 2 {
+	if len(values) < 2 {
 		return mean, 0
 	}
-	for _, x := range l {
-		spread += (x - mean) * (x - mean) / float64(len(l)-1)
+	for _, x := range values {
+		stdDev += (x - mean) * (x - mean) / float64(len(values)-1)
 	}
-	return mean, math.Sqrt(spread)
+	return mean, math.Sqrt(stdDev)
 }
 
-// WriteComparison writes the table.
-func WriteComparison(w io.Writer, l []Paired) error {
+// WriteComparison writes the comparisons as a Markdown table. Its last column is
+// "stands" for a baseline, "equal" for a variant within the spread, else "other".
+func WriteComparison(w io.Writer, comparisons []Comparison) error {
 	if _, err := fmt.Fprintln(w, "| decision | way | days | mean | difference | spread | |\n|---|---|---|---|---|---|---|"); err != nil {
 		return errors.Wrap(err, "measure.WriteComparison")
 	}
-	first := map[string]bool{}
-	for _, p := range l {
-		word := "other"
+	hasBaseline := map[string]bool{}
+	for _, c := range comparisons {
+		verdict := "other"
 		switch {
-		case !first[p.Decision]:
-			word = "stands"
-		case p.IsEqual():
-			word = "equal"
+		case !hasBaseline[c.Decision]:
+			verdict = "stands"
+		case c.IsWithinSpread():
+			verdict = "equal"
 		}
-		first[p.Decision] = true
-		if _, err := fmt.Fprintf(w, "| %s | %s | %d | %.4f | %+.4f | %.4f | %s |\n", p.Decision, p.Way, p.Days, p.Mean, p.Difference, p.Spread, word); err != nil {
+		hasBaseline[c.Decision] = true
+		if _, err := fmt.Fprintf(w, "| %s | %s | %d | %.4f | %+.4f | %.4f | %s |\n", c.Decision, c.Variant, c.Workloads, c.Mean, c.Difference, c.Spread, verdict); err != nil {
 			return errors.Wrap(err, "measure.WriteComparison")
 		}
 	}
 	return nil
 }
 
-// PlotComparison writes the differences with their spread as an SVG file.
-func PlotComparison(l []Paired, dir string) error {
+// PlotComparison writes the differences, with error bars of one spread, to the file
+// ways.svg in dir.
+func PlotComparison(comparisons []Comparison, dir string) error {
 	p := plot.New()
-	p.Title.Text = "Difference to the way that stands, with its spread"
-	var x plotter.XYs
-	var e plotter.YErrors
+	p.Title.Text = "Difference to the baseline, with its standard deviation"
+	var points plotter.XYs
+	var spreads plotter.YErrors
 	var names []string
-	for _, v := range l {
-		if v.Difference == 0 && v.Spread == 0 {
+	for _, c := range comparisons {
+		if c.Difference == 0 && c.Spread == 0 {
 			continue
 		}
-		x = append(x, plotter.XY{X: float64(len(x)), Y: v.Difference})
-		e = append(e, struct{ Low, High float64 }{v.Spread, v.Spread})
-		names = append(names, v.Way)
+		points = append(points, plotter.XY{X: float64(len(points)), Y: c.Difference})
+		spreads = append(spreads, struct{ Low, High float64 }{c.Spread, c.Spread})
+		names = append(names, c.Variant)
 	}
-	s, err := plotter.NewScatter(x)
+	scatter, err := plotter.NewScatter(points)
 	if err != nil {
 		return errors.Wrap(err, "measure.PlotComparison")
 	}
-	b, err := plotter.NewYErrorBars(struct {
+	errorBars, err := plotter.NewYErrorBars(struct {
 		plotter.XYer
 		plotter.YErrorer
-	}{x, e})
+	}{points, spreads})
 	if err != nil {
 		return errors.Wrap(err, "measure.PlotComparison")
 	}
-	p.Add(s, b)
+	p.Add(scatter, errorBars)
 	p.NominalX(names...)
 	return errors.Wrap(p.Save(vg.Length(len(names)+2)*2*vg.Centimeter, plotHeight, filepath.Join(dir, "ways.svg")), "measure.PlotComparison")
 }
--- a/measure/compare_test.go
+++ b/measure/compare_test.go
@@ -8,20 +8,20 @@
 	"fieldvale/measure"
 )
 
-// Ways are compared on the days that both were played on; a difference within its
-// spread is none.
+// TestCompare guards against a comparison that includes workloads on which only one
+// of the two variants was run, and against a table or plot that is not written.
 func TestCompare(t *testing.T) {
-	f, err := os.Open("testdata/trials.csv")
+	file, err := os.Open("testdata/trials.csv")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	l, err := measure.ReadTrials(f)
+	defer file.Close()
+	trials, err := measure.ReadTrials(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var b strings.Builder
-	if err := measure.WriteComparison(&b, measure.Compare(l)); err != nil {
+	var table strings.Builder
+	if err := measure.WriteComparison(&table, measure.Compare(trials)); err != nil {
 		t.Fatal(err)
 	}
 	want := `| decision | way | days | mean | difference | spread | |
@@ -31,22 +31,24 @@
 | who | stands | 1 | 0.8000 | +0.0000 | 0.0000 | stands |
 | who | narrow | 1 | 0.7900 | -0.0100 | 0.0000 | other |
 `
-	if b.String() != want {
-		t.Errorf("\n%s\nwant\n%s", &b, want)
+	if table.String() != want {
+		t.Errorf("got the table\n%s\nwant\n%s", &table, want)
 	}
-	d := t.TempDir()
-	if err := measure.PlotComparison(measure.Compare(l), d); err != nil {
+	dir := t.TempDir()
+	if err := measure.PlotComparison(measure.Compare(trials), dir); err != nil {
 		t.Fatal(err)
 	}
-	if i, err := os.Stat(d + "/ways.svg"); err != nil || i.Size() == 0 {
-		t.Error("no plot was written: ", err)
+	if info, err := os.Stat(dir + "/ways.svg"); err != nil || info.Size() == 0 {
+		t.Error("got no plot or an empty one, want a plot in ways.svg: ", err)
 	}
 }
 
-func TestBadTrialsAreRefused(t *testing.T) {
-	for _, x := range []string{"", "a,b,c,d\n", "decision,way,day,figure\na,b,c,much\n", "decision,way,day,figure\na,b\n"} {
-		if l, err := measure.ReadTrials(strings.NewReader(x)); err == nil {
-			t.Errorf("%q was read as %v", x, l)
+// TestReadTrialsRejectsBadInput guards against figures taken from a file that lacks
+// the header, a column or a numeric figure.
+func TestReadTrialsRejectsBadInput(t *testing.T) {
+	for _, input := range []string{"", "a,b,c,d\n", "decision,way,day,figure\na,b,c,much\n", "decision,way,day,figure\na,b\n"} {
+		if trials, err := measure.ReadTrials(strings.NewReader(input)); err == nil {
+			t.Errorf("ReadTrials(%q): got %v, want an error", input, trials)
 		}
 	}
 }
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -31,12 +31,13 @@
 	"fieldvale/version"
 )
 
-// countingListener counts the bytes of all its connections, both ways.
+// countingListener counts the bytes that its connections read and write.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
+// countingConn adds the bytes that it reads and writes to a shared counter.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -62,38 +63,40 @@
 	return n, err
 }
 
-// fleet is many real nodes in one process, which talk over loopback by the
-// real exchange code, with a store in memory and engines that are asked for
-// their load over loopback too.
+// fleet runs many real nodes, the control parts of instances, in one process. They exchange messages over loopback
+// with the real code, share an in-memory store, and poll the engines' load over
+// loopback too.
 type fleet struct {
-	nodes   []*control.Node
-	stores  []*kv.Fake
-	list    *platform.List
-	leaving atomic.Pointer[string]
-	peers   atomic.Int64
-	loads   atomic.Int64
-	holds   atomic.Int64
-	// named says that requests have ids of their callers.
-	named   atomic.Bool
-	stop    context.CancelFunc
-	done    sync.WaitGroup
-	servers []*http.Server
-	engines []net.Listener
+	nodes      []*control.Node
+	stores     []*kv.Fake
+	list       *platform.List
+	drainingID atomic.Pointer[string]
+	peerBytes  atomic.Int64
+	loadBytes  atomic.Int64
+	heldBills  atomic.Int64
+	// callerIDs makes callers choose the request ids, so that each bill is held by the
+	// instances that peer.Holders returns instead of by those near its entry.
+	callerIDs atomic.Bool
+	stop      context.CancelFunc
+	done      sync.WaitGroup
+	servers   []*http.Server
+	engines   []net.Listener
 }
 
 const (
 	fleetKey = "measure-fleet-key"
-	// fleetEngines are the replicas that one instance knows; a large fleet
-	// gets fewer, for its connections must fit into one process.
-	fleetEngines = 24
-	fewEngines   = 4
-	dataCentres  = 9
-	// billRate is the requests a second of one instance at the target.
-	billRate = 10
+	// engineCount is the number of replicas that each instance polls. A large fleet
+	// has fewer, because all of its connections must fit into one process.
+	engineCount           = 24
+	largeFleetEngineCount = 4
+	dataCentres           = 9
+	// billsPerSecond is the number of requests per second of one instance at the
+	// target load.
+	billsPerSecond = 10
 )
 
-// fleetPlatform is the platform as the nodes of a fleet see it: the real way
-// to the engines, and a list in memory.
+// fleetPlatform is the platform that a fleet's nodes use: it calls the engines with
+// the real code and reads the instance list from memory.
 type fleetPlatform struct {
 	*platform.Platform
 	f *fleet
@@ -101,64 +104,68 @@
 
 func (p fleetPlatform) Instances(context.Context) (platform.List, error) { return *p.f.list, nil }
 
+// Load returns the engine's load, marked as leaving if the engine is the one in
+// drainingID.
 func (p fleetPlatform) Load(ctx context.Context, r pool.Replica) (platform.Report, error) {
 	o, err := p.Platform.Load(ctx, r)
-	if l := p.f.leaving.Load(); l != nil && *l == r.ID {
+	if l := p.f.drainingID.Load(); l != nil && *l == r.ID {
 		o.Leaving = true
 	}
 	return o, err
 }
 
-// newFleet starts n nodes.
+// newFleet starts a fleet of n nodes with its engines.
 func newFleet(n int) (*fleet, error) {
-	x, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	f := &fleet{list: &platform.List{}, stop: cancel}
 	if err := f.startEngines(n); err != nil {
 		return nil, err
 	}
-	m := kv.NewMemory()
-	var lis []net.Listener
+	store := kv.NewMemory()
+	var listeners []net.Listener
 	for i := range n {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		lis = append(lis, countingListener{l, &f.peers})
-		f.list.Members = append(f.list.Members, peer.Member{ID: fmt.Sprintf("i%03d", i), Addr: l.Addr().String(), DataCentre: fmt.Sprint("dc", i%dataCentres)})
+		listeners = append(listeners, countingListener{listener, &f.peerBytes})
+		f.list.Members = append(f.list.Members, peer.Member{ID: fmt.Sprintf("i%03d", i), Addr: listener.Addr().String(), DataCentre: fmt.Sprint("dc", i%dataCentres)})
 	}
-	for i, p := range f.list.Members {
-		s := kv.NewFake(m)
-		o := control.New(control.Parts{
-			Self: p, Incarnation: p.ID + "/1", Store: s, Peers: rpc.NewPeers(fleetKey),
+	for i, member := range f.list.Members {
+		fake := kv.NewFake(store)
+		node := control.New(control.Parts{
+			Self: member, Incarnation: member.ID + "/1", Store: fake, Peers: rpc.NewPeers(fleetKey),
 			Platform: fleetPlatform{platform.New(httpconn.New(), "", ""), f}, Clock: time.Now, Times: control.DefaultTimes(), Rates: rollout.DefaultRates(),
 		})
-		v := rpc.NewServer(rpc.PeerHandler(o, fleetKey))
-		f.nodes, f.stores, f.servers = append(f.nodes, o), append(f.stores, s), append(f.servers, v)
-		go func() { _ = v.Serve(lis[i]) }()
-		f.done.Go(func() { _ = o.Run(x) })
+		server := rpc.NewServer(rpc.PeerHandler(node, fleetKey))
+		f.nodes, f.stores, f.servers = append(f.nodes, node), append(f.stores, fake), append(f.servers, server)
+		go func() { _ = server.Serve(listeners[i]) }()
+		f.done.Go(func() { _ = node.Run(ctx) })
 	}
 	return f, nil
 }
 
+// startEngines starts the engines for a fleet of that many nodes.
 func (f *fleet) startEngines(nodes int) error {
-	k := fleetEngines
-	if nodes > namedMost {
-		k = fewEngines
+	count := engineCount
+	if nodes > maxCallerIDFleet {
+		count = largeFleetEngineCount
 	}
-	for i := range k {
-		e := engine.New(engine.Settings{ID: fmt.Sprint("e", i), Slots: 8, Models: map[string]engine.Model{"m@1": {}, "m@2": {}, "n@1": {}}})
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+	for i := range count {
+		modelEngine := engine.New(engine.Settings{ID: fmt.Sprint("e", i), Slots: 8, Models: map[string]engine.Model{"m@1": {}, "m@2": {}, "n@1": {}}})
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		s := &fasthttp.Server{Handler: e.Handle}
-		go func() { _ = s.Serve(countingListener{l, &f.loads}) }()
-		f.engines = append(f.engines, l)
-		f.list.Replicas = append(f.list.Replicas, pool.Replica{ID: fmt.Sprint("e", i), Addr: l.Addr().String(), Kind: pool.Engine, Slots: 8})
+		server := &fasthttp.Server{Handler: modelEngine.Handle}
+		go func() { _ = server.Serve(countingListener{listener, &f.loadBytes}) }()
+		f.engines = append(f.engines, listener)
+		f.list.Replicas = append(f.list.Replicas, pool.Replica{ID: fmt.Sprint("e", i), Addr: listener.Addr().String(), Kind: pool.Engine, Slots: 8})
 	}
 	return nil
 }
 
+// close stops the nodes and closes all listeners.
 func (f *fleet) close() {
 	f.stop()
 	f.done.Wait()
@@ -170,36 +177,36 @@
 	}
 }
 
-// entries plays the entries' part: each swaps with its node and has bills
-// held as often as at the target.
-func (f *fleet) entries(ctx context.Context, g *sync.WaitGroup) {
-	p := rpc.NewPeers(fleetKey)
+// runEntries simulates the entries until ctx ends: each synchronizes with its node
+// and has bills held at the rate of the target load.
+func (f *fleet) runEntries(ctx context.Context, group *sync.WaitGroup) {
+	peers := rpc.NewPeers(fleetKey)
 	for i, n := range f.nodes {
-		g.Go(func() {
-			e := bill.NewLedger(fmt.Sprint("e", i))
-			u := control.Update{}
-			t := time.NewTicker(time.Second / billRate)
-			defer t.Stop()
-			for k := uint64(1); ctx.Err() == nil; k++ {
-				r := bill.Record{RequestID: fmt.Sprint(i, "/", k), Owner: e.Owner, Seq: k, Line: bill.Line{Team: "t", Customer: fmt.Sprint("c", k%10), Version: version.New("m", "1")}, Add: bill.Amount{Requests: 1}}
-				h, _ := peer.NearHolders(n.Self.ID, n.Self.DataCentre, f.list.Members)
-				if f.named.Load() {
-					h, _ = peer.Holders(r.RequestID, f.list.Members)
+		group.Go(func() {
+			ledger := bill.NewLedger(fmt.Sprint("e", i))
+			update := control.Update{}
+			ticker := time.NewTicker(time.Second / billsPerSecond)
+			defer ticker.Stop()
+			for seq := uint64(1); ctx.Err() == nil; seq++ {
+				record := bill.Record{RequestID: fmt.Sprint(i, "/", seq), Owner: ledger.Owner, Seq: seq, Line: bill.Line{Team: "t", Customer: fmt.Sprint("c", seq%10), Version: version.New("m", "1")}, Add: bill.Amount{Requests: 1}}
+				holders, _ := peer.NearHolders(n.Self.ID, n.Self.DataCentre, f.list.Members)
+				if f.callerIDs.Load() {
+					holders, _ = peer.Holders(record.RequestID, f.list.Members)
 				}
-				for _, m := range h {
-					if _, err := p.Hold(ctx, m, r); err == nil {
-						f.holds.Add(1)
+				for _, member := range holders {
+					if _, err := peers.Hold(ctx, member, record); err == nil {
+						f.heldBills.Add(1)
 					}
 				}
-				e = e.With(r)
-				if k%2 == 0 {
-					x := n.Sync(control.Report{Incarnation: e.Owner, Revision: fleetRevision, View: u.View, Control: u.Control, Ledger: e})
-					if x.Fresh {
-						u = x
+				ledger = ledger.With(record)
+				if seq%2 == 0 {
+					received := n.Sync(control.Report{Incarnation: ledger.Owner, Revision: futureRevision, View: update.View, Control: update.Control, Ledger: ledger})
+					if received.Fresh {
+						update = received
 					}
 				}
 				select {
-				case <-t.C:
+				case <-ticker.C:
 				case <-ctx.Done():
 				}
 			}
@@ -207,14 +214,16 @@
 	}
 }
 
-func processorSeconds() float64 {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+// cpuSeconds returns the processor time that this process has used.
+func cpuSeconds() float64 {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
 	}
-	return float64(u.Utime.Sec+u.Stime.Sec) + float64(u.Utime.Usec+u.Stime.Usec)/1e6
+	return float64(usage.Utime.Sec+usage.Stime.Sec) + float64(usage.Utime.Usec+usage.Stime.Usec)/1e6
 }
 
+// storeCalls returns the number of all nodes' calls to the store.
 func (f *fleet) storeCalls() (reads, writes int) {
 	for _, s := range f.stores {
 		reads += s.Calls("get") + s.Calls("list") + s.Calls("wait")
@@ -223,162 +232,169 @@
 	return reads, writes
 }
 
+// fleetChange returns the change that accepts policy number n; each number gives
+// different files.
 func fleetChange(n int) config.Change {
 	files := map[string]string{
 		policyfile.CatalogFile: "[team t]\n[version m@1]\n[version m@2]\n[customer c]\nkey_sha256 = " + catalog.HashKey("k") + "\n",
 		policyfile.ProgramFile: fmt.Sprintf("# %d\ndef allow(customer, model, version):\n    return True\ndef route(customer, task, size):\n    return [step(\"m\")]\n", n),
 		policyfile.CasesFile:   "",
 	}
-	s, _ := policyfile.Parse(files)
-	return config.Change{ID: fmt.Sprint("c", n), Team: "t", Who: "measure", Why: "measure", At: time.Now(), Action: audit.Accept, Base: config.AnyBase, Source: s, Key: session.NewKey()}
+	source, _ := policyfile.Parse(files)
+	return config.Change{ID: fmt.Sprint("c", n), Team: "t", Who: "measure", Why: "measure", At: time.Now(), Action: audit.Accept, Base: config.AnyBase, Source: source, Key: session.NewKey()}
 }
 
-// fleetRevision is higher than any that is measured: no entry takes documents.
-const fleetRevision = 1 << 40
+// futureRevision is the configuration revision that the simulated entries report. It
+// is higher than any real one, so that no node sends them the configuration.
+const futureRevision = 1 << 40
 
-// Sizes of fleets that are measured.
+// fleetSizes lists the default sizes, in nodes.
 var fleetSizes = []int{7, 35, 100, 350}
 
 const (
-	// namedMost is the largest fleet that is measured with ids of callers:
-	// its connections must fit into one process.
-	namedMost    = 100
-	settleFleet  = 10 * time.Second
-	measureFleet = 8 * time.Second
-	// beats, by instance, is somewhat longer than heartbeats are apart, so
-	// that each instance is measured with one.
-	beats        = 72 * time.Millisecond
-	spreadRounds = 5
-	spreadLimit  = 15 * time.Second
+	// maxCallerIDFleet is the largest fleet that is measured with ids that callers
+	// choose, because all of its connections must fit into one process.
+	maxCallerIDFleet = 100
+	settleTime       = 10 * time.Second
+	measureTime      = 8 * time.Second
+	// heartbeatSpacing is the measuring time per node. It is slightly longer than the
+	// time by which a node's heartbeat interval grows with each node of the fleet, so
+	// that a measurement includes a heartbeat of each node.
+	heartbeatSpacing = 72 * time.Millisecond
+	spreadRounds     = 5
+	spreadTimeout    = 15 * time.Second
 )
 
-// Fleet measures the control's cost and the spread of changes by size.
+// Fleet measures, for each size of fleet, the cost of the control processes and the
+// time in which changes reach all nodes.
 func Fleet(r *Report, sizes []int) error {
 	if len(sizes) == 0 {
 		sizes = fleetSizes
 	}
 	for _, n := range sizes {
-		if err := fleetRun(r, n); err != nil {
+		if err := measureFleetSize(r, n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func fleetRun(r *Report, n int) error {
+// measureFleetSize runs all measurements on a fleet of n nodes.
+func measureFleetSize(r *Report, n int) error {
 	f, err := newFleet(n)
 	if err != nil {
 		return err
 	}
 	defer f.close()
-	v := fmt.Sprint(n)
+	variant := fmt.Sprint(n)
 	if _, err := f.nodes[0].Change(context.Background(), fleetChange(0)); err != nil {
 		return err
 	}
-	time.Sleep(settleFleet)
-	f.steady(r, v, "control-idle")
-	x, cancel := context.WithCancel(context.Background())
-	var g sync.WaitGroup
-	f.entries(x, &g)
+	time.Sleep(settleTime)
+	f.measureSteady(r, variant, "control-idle")
+	ctx, cancel := context.WithCancel(context.Background())
+	var entries sync.WaitGroup
+	f.runEntries(ctx, &entries)
 	time.Sleep(2 * time.Second)
-	f.steady(r, v, "control")
-	if n <= namedMost {
-		f.named.Store(true)
+	f.measureSteady(r, variant, "control")
+	if n <= maxCallerIDFleet {
+		f.callerIDs.Store(true)
 		time.Sleep(2 * time.Second)
-		f.steady(r, v, "control-named-ids")
-		f.named.Store(false)
+		f.measureSteady(r, variant, "control-named-ids")
+		f.callerIDs.Store(false)
 	}
-	// All nodes share one machine here: the players of entries would take the
-	// processor from what is measured next.
+	// All nodes share one machine: the simulated entries would use processor time that
+	// the next measurements need.
 	cancel()
-	g.Wait()
-	f.spread(r, v)
-	f.leave(r, v)
+	entries.Wait()
+	f.measureSpread(r, variant)
+	f.measureDraining(r, variant)
 	return nil
 }
 
-// steady measures a fleet in which nothing is changed. The processor time is
-// that of the whole measuring process: stand-ins and players of entries too.
-func (f *fleet) steady(r *Report, v, item string) {
-	h0 := f.holds.Load()
-	p0, l0, c0 := f.peers.Load(), f.loads.Load(), processorSeconds()
-	r0, w0 := f.storeCalls()
-	t := time.Now()
-	time.Sleep(max(measureFleet, time.Duration(len(f.nodes))*beats))
-	s, n := time.Since(t).Seconds(), float64(len(f.nodes))
-	p1, l1, c1 := f.peers.Load(), f.loads.Load(), processorSeconds()
-	r1, w1 := f.storeCalls()
-	r.Add(item, v, "processor_of_a_core", (c1-c0)/s/n*100, "percent")
-	r.Add(item, v, "peer_traffic", 2*float64(p1-p0)/s/n/1000, "kB/s")
-	r.Add(item, v, "load_traffic", float64(l1-l0)/s/n/1000, "kB/s")
-	r.Add(item, v, "store_reads_of_fleet", float64(r1-r0)/s, "calls/s")
-	r.Add(item, v, "store_writes_of_fleet", float64(w1-w0)/s, "calls/s")
-	r.Add(item, v, "bills_held", float64(f.holds.Load()-h0)/s/n, "records/s")
+// measureSteady measures a fleet without configuration changes. The processor time
+// is that of the whole process, which includes stand-ins and simulated entries.
+func (f *fleet) measureSteady(r *Report, variant, item string) {
+	bills0 := f.heldBills.Load()
+	peer0, load0, cpu0 := f.peerBytes.Load(), f.loadBytes.Load(), cpuSeconds()
+	reads0, writes0 := f.storeCalls()
+	start := time.Now()
+	time.Sleep(max(measureTime, time.Duration(len(f.nodes))*heartbeatSpacing))
+	elapsed, n := time.Since(start).Seconds(), float64(len(f.nodes))
+	peer1, load1, cpu1 := f.peerBytes.Load(), f.loadBytes.Load(), cpuSeconds()
+	reads1, writes1 := f.storeCalls()
+	r.Add(item, variant, "processor_of_a_core", (cpu1-cpu0)/elapsed/n*100, "percent")
+	r.Add(item, variant, "peer_traffic", 2*float64(peer1-peer0)/elapsed/n/1000, "kB/s")
+	r.Add(item, variant, "load_traffic", float64(load1-load0)/elapsed/n/1000, "kB/s")
+	r.Add(item, variant, "store_reads_of_fleet", float64(reads1-reads0)/elapsed, "calls/s")
+	r.Add(item, variant, "store_writes_of_fleet", float64(writes1-writes0)/elapsed, "calls/s")
+	r.Add(item, variant, "bills_held", float64(f.heldBills.Load()-bills0)/elapsed/n, "records/s")
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	r.Add(item, v, "heap_of_a_node", float64(m.HeapAlloc)/n/1e6, "MB")
-	h := 0
-	for _, x := range f.nodes {
-		h += len(x.Members())
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	r.Add(item, variant, "heap_of_a_node", float64(stats.HeapAlloc)/n/1e6, "MB")
+	members := 0
+	for _, node := range f.nodes {
+		members += len(node.Members())
 	}
-	r.Add(item, v, "members_known", float64(h)/n, "count")
+	r.Add(item, variant, "members_known", float64(members)/n, "count")
 }
 
-// spread measures the time until a change is in force on all nodes.
-func (f *fleet) spread(r *Report, v string) {
+// measureSpread measures the time until a change is in force on all nodes.
+func (f *fleet) measureSpread(r *Report, variant string) {
 	var all []float64
 	worst := 0.0
-	for k := range spreadRounds {
-		t := time.Now()
-		c, err := f.nodes[k%len(f.nodes)].Change(context.Background(), fleetChange(k+1))
+	for round := range spreadRounds {
+		start := time.Now()
+		change, err := f.nodes[round%len(f.nodes)].Change(context.Background(), fleetChange(round+1))
 		if err != nil {
 			continue
 		}
-		l := f.await(t, func(n *control.Node) bool { d, _ := n.Document(); return d.Revision >= c.Revision })
-		all = append(all, l...)
-		worst = max(worst, quantile(l, 1))
+		times := f.awaitAll(start, func(n *control.Node) bool { document, _ := n.Document(); return document.Revision >= change.Revision })
+		all = append(all, times...)
+		worst = max(worst, quantile(times, 1))
 	}
-	r.Add("spread", v, "in_force_p50", quantile(all, 0.5), "s")
-	r.Add("spread", v, "in_force_p99", quantile(all, 0.99), "s")
-	r.Add("spread", v, "in_force_last", worst, "s")
+	r.Add("spread", variant, "in_force_p50", quantile(all, 0.5), "s")
+	r.Add("spread", variant, "in_force_p99", quantile(all, 0.99), "s")
+	r.Add("spread", variant, "in_force_last", worst, "s")
 }
 
-// await returns, for each node, the time until f holds for it.
-func (f *fleet) await(t time.Time, ok func(*control.Node) bool) []float64 {
-	l := make([]float64, len(f.nodes))
-	left := len(l)
-	for left > 0 && time.Since(t) < spreadLimit {
+// awaitAll returns for each node the seconds from start until ok reports true for
+// it, or spreadTimeout if it does not within that time.
+func (f *fleet) awaitAll(start time.Time, ok func(*control.Node) bool) []float64 {
+	times := make([]float64, len(f.nodes))
+	left := len(times)
+	for left > 0 && time.Since(start) < spreadTimeout {
 		for i, n := range f.nodes {
-			if l[i] == 0 && ok(n) {
-				l[i] = time.Since(t).Seconds()
+			if times[i] == 0 && ok(n) {
+				times[i] = time.Since(start).Seconds()
 				left--
 			}
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	for i := range l {
-		if l[i] == 0 {
-			l[i] = spreadLimit.Seconds()
+	for i := range times {
+		if times[i] == 0 {
+			times[i] = spreadTimeout.Seconds()
 		}
 	}
-	return l
+	return times
 }
 
-// leave measures the time until no node would send new work to a backend
-// server that says that it leaves.
-func (f *fleet) leave(r *Report, v string) {
+// measureDraining measures the time until no node would send new work to a backend
+// server that reports that it is draining.
+func (f *fleet) measureDraining(r *Report, variant string) {
 	id := f.list.Replicas[0].ID
-	t := time.Now()
-	f.leaving.Store(&id)
-	l := f.await(t, func(n *control.Node) bool {
-		for _, x := range n.Replicas() {
-			if x.ID == id {
-				return x.Draining
+	start := time.Now()
+	f.drainingID.Store(&id)
+	times := f.awaitAll(start, func(n *control.Node) bool {
+		for _, replica := range n.Replicas() {
+			if replica.ID == id {
+				return replica.Draining
 			}
 		}
 		return false
 	})
-	r.Add("leaving", v, "known_p50", quantile(l, 0.5), "s")
-	r.Add("leaving", v, "known_last", quantile(l, 1), "s")
+	r.Add("leaving", variant, "known_p50", quantile(times, 0.5), "s")
+	r.Add("leaving", variant, "known_last", quantile(times, 1), "s")
 }
--- a/measure/measure.go
+++ b/measure/measure.go
@@ -1,7 +1,8 @@
-// Package measure replays the real decision code against seeded traces and
-// small fakes, beside baselines in the same run, and prints what came out.
-// It has no model of a network or a cluster: only queues, slots and reports
-// that lag, as far as a decision sees them.
+// Package measure runs the real decision code on seeded traces and small fakes,
+// together with baselines, and prints the resulting figures. It does not model a
+// network or a cluster: it models only what a decision depends on, which is
+// queues, slots and delayed load reports. It also measures the cost of the router
+// and of the control by running their real code over loopback.
 package measure
 
 import (
@@ -10,8 +11,8 @@
 	"sort"
 )
 
-// Value is one measured figure.
-type Value struct {
+// Figure is one measured value with its name and unit.
+type Figure struct {
 	Item    string
 	Variant string
 	Metric  string
@@ -19,10 +20,10 @@
 	Unit    string
 }
 
-// Report gathers figures and prints each as it comes.
+// Report collects figures and prints each when it is added.
 type Report struct {
-	w      io.Writer
-	Values []Value
+	w       io.Writer
+	Figures []Figure
 }
 
 // NewReport returns a report that prints to w.
@@ -30,23 +31,23 @@
 	return &Report{w: w}
 }
 
-// Add notes and prints one figure.
+// Add records and prints one figure.
 func (r *Report) Add(item, variant, metric string, value float64, unit string) {
-	r.Values = append(r.Values, Value{item, variant, metric, value, unit})
+	r.Figures = append(r.Figures, Figure{item, variant, metric, value, unit})
 	fmt.Fprintf(r.w, "measure: item=%s variant=%s metric=%s value=%.4g unit=%s\n", item, variant, metric, value, unit)
 }
 
-// Find returns a figure that was noted.
+// Find returns the value of a recorded figure and whether there is one.
 func (r *Report) Find(item, variant, metric string) (float64, bool) {
-	for _, v := range r.Values {
-		if v.Item == item && v.Variant == variant && v.Metric == metric {
-			return v.Value, true
+	for _, f := range r.Figures {
+		if f.Item == item && f.Variant == variant && f.Metric == metric {
+			return f.Value, true
 		}
 	}
 	return 0, false
 }
 
-// quantile returns the q-quantile of values, which it sorts.
+// quantile sorts the values and returns their q-quantile, or 0 if there are none.
 func quantile(v []float64, q float64) float64 {
 	if len(v) == 0 {
 		return 0
--- a/measure/overload.go
+++ b/measure/overload.go
@@ -8,62 +8,67 @@
 	"fieldvale/pool"
 )
 
+// Times are in seconds.
 const (
 	overloadReplicas = 20
 	overloadTime     = 120.0
-	patience         = 4.0
-	queueEach        = 32
-	loadLag          = 1.0
+	requestTimeout   = 4.0
+	queueLimit       = 32
+	reportInterval   = 1.0
 	largeCustomers   = 2
 	smallCustomers   = 8
-	// largePart is the part of requests that the large customers send.
-	largePart = 0.8
-	maxRetry  = 2
+	// largeShare is the share of requests that the large customers send.
+	largeShare = 0.8
+	maxRetries = 2
 )
 
-// overloadRule is what stands before the pool.
+// overloadRule is a combination of overload protections to compare.
 type overloadRule struct {
 	name string
-	// limits says that the real limiter decides; queues that engines queue
-	// without any bound.
-	limits  bool
+	// limits enables the real limiter and deadlines at the engines.
+	limits bool
+	// bounded limits the engines' queues to queueLimit.
 	bounded bool
-	budget  bool
+	// budget limits retries by the real retry budget.
+	budget bool
 }
 
-// Overload measures useful answers, fairness and retries at several loads,
-// and when the pool loses half of its replicas in the middle.
+// Overload measures useful answers, fairness and retries at several loads, and when
+// the pool loses half of its replicas halfway through the run.
 func Overload(r *Report, seed uint64) {
-	for _, x := range []overloadRule{
+	for _, rule := range []overloadRule{
 		{name: "no-limits"},
 		{name: "bounded-queues", bounded: true},
 		{name: "fieldvale", limits: true, bounded: true, budget: true},
 	} {
 		for _, load := range []float64{1, 1.5, 3} {
-			overloadRun(r, fmt.Sprintf("%s/%gx", x.name, load), x, load, false, seed)
+			simulateOverload(r, fmt.Sprintf("%s/%gx", rule.name, load), rule, load, false, seed)
 		}
-		overloadRun(r, x.name+"/half-lost", x, 1, true, seed)
+		simulateOverload(r, rule.name+"/half-lost", rule, 1, true, seed)
 	}
 }
 
-// overloading is the state of one replay.
-type overloading struct {
-	replay
+// overloadSimulation is the state of one overload simulation. Maps are keyed by
+// whether the customer is a large one.
+type overloadSimulation struct {
+	simulation
 	rule     overloadRule
-	g        *rand.Rand
-	r        []*fakeReplica
+	rng      *rand.Rand
+	replicas []*simulatedReplica
 	lost     int
 	limiters []*admission.Limiter
 	budgets  []*admission.RetryBudget
 	choosers []*pool.Chooser[pool.TwoChoices]
-	seen     [][]pool.Replica
+	reported [][]pool.Replica
 	local    [][]int
 
 	sent, useful, late, refused, attempts int
-	wait                                  []float64
-	asked, got                            map[bool]int
+	refusalTimes                          []float64
+	requested, answered                   map[bool]int
 }
 
+// overloadRequest is a simulated request. share is its customer's share in the
+// limiter, work its time on a replica in seconds.
 type overloadRequest struct {
 	router   int
 	customer string
@@ -72,92 +77,100 @@
 	deadline float64
 	start    float64
 	work     float64
-	tries    int
+	retries  int
 }
 
-func overloadRun(r *Report, variant string, x overloadRule, load float64, lose bool, seed uint64) {
-	o := &overloading{rule: x, g: rand.New(rand.NewPCG(seed, 3)), asked: map[bool]int{}, got: map[bool]int{}}
+// simulateOverload runs one simulation and adds its figures to the report. load is
+// relative to the capacity of the pool; loseHalf removes half of the replicas
+// halfway through the run.
+func simulateOverload(r *Report, variant string, rule overloadRule, load float64, loseHalf bool, seed uint64) {
+	o := &overloadSimulation{rule: rule, rng: rand.New(rand.NewPCG(seed, 3)), requested: map[bool]int{}, answered: map[bool]int{}}
 	o.build(seed)
-	capacity := float64(overloadReplicas*slotsEach) / serviceMean
-	for t := 0.0; t < overloadTime; t += o.g.ExpFloat64() / (capacity * load) {
-		q := o.draw(t)
+	capacity := float64(overloadReplicas*slotsPerReplica) / meanServiceTime
+	for t := 0.0; t < overloadTime; t += o.rng.ExpFloat64() / (capacity * load) {
+		q := o.drawRequest(t)
 		o.at(t, func() { o.arrive(q) })
 	}
-	for n := range routers {
-		o.every(loadLag, overloadTime*1.5, func() { o.after(loadLag*float64(n)/routers, func() { o.report(n) }) })
+	for n := range routerCount {
+		o.every(reportInterval, overloadTime*1.5, func() { o.after(reportInterval*float64(n)/routerCount, func() { o.refreshReports(n) }) })
 	}
-	can := capacity * overloadTime
-	if lose {
+	possible := capacity * overloadTime
+	if loseHalf {
 		o.at(overloadTime/2, func() { o.lost = overloadReplicas / 2 })
-		can *= 0.75
+		possible *= 0.75
 	}
 	o.run()
-	offered := min(can, float64(o.sent))
-	r.Add("overload", variant, "useful_of_possible", float64(o.useful)/offered, "ratio")
+	achievable := min(possible, float64(o.sent))
+	r.Add("overload", variant, "useful_of_possible", float64(o.useful)/achievable, "ratio")
 	r.Add("overload", variant, "late_of_taken", float64(o.late)/float64(max(1, o.useful+o.late)), "share")
-	small, large := rate(o.got[false], o.asked[false]), rate(o.got[true], o.asked[true])
+	small, large := ratio(o.answered[false], o.requested[false]), ratio(o.answered[true], o.requested[true])
 	r.Add("overload", variant, "small_customers_answered", small, "share")
 	r.Add("overload", variant, "large_customers_answered", large, "share")
 	r.Add("overload", variant, "attempts_a_request", float64(o.attempts)/float64(max(1, o.sent)), "count")
-	r.Add("overload", variant, "time_to_refusal_p99", quantile(o.wait, 0.99), "s")
+	r.Add("overload", variant, "time_to_refusal_p99", quantile(o.refusalTimes, 0.99), "s")
 }
 
-func rate(n, of int) float64 { return float64(n) / float64(max(1, of)) }
+// ratio returns n divided by of, or by 1 if of is 0.
+func ratio(n, of int) float64 { return float64(n) / float64(max(1, of)) }
 
-func (o *overloading) build(seed uint64) {
+// build creates the replicas and the state of each router.
+func (o *overloadSimulation) build(seed uint64) {
 	for n := range overloadReplicas {
-		o.r = append(o.r, &fakeReplica{replica: pool.Replica{ID: fmt.Sprint("replica-", n), Slots: slotsEach}})
+		o.replicas = append(o.replicas, &simulatedReplica{replica: pool.Replica{ID: fmt.Sprint("replica-", n), Slots: slotsPerReplica}})
 	}
-	for n := range routers {
+	for n := range routerCount {
 		o.limiters = append(o.limiters, admission.NewLimiter())
 		o.budgets = append(o.budgets, admission.NewRetryBudget())
 		o.choosers = append(o.choosers, pool.NewChooser(pool.TwoChoices{}, rand.NewPCG(seed, uint64(n))))
-		l := make([]pool.Replica, len(o.r))
-		for i := range l {
-			l[i] = o.r[i].replica
+		reports := make([]pool.Replica, len(o.replicas))
+		for i := range reports {
+			reports[i] = o.replicas[i].replica
 		}
-		o.seen = append(o.seen, l)
-		o.local = append(o.local, make([]int, len(o.r)))
+		o.reported = append(o.reported, reports)
+		o.local = append(o.local, make([]int, len(o.replicas)))
 	}
 }
 
-func (o *overloading) draw(t float64) *overloadRequest {
-	q := &overloadRequest{router: o.g.IntN(routers), start: t, deadline: t + patience, work: serviceMean * noise(o.g), share: 1}
-	if o.g.Float64() < largePart {
-		q.large, q.customer, q.share = true, fmt.Sprint("large", o.g.IntN(largeCustomers)), 4
+// drawRequest draws a request that arrives at the given time.
+func (o *overloadSimulation) drawRequest(at float64) *overloadRequest {
+	q := &overloadRequest{router: o.rng.IntN(routerCount), start: at, deadline: at + requestTimeout, work: meanServiceTime * logNormalNoise(o.rng), share: 1}
+	if o.rng.Float64() < largeShare {
+		q.large, q.customer, q.share = true, fmt.Sprint("large", o.rng.IntN(largeCustomers)), 4
 		return q
 	}
-	q.customer = fmt.Sprint("small", o.g.IntN(smallCustomers))
+	q.customer = fmt.Sprint("small", o.rng.IntN(smallCustomers))
 	return q
 }
 
-func (o *overloading) report(router int) {
-	for n, f := range o.r {
-		o.seen[router][n].Load = pool.Load{Running: f.running, Waiting: len(f.queue), Local: o.local[router][n]}
+// refreshReports updates the loads that one router uses until its next report.
+func (o *overloadSimulation) refreshReports(router int) {
+	for n, f := range o.replicas {
+		o.reported[router][n].Load = pool.Load{Running: f.running, Waiting: len(f.queue), Local: o.local[router][n]}
 	}
 }
 
-// live are the candidates that a router knows of; lost replicas show as such
-// in the next report.
-func (o *overloading) live(router int) []pool.Candidate {
-	var c []pool.Candidate
-	for n := o.lost; n < len(o.r); n++ {
-		c = append(c, pool.Candidate{Replica: &o.seen[router][n], Local: o.local[router][n]})
+// candidates returns the replicas that are not lost, with the load that the router
+// last received. Routers stop using a lost replica at once.
+func (o *overloadSimulation) candidates(router int) []pool.Candidate {
+	var candidates []pool.Candidate
+	for n := o.lost; n < len(o.replicas); n++ {
+		candidates = append(candidates, pool.Candidate{Replica: &o.reported[router][n], Local: o.local[router][n]})
 	}
-	return c
+	return candidates
 }
 
-func (o *overloading) arrive(q *overloadRequest) {
+// arrive admits or refuses a request.
+func (o *overloadSimulation) arrive(q *overloadRequest) {
 	o.sent++
-	o.asked[q.large]++
+	o.requested[q.large]++
 	if o.rule.limits {
-		w, n := 0, 0
-		for _, c := range o.live(q.router) {
-			w += max(0, -c.FreeSlots())
-			n += c.Replica.Slots
+		waiting, slots := 0, 0
+		for _, c := range o.candidates(q.router) {
+			waiting += max(0, -c.FreeSlots())
+			slots += c.Replica.Slots
 		}
 		o.budgets[q.router].Request()
-		if f := o.limiters[q.router].Admit(q.customer, q.share, float64(w)/float64(n), o.time(), epoch.Add(seconds(q.deadline))); f != nil {
+		if refusal := o.limiters[q.router].Admit(q.customer, q.share, float64(waiting)/float64(slots), o.wallTime(), epoch.Add(seconds(q.deadline))); refusal != nil {
 			o.refuse(q)
 			return
 		}
@@ -165,47 +178,51 @@
 	o.dispatch(q)
 }
 
-func (o *overloading) refuse(q *overloadRequest) {
+// refuse records a refusal and the time until it.
+func (o *overloadSimulation) refuse(q *overloadRequest) {
 	o.refused++
-	o.wait = append(o.wait, o.now-q.start)
+	o.refusalTimes = append(o.refusalTimes, o.now-q.start)
 }
 
-func (o *overloading) dispatch(q *overloadRequest) {
+// dispatch queues a request at a replica. If the replica's queue is full, it retries
+// within the limits on retries and refuses the request after that.
+func (o *overloadSimulation) dispatch(q *overloadRequest) {
 	o.attempts++
-	c := o.live(q.router)
-	n := o.choosers[q.router].Choose(pool.Request{}, c) + o.lost
-	f := o.r[n]
-	if o.rule.bounded && len(f.queue) >= queueEach {
-		q.tries++
-		if q.tries <= maxRetry && (!o.rule.budget || o.budgets[q.router].Retry()) {
+	candidates := o.candidates(q.router)
+	n := o.choosers[q.router].Choose(pool.Request{}, candidates) + o.lost
+	f := o.replicas[n]
+	if o.rule.bounded && len(f.queue) >= queueLimit {
+		q.retries++
+		if q.retries <= maxRetries && (!o.rule.budget || o.budgets[q.router].Retry()) {
 			o.dispatch(q)
 			return
 		}
-		o.leave(q, 0, true)
+		o.release(q, 0, true)
 		o.refuse(q)
 		return
 	}
 	o.local[q.router][n]++
-	f.queue = append(f.queue, func() { o.work(q, f, n) })
-	o.next(f)
+	f.queue = append(f.queue, func() { o.startWork(q, f, n) })
+	o.startQueued(f)
 }
 
-func (o *overloading) leave(q *overloadRequest, took float64, overload bool) {
+// release reports the end of an admitted request to the limiter.
+func (o *overloadSimulation) release(q *overloadRequest, took float64, overload bool) {
 	if o.rule.limits {
-		o.limiters[q.router].Done(q.customer, took, overload, o.time())
+		o.limiters[q.router].Done(q.customer, took, overload, o.wallTime())
 	}
 }
 
-// work is one request in a slot. A request whose deadline has passed by then
-// is dropped by an engine that is told of deadlines, and worked on by one
-// that is not.
-func (o *overloading) work(q *overloadRequest, f *fakeReplica, n int) {
+// startWork runs a request in a slot. An engine that receives deadlines drops a
+// request whose deadline has passed and stops one at its deadline; an engine that
+// does not receive them runs each request to its end.
+func (o *overloadSimulation) startWork(q *overloadRequest, f *simulatedReplica, n int) {
 	f.running++
-	w := q.work
+	work := q.work
 	if o.rule.limits && o.now >= q.deadline {
-		w = 0
+		work = 0
 	}
-	end := o.now + w
+	end := o.now + work
 	if o.rule.limits {
 		end = min(end, max(o.now, q.deadline))
 	}
@@ -217,15 +234,16 @@
 			o.late++
 		} else {
 			o.useful++
-			o.got[q.large]++
+			o.answered[q.large]++
 		}
-		o.leave(q, o.now-q.start, late)
-		o.next(f)
+		o.release(q, o.now-q.start, late)
+		o.startQueued(f)
 	})
 }
 
-func (o *overloading) next(f *fakeReplica) {
-	for f.running < slotsEach && len(f.queue) > 0 {
+// startQueued starts queued requests while the replica has free slots.
+func (o *overloadSimulation) startQueued(f *simulatedReplica) {
+	for f.running < slotsPerReplica && len(f.queue) > 0 {
 		j := f.queue[0]
 		f.queue = f.queue[1:]
 		j()
--- a/measure/placement.go
+++ b/measure/placement.go
@@ -7,67 +7,71 @@
 	"fieldvale/pool"
 )
 
-// placementSetting is one replay of placement.
-type placementSetting struct {
+// placementScenario is the setting of a placement simulation.
+type placementScenario struct {
 	name     string
 	replicas int
-	// load is the mean part of the slots that are busy.
+	// load is the mean share of busy slots.
 	load float64
-	// lag is the age of a load report when it is used, in seconds.
-	lag float64
-	// cached is the part of the work that is left when the session's prefix
-	// is cached on the replica.
+	// reportInterval is the time between a router's load reports, in seconds. A report
+	// is up to that old when it is used.
+	reportInterval float64
+	// cached is the share of a request's work that remains if the replica has cached
+	// the session's prefix.
 	cached float64
 }
 
+// Times are in seconds.
 const (
-	routers       = 7
-	slotsEach     = 8
-	sessions      = 1200
-	cacheEach     = 120
-	placementTime = 240.0
-	serviceMean   = 1.0
+	routerCount     = 7
+	slotsPerReplica = 8
+	sessionCount    = 1200
+	cacheSessions   = 120
+	placementTime   = 240.0
+	meanServiceTime = 1.0
 )
 
 // chooseFunc picks one of the candidates for a session.
 type chooseFunc func(router int, session string, c []pool.Candidate) int
 
-// rules are what is compared; fresh is true for rules that see the true work
-// of all replicas at any moment, which no router can.
+// placementRule is a placement rule to compare. fresh marks rules that see the
+// current load of all replicas, which no real router can; they are baselines.
 type placementRule struct {
-	name  string
-	fresh bool
-	make  func(seed uint64) chooseFunc
+	name       string
+	fresh      bool
+	newChooser func(seed uint64) chooseFunc
 }
 
-func ruleOf[R pool.Rule](name string, fresh bool, rule func() R) placementRule {
+// newPlacementRule returns a placementRule that gives each router its own chooser.
+func newPlacementRule[R pool.Rule](name string, fresh bool, rule func() R) placementRule {
 	return placementRule{name, fresh, func(seed uint64) chooseFunc {
-		var c []*pool.Chooser[R]
-		for n := range routers {
-			c = append(c, pool.NewChooser(rule(), rand.NewPCG(seed, uint64(n))))
+		var choosers []*pool.Chooser[R]
+		for n := range routerCount {
+			choosers = append(choosers, pool.NewChooser(rule(), rand.NewPCG(seed, uint64(n))))
 		}
-		return func(router int, session string, x []pool.Candidate) int {
-			return c[router].Choose(pool.Request{AffinityKey: session}, x)
+		return func(router int, session string, candidates []pool.Candidate) int {
+			return choosers[router].Choose(pool.Request{AffinityKey: session}, candidates)
 		}
 	}}
 }
 
+// placementRules returns the rules to compare; "fieldvale" is the one in use.
 func placementRules() []placementRule {
 	return []placementRule{
-		ruleOf("random", false, func() pool.Random { return pool.Random{} }),
-		ruleOf("round-robin", false, func() *pool.RoundRobin { return &pool.RoundRobin{} }),
-		ruleOf("least-reported", false, func() pool.LeastReported { return pool.LeastReported{} }),
-		ruleOf("least-local", false, func() pool.LeastLocal { return pool.LeastLocal{} }),
-		ruleOf("idle-first", false, func() pool.IdleFirst { return pool.IdleFirst{} }),
-		ruleOf("two-choices", false, func() pool.TwoChoices { return pool.TwoChoices{} }),
-		ruleOf("affine-1.25", false, func() pool.BoundedAffinity[pool.TwoChoices] {
+		newPlacementRule("random", false, func() pool.Random { return pool.Random{} }),
+		newPlacementRule("round-robin", false, func() *pool.RoundRobin { return &pool.RoundRobin{} }),
+		newPlacementRule("least-reported", false, func() pool.LeastReported { return pool.LeastReported{} }),
+		newPlacementRule("least-local", false, func() pool.LeastLocal { return pool.LeastLocal{} }),
+		newPlacementRule("idle-first", false, func() pool.IdleFirst { return pool.IdleFirst{} }),
+		newPlacementRule("two-choices", false, func() pool.TwoChoices { return pool.TwoChoices{} }),
+		newPlacementRule("affine-1.25", false, func() pool.BoundedAffinity[pool.TwoChoices] {
 			return pool.BoundedAffinity[pool.TwoChoices]{LoadFactor: 1.25}
 		}),
-		ruleOf("fieldvale", false, func() pool.BoundedAffinity[pool.TwoChoices] {
+		newPlacementRule("fieldvale", false, func() pool.BoundedAffinity[pool.TwoChoices] {
 			return pool.BoundedAffinity[pool.TwoChoices]{LoadFactor: 1.5}
 		}),
-		ruleOf("fresh-global", true, func() pool.LeastReported { return pool.LeastReported{} }),
-		ruleOf("fresh-global-affine", true, func() pool.BoundedAffinity[pool.LeastReported] {
+		newPlacementRule("fresh-global", true, func() pool.LeastReported { return pool.LeastReported{} }),
+		newPlacementRule("fresh-global-affine", true, func() pool.BoundedAffinity[pool.LeastReported] {
 			return pool.BoundedAffinity[pool.LeastReported]{LoadFactor: 1.5}
 		}),
 	}
@@ -75,144 +79,151 @@
 
 // Placement measures latency and cache hits of each rule.
 func Placement(r *Report, seed uint64) {
-	for _, s := range []placementSetting{
+	for _, scenario := range []placementScenario{
 		{"shared-memory", 20, 0.75, 1, 0.6},
 		{"maizes-tilts", 12, 0.75, 1, 0.6},
 		{"lag-4s", 20, 0.75, 4, 0.6},
 	} {
-		for _, x := range placementRules() {
-			lat, hits := placementRun(s, x, seed)
-			v := s.name + "/" + x.name
-			r.Add("placement", v, "latency_p50", quantile(lat, 0.5), "s")
-			r.Add("placement", v, "latency_p95", quantile(lat, 0.95), "s")
-			r.Add("placement", v, "latency_p99", quantile(lat, 0.99), "s")
-			r.Add("placement", v, "cache_hits", hits, "share")
+		for _, rule := range placementRules() {
+			latencies, cacheHits := simulatePlacement(scenario, rule, seed)
+			variant := scenario.name + "/" + rule.name
+			r.Add("placement", variant, "latency_p50", quantile(latencies, 0.5), "s")
+			r.Add("placement", variant, "latency_p95", quantile(latencies, 0.95), "s")
+			r.Add("placement", variant, "latency_p99", quantile(latencies, 0.99), "s")
+			r.Add("placement", variant, "cache_hits", cacheHits, "share")
 		}
 	}
 }
 
-// fakeReplica is a queue before slots, with a bounded cache of sessions.
-type fakeReplica struct {
+// simulatedReplica is a replica with a queue, a fixed number of slots and a bounded
+// cache of sessions, the least recently used first.
+type simulatedReplica struct {
 	replica pool.Replica
 	running int
 	queue   []func()
 	cache   []string
 }
 
-func (f *fakeReplica) cached(s string) bool {
-	for i, x := range f.cache {
-		if x == s {
-			f.cache = append(append(f.cache[:i:i], f.cache[i+1:]...), s)
+// useCache marks the session as the most recently used one and reports whether it
+// was cached.
+func (f *simulatedReplica) useCache(session string) bool {
+	for i, cached := range f.cache {
+		if cached == session {
+			f.cache = append(append(f.cache[:i:i], f.cache[i+1:]...), session)
 			return true
 		}
 	}
-	f.cache = append(f.cache, s)
-	if len(f.cache) > cacheEach {
+	f.cache = append(f.cache, session)
+	if len(f.cache) > cacheSessions {
 		f.cache = f.cache[1:]
 	}
 	return false
 }
 
-// placing is the state of one replay.
-type placing struct {
-	replay
-	s      placementSetting
-	choose chooseFunc
-	fresh  bool
-	g      *rand.Rand
-	r      []*fakeReplica
-	// seen are the replicas as each router knows them; local its own work.
-	seen  [][]pool.Replica
-	local [][]int
-	lat   []float64
-	hits  int
-	all   int
+// placementSimulation is the state of one placement simulation.
+type placementSimulation struct {
+	simulation
+	scenario placementScenario
+	choose   chooseFunc
+	fresh    bool
+	rng      *rand.Rand
+	replicas []*simulatedReplica
+	// reported holds the replicas by router, with the load of the router's last report;
+	// local holds the number of the router's own requests on each replica.
+	reported  [][]pool.Replica
+	local     [][]int
+	latencies []float64
+	cacheHits int
+	requests  int
 }
 
-func placementRun(s placementSetting, x placementRule, seed uint64) ([]float64, float64) {
-	p := &placing{s: s, choose: x.make(seed), fresh: x.fresh, g: rand.New(rand.NewPCG(seed, 2))}
+// simulatePlacement returns the latencies and the share of requests with a cache hit.
+func simulatePlacement(s placementScenario, rule placementRule, seed uint64) ([]float64, float64) {
+	p := &placementSimulation{scenario: s, choose: rule.newChooser(seed), fresh: rule.fresh, rng: rand.New(rand.NewPCG(seed, 2))}
 	for n := range s.replicas {
-		p.r = append(p.r, &fakeReplica{replica: pool.Replica{ID: fmt.Sprint("replica-", n), Slots: slotsEach}})
+		p.replicas = append(p.replicas, &simulatedReplica{replica: pool.Replica{ID: fmt.Sprint("replica-", n), Slots: slotsPerReplica}})
 	}
-	for range routers {
-		l := make([]pool.Replica, s.replicas)
-		for n := range l {
-			l[n] = p.r[n].replica
+	for range routerCount {
+		reports := make([]pool.Replica, s.replicas)
+		for n := range reports {
+			reports[n] = p.replicas[n].replica
 		}
-		p.seen = append(p.seen, l)
+		p.reported = append(p.reported, reports)
 		p.local = append(p.local, make([]int, s.replicas))
 	}
 	p.schedule()
 	p.run()
-	return p.lat, float64(p.hits) / float64(max(1, p.all))
+	return p.latencies, float64(p.cacheHits) / float64(max(1, p.requests))
 }
 
-// schedule draws arrivals: bursts of twice the rate alternate with lulls.
-func (p *placing) schedule() {
-	rate := p.s.load * float64(p.s.replicas*slotsEach) / serviceMean / 0.8
+// schedule schedules the arrivals, in which bursts of about twice the rate alternate
+// with lulls, and the load reports, at a different offset for each router.
+func (p *placementSimulation) schedule() {
+	rate := p.scenario.load * float64(p.scenario.replicas*slotsPerReplica) / meanServiceTime / 0.8
 	for t := 0.0; t < placementTime; {
-		f := 0.7
+		factor := 0.7
 		if int(t/5)%3 == 0 {
-			f = 1.3
+			factor = 1.3
 		}
-		t += p.g.ExpFloat64() / (rate * f)
-		router, session, work := p.g.IntN(routers), p.session(), serviceMean*noise(p.g)
+		t += p.rng.ExpFloat64() / (rate * factor)
+		router, session, work := p.rng.IntN(routerCount), p.drawSession(), meanServiceTime*logNormalNoise(p.rng)
 		p.at(t, func() { p.arrive(router, session, work) })
 	}
-	for n := range routers {
-		o := p.s.lag * float64(n) / routers
-		p.every(p.s.lag, placementTime, func() { p.after(o, func() { p.report(n) }) })
+	for n := range routerCount {
+		offset := p.scenario.reportInterval * float64(n) / routerCount
+		p.every(p.scenario.reportInterval, placementTime, func() { p.after(offset, func() { p.refreshReports(n) }) })
 	}
 }
 
-// session draws one; few are busy, many are not.
-func (p *placing) session() string {
-	f := p.g.Float64()
-	return fmt.Sprint("s", int(f*f*sessions))
+// drawSession draws a session. A few sessions have many requests, most have few.
+func (p *placementSimulation) drawSession() string {
+	f := p.rng.Float64()
+	return fmt.Sprint("s", int(f*f*sessionCount))
 }
 
-// report is a reading of all loads by one router, which it uses until the
-// next one.
-func (p *placing) report(router int) {
-	for n, f := range p.r {
-		p.seen[router][n].Load = pool.Load{Running: f.running, Waiting: len(f.queue), Local: p.local[router][n]}
+// refreshReports updates the loads that one router uses until its next report.
+func (p *placementSimulation) refreshReports(router int) {
+	for n, f := range p.replicas {
+		p.reported[router][n].Load = pool.Load{Running: f.running, Waiting: len(f.queue), Local: p.local[router][n]}
 	}
 }
 
-func (p *placing) arrive(router int, session string, work float64) {
-	c := make([]pool.Candidate, len(p.r))
-	for n, f := range p.r {
-		c[n] = pool.Candidate{Replica: &p.seen[router][n], Local: p.local[router][n]}
+// arrive places a request on a replica and queues it there.
+func (p *placementSimulation) arrive(router int, session string, work float64) {
+	candidates := make([]pool.Candidate, len(p.replicas))
+	for n, f := range p.replicas {
+		candidates[n] = pool.Candidate{Replica: &p.reported[router][n], Local: p.local[router][n]}
 		if p.fresh {
-			y := f.replica
-			y.Load = pool.Load{Running: f.running, Waiting: len(f.queue)}
-			c[n] = pool.Candidate{Replica: &y}
+			fresh := f.replica
+			fresh.Load = pool.Load{Running: f.running, Waiting: len(f.queue)}
+			candidates[n] = pool.Candidate{Replica: &fresh}
 		}
 	}
-	n := p.choose(router, session, c)
-	f := p.r[n]
+	n := p.choose(router, session, candidates)
+	f := p.replicas[n]
 	start := p.now
 	p.local[router][n]++
-	p.all++
-	job := func() {
-		if f.cached(session) {
-			p.hits++
-			work *= p.s.cached
+	p.requests++
+	run := func() {
+		if f.useCache(session) {
+			p.cacheHits++
+			work *= p.scenario.cached
 		}
 		f.running++
 		p.after(work, func() {
 			f.running--
 			p.local[router][n]--
-			p.lat = append(p.lat, p.now-start)
-			p.next(f)
+			p.latencies = append(p.latencies, p.now-start)
+			p.startQueued(f)
 		})
 	}
-	f.queue = append(f.queue, job)
-	p.next(f)
+	f.queue = append(f.queue, run)
+	p.startQueued(f)
 }
 
-func (p *placing) next(f *fakeReplica) {
-	for f.running < slotsEach && len(f.queue) > 0 {
+// startQueued starts queued requests while the replica has free slots.
+func (p *placementSimulation) startQueued(f *simulatedReplica) {
+	for f.running < slotsPerReplica && len(f.queue) > 0 {
 		j := f.queue[0]
 		f.queue = f.queue[1:]
 		j()
--- a/measure/router.go
+++ b/measure/router.go
@@ -37,7 +37,8 @@
 	"fieldvale/version"
 )
 
-const routerProgram = `
+// benchProgram is the policy program for which evaluation is measured.
+const benchProgram = `
 def allow(customer, model, version):
     return model == "m" or customer.tier != "bronze"
 
@@ -47,184 +48,192 @@
     return [step("m", accept = 0.7), step("n")]
 `
 
-func routerFiles() map[string]string {
+// benchPolicyFiles returns the files of a policy with benchProgram.
+func benchPolicyFiles() map[string]string {
 	return map[string]string{
-		policyfile.ProgramFile: routerProgram,
+		policyfile.ProgramFile: benchProgram,
 		policyfile.CasesFile:   "",
 		policyfile.CatalogFile: "[team t]\n[version m@1]\ncost_out = 100\n[version n@1]\ncost_out = 900\n[task terminology]\n[customer c]\ntier = gold\nkey_sha256 = " + catalog.HashKey("key") + "\n",
 	}
 }
 
-func routerActive() (*config.Active, error) {
-	s, e := policyfile.Parse(routerFiles())
-	if len(e) > 0 {
-		return nil, e[0]
+// newActiveConfig compiles the policy and returns a configuration with it in force.
+func newActiveConfig() (*config.Active, error) {
+	source, faults := policyfile.Parse(benchPolicyFiles())
+	if len(faults) > 0 {
+		return nil, faults[0]
 	}
-	a, e := config.Activate(config.Document{Revision: 1, SessionKeys: []session.Key{session.NewKey()}, Parts: map[string]config.Part{"t": {Team: "t", Source: s}}})
-	if len(e) > 0 {
-		return nil, e[0]
+	active, faults := config.Activate(config.Document{Revision: 1, SessionKeys: []session.Key{session.NewKey()}, Parts: map[string]config.Part{"t": {Team: "t", Source: source}}})
+	if len(faults) > 0 {
+		return nil, faults[0]
 	}
-	return a, nil
+	return active, nil
 }
 
-// Policy compares the ways to evaluate a policy for a request.
+// Policy measures the time and the allocations of a routing decision: by the
+// compiled table, and as baselines by Starlark or expr on each request.
 func Policy(r *Report) error {
-	a, err := routerActive()
+	active, err := newActiveConfig()
 	if err != nil {
 		return err
 	}
-	c, _ := a.Caller("key")
+	customer, _ := active.Caller("key")
 	add := func(variant string, f func()) {
-		b := testing.Benchmark(func(b *testing.B) {
+		result := testing.Benchmark(func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				f()
 			}
 		})
-		r.Add("policy", variant, "time_a_decision", float64(b.NsPerOp()), "ns")
-		r.Add("policy", variant, "allocations_a_decision", float64(b.AllocsPerOp()), "count")
+		r.Add("policy", variant, "time_a_decision", float64(result.NsPerOp()), "ns")
+		r.Add("policy", variant, "allocations_a_decision", float64(result.AllocsPerOp()), "count")
 	}
-	add("table (fieldvale)", func() { a.Decide(c, "segment", policy.Small) })
-	none := func(version.ID) bool { return false }
-	s := session.New("s", "c", time.Time{})
+	add("table (fieldvale)", func() { active.Decide(customer, "segment", policy.Small) })
+	noneWithdrawn := func(version.ID) bool { return false }
+	currentSession := session.New("s", "c", time.Time{})
 	add("table and version (fieldvale)", func() {
-		p := a.Decide(c, "segment", policy.Small)
-		a.Pick(c, p[0].Model, s, none)
+		steps := active.Decide(customer, "segment", policy.Small)
+		active.Pick(customer, steps[0].Model, currentSession, noneWithdrawn)
 	})
-	add("starlark on each request", starlarkCall())
-	add("expr on each request", exprCall())
+	add("starlark on each request", newStarlarkCall())
+	add("expr on each request", newExprCall())
 	return nil
 }
 
-func starlarkCall() func() {
-	b := starlark.StringDict{"step": starlark.NewBuiltin("step", func(_ *starlark.Thread, _ *starlark.Builtin, a starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
-		return a[0], nil
+// newStarlarkCall returns a function that evaluates the policy's route function.
+func newStarlarkCall() func() {
+	builtins := starlark.StringDict{"step": starlark.NewBuiltin("step", func(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
+		return args[0], nil
 	})}
-	h := &starlark.Thread{}
-	g, err := starlark.ExecFileOptions(&syntax.FileOptions{}, h, "p", routerProgram, b)
+	thread := &starlark.Thread{}
+	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{}, thread, "p", benchProgram, builtins)
 	if err != nil {
 		panic(err)
 	}
-	c := starlarkstruct.FromStringDict(starlark.String("customer"), starlark.StringDict{"tier": starlark.String("gold")})
-	a := starlark.Tuple{c, starlark.String("segment"), starlark.String("small")}
-	return func() { _, _ = starlark.Call(h, g["route"], a, nil) }
+	customer := starlarkstruct.FromStringDict(starlark.String("customer"), starlark.StringDict{"tier": starlark.String("gold")})
+	args := starlark.Tuple{customer, starlark.String("segment"), starlark.String("small")}
+	return func() { _, _ = starlark.Call(thread, globals["route"], args, nil) }
 }
 
-func exprCall() func() {
-	e := map[string]any{"task": "segment", "tier": "gold"}
-	p, err := expr.Compile(`task == "terminology" || tier == "bronze" ? ["m"] : ["m", "n"]`, expr.Env(e))
+// newExprCall returns a function that evaluates the same rule as an expr program.
+func newExprCall() func() {
+	env := map[string]any{"task": "segment", "tier": "gold"}
+	program, err := expr.Compile(`task == "terminology" || tier == "bronze" ? ["m"] : ["m", "n"]`, expr.Env(env))
 	if err != nil {
 		panic(err)
 	}
-	return func() { _, _ = expr.Run(p, e) }
+	return func() { _, _ = expr.Run(program, env) }
 }
 
-// noHolder holds every bill at once.
-type noHolder struct{}
+// instantHolder accepts every bill without a call to another instance.
+type instantHolder struct{}
 
-func (noHolder) Hold(context.Context, peer.Member, bill.Record) (bill.Word, error) {
+func (instantHolder) Hold(context.Context, peer.Member, bill.Record) (bill.Word, error) {
 	return bill.Word{}, nil
 }
 
-func (noHolder) Release(context.Context, peer.Member, bill.Record) error { return nil }
+func (instantHolder) Release(context.Context, peer.Member, bill.Record) error { return nil }
 
 const (
-	routerTime    = 4 * time.Second
-	routerClients = 16
-	chatBody      = `{"model":"m","messages":[{"role":"user","content":"<1> hello"}]}`
-	autoBody      = `{"model":"auto","messages":[{"role":"user","content":"<1> hello"}]}`
+	// loadTime is the time for which clients send requests in each measurement.
+	loadTime    = 4 * time.Second
+	manyClients = 16
+	chatBody    = `{"model":"m","messages":[{"role":"user","content":"<1> hello"}]}`
+	autoBody    = `{"model":"auto","messages":[{"role":"user","content":"<1> hello"}]}`
 )
 
-// Router measures what the entry adds to a call of an engine's stand-in.
+// Router measures latency and throughput of calls to a stand-in of an engine:
+// direct, through the entry, and through the entry with a rating of the answer.
 func Router(r *Report, seed uint64) error {
-	e := engine.New(engine.Settings{ID: "e", Slots: 256, Queue: 256, Models: map[string]engine.Model{"m@1": {Quality: 0.9}, "n@1": {Quality: 0.9}}})
-	l, err := serve.On("127.0.0.1:0", e.Handle)
+	modelEngine := engine.New(engine.Settings{ID: "e", Slots: 256, Queue: 256, Models: map[string]engine.Model{"m@1": {Quality: 0.9}, "n@1": {Quality: 0.9}}})
+	engineServer, err := serve.On("127.0.0.1:0", modelEngine.Handle)
 	if err != nil {
 		return err
 	}
-	defer l.Close()
-	q, err := serve.On("127.0.0.1:0", rating.New(0).Handle)
+	defer engineServer.Close()
+	ratingServer, err := serve.On("127.0.0.1:0", rating.New(0).Handle)
 	if err != nil {
 		return err
 	}
-	defer q.Close()
-	n, err := startEntry(l.Addr, q.Addr, seed)
+	defer ratingServer.Close()
+	listener, err := startEntry(engineServer.Addr, ratingServer.Addr, seed)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = n.Close() }()
+	defer func() { _ = listener.Close() }()
 	direct := `{"model":"m@1","messages":[{"role":"user","content":"<1> hello"}]}`
-	for _, k := range []int{1, routerClients} {
-		name := map[int]string{1: "one client", routerClients: "16 clients"}[k]
-		d50, dn := load("http://"+l.Addr+"/v1/chat/completions", direct, k)
-		e50, en := load("http://"+n.Addr().String()+"/v1/chat/completions", chatBody, k)
-		c50, cn := load("http://"+n.Addr().String()+"/v1/chat/completions", autoBody, k)
-		for _, x := range []struct {
-			v      string
-			p50, s float64
-		}{{"straight", d50, dn}, {"entry", e50, en}, {"entry with rating", c50, cn}} {
-			r.Add("router", x.v+"/"+name, "latency_p50", x.p50*1e3, "ms")
-			r.Add("router", x.v+"/"+name, "throughput", x.s, "requests/s")
+	for _, clients := range []int{1, manyClients} {
+		name := map[int]string{1: "one client", manyClients: "16 clients"}[clients]
+		directP50, directRate := runClients("http://"+engineServer.Addr+"/v1/chat/completions", direct, clients)
+		entryP50, entryRate := runClients("http://"+listener.Addr().String()+"/v1/chat/completions", chatBody, clients)
+		ratedP50, ratedRate := runClients("http://"+listener.Addr().String()+"/v1/chat/completions", autoBody, clients)
+		for _, call := range []struct {
+			variant   string
+			p50, rate float64
+		}{{"straight", directP50, directRate}, {"entry", entryP50, entryRate}, {"entry with rating", ratedP50, ratedRate}} {
+			r.Add("router", call.variant+"/"+name, "latency_p50", call.p50*1e3, "ms")
+			r.Add("router", call.variant+"/"+name, "throughput", call.rate, "requests/s")
 		}
-		r.Add("router", "entry/"+name, "added_latency_p50", (e50-d50)*1e3, "ms")
+		r.Add("router", "entry/"+name, "added_latency_p50", (entryP50-directP50)*1e3, "ms")
 	}
 	return nil
 }
 
+// startEntry starts an entry for one engine and returns its listener.
 func startEntry(engineAddr, ratingAddr string, seed uint64) (net.Listener, error) {
-	a, err := routerActive()
+	active, err := newActiveConfig()
 	if err != nil {
 		return nil, err
 	}
-	v := entry.NewCurrentView()
-	v.Put(entry.NewView(a, []pool.Replica{{ID: "e", Addr: engineAddr, Kind: pool.Engine, Slots: 256, Versions: []version.ID{version.New("m", "1"), version.New("n", "1")}}}, []peer.Member{{ID: "other"}}, nil))
-	h := httpconn.New()
-	o := entry.NewRouter(entry.Ports{
-		View: v, Engines: backend.NewEngines(h), Services: backend.NewServices(h), Rater: platform.New(h, "", ratingAddr),
-		Biller: biller.New(noHolder{}, v.Members, "i", "i/1"), Clock: time.Now, Self: "i", Rand: rand.NewPCG(seed, seed),
+	view := entry.NewCurrentView()
+	view.Put(entry.NewView(active, []pool.Replica{{ID: "e", Addr: engineAddr, Kind: pool.Engine, Slots: 256, Versions: []version.ID{version.New("m", "1"), version.New("n", "1")}}}, []peer.Member{{ID: "other"}}, nil))
+	client := httpconn.New()
+	router := entry.NewRouter(entry.Ports{
+		View: view, Engines: backend.NewEngines(client), Services: backend.NewServices(client), Rater: platform.New(client, "", ratingAddr),
+		Biller: biller.New(instantHolder{}, view.Members, "i", "i/1"), Clock: time.Now, Self: "i", Rand: rand.NewPCG(seed, seed),
 	})
-	c := caller.New(o, v, time.Now, func(string, string, int, time.Duration, string, string) {})
-	n, err := net.Listen("tcp", "127.0.0.1:0")
+	server := caller.New(router, view, time.Now, func(string, string, int, time.Duration, string, string) {})
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	go func() { _ = c.Serve(n, nil) }()
-	return n, nil
+	go func() { _ = server.Serve(listener, nil) }()
+	return listener, nil
 }
 
-// load runs k clients in closed loops and returns the median latency in
-// seconds and the answers a second.
-func load(url, body string, k int) (float64, float64) {
-	t := &http.Transport{MaxIdleConnsPerHost: k}
-	c := &http.Client{Transport: t}
-	defer t.CloseIdleConnections()
+// runClients runs concurrent clients, each of which sends its next request after the previous
+// answer. It returns the median latency in seconds and the answers per second.
+func runClients(url, body string, clients int) (float64, float64) {
+	transport := &http.Transport{MaxIdleConnsPerHost: clients}
+	client := &http.Client{Transport: transport}
+	defer transport.CloseIdleConnections()
 	var mu sync.Mutex
-	var lat []float64
+	var latencies []float64
 	var stop atomic.Bool
-	time.AfterFunc(routerTime, func() { stop.Store(true) })
-	var g sync.WaitGroup
-	for range k {
-		g.Go(func() {
-			var l []float64
+	time.AfterFunc(loadTime, func() { stop.Store(true) })
+	var group sync.WaitGroup
+	for range clients {
+		group.Go(func() {
+			var own []float64
 			for !stop.Load() {
-				s := time.Now()
-				q, _ := http.NewRequest("POST", url, bytes.NewBufferString(body))
-				q.Header.Set("Authorization", "Bearer key")
-				p, err := c.Do(q)
+				start := time.Now()
+				request, _ := http.NewRequest("POST", url, bytes.NewBufferString(body))
+				request.Header.Set("Authorization", "Bearer key")
+				response, err := client.Do(request)
 				if err != nil {
 					continue
 				}
-				_, _ = io.Copy(io.Discard, p.Body)
-				_ = p.Body.Close()
-				if p.StatusCode == http.StatusOK {
-					l = append(l, time.Since(s).Seconds())
+				_, _ = io.Copy(io.Discard, response.Body)
+				_ = response.Body.Close()
+				if response.StatusCode == http.StatusOK {
+					own = append(own, time.Since(start).Seconds())
 				}
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			lat = append(lat, l...)
+			latencies = append(latencies, own...)
 		})
 	}
-	g.Wait()
-	return quantile(lat, 0.5), float64(len(lat)) / routerTime.Seconds()
+	group.Wait()
+	return quantile(latencies, 0.5), float64(len(latencies)) / loadTime.Seconds()
 }
