--- a/cmd/fieldvale-control/main.go
+++ b/cmd/fieldvale-control/main.go
@@ -14,8 +14,8 @@
 exchanges updates with other instances, drives roll-outs, makes claims, writes
 bills, sends orders to model engines, and serves the administration API.
 
-It keeps nothing on the instance and may be restarted at any time. SIGTERM or
-SIGINT stops it in order, and it exits with 0.
+It stores nothing on the instance and may be restarted at any time. SIGTERM or
+SIGINT stops it gracefully with exit code 0.
 
 The settings file is INI; examples/control.ini has every key with a comment.`
 
--- a/cmd/fieldvale-demo/main.go
+++ b/cmd/fieldvale-demo/main.go
@@ -32,12 +32,12 @@
 	parser.LongDescription = usage
 	for _, c := range []struct {
 		name, short string
-		data        any
+		commander   any
 	}{
 		{"run", "send requests and check the guarantees", &runCommand{}},
 		{"up", "leave the system running", &upCommand{}},
 	} {
-		if _, err := parser.AddCommand(c.name, c.short, "", c.data); err != nil {
+		if _, err := parser.AddCommand(c.name, c.short, "", c.commander); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
--- a/cmd/fieldvale-entry/main.go
+++ b/cmd/fieldvale-entry/main.go
@@ -12,11 +12,12 @@
 const usage = `fieldvale-entry answers callers' requests.
 
 It serves the OpenAI API and plain services to callers, and works with the
-fieldvale-control that runs beside it on the same instance. It goes on serving
-with the configuration that it holds while that process is down.
+fieldvale-control that runs beside it on the same instance. While that
+process is down it goes on serving with the last configuration that it received.
 
-SIGTERM or SIGINT stops it in order: it is no longer ready, goes on taking
-requests for the time "drain", answers all that run, and exits with 0.
+SIGTERM or SIGINT stops it gracefully: it reports that it is not ready, goes on
+accepting requests for the time "drain", answers all requests in flight, and
+exits with 0.
 
 The settings file is INI; examples/entry.ini has every key with a comment.`
 
--- a/cmd/fieldvale-measure/main.go
+++ b/cmd/fieldvale-measure/main.go
@@ -26,7 +26,7 @@
 	Item   []string `long:"item" description:"measure only these: cascade, placement, overload, rollout, policy, bills, router, fleet"`
 	Sizes  []int    `long:"size" description:"sizes of fleets; 7, 35, 100 and 350 if none"`
 	Trials string   `long:"trials" value-name:"FILE" description:"compare the variants of decisions whose runs the file lists, and measure nothing"`
-	Plots  string   `long:"plots" value-name:"DIR" description:"write plots there"`
+	Plots  string   `long:"plots" value-name:"DIR" description:"directory for the plots; none are written without it"`
 }
 
 func main() {
@@ -90,7 +90,7 @@
 	report := measure.NewReport(os.Stdout)
 	for _, experiment := range []struct {
 		name string
-		f    func() error
+		run  func() error
 	}{
 		{"cascade", func() error { measure.Cascade(report, options.Seed); return nil }},
 		{"placement", func() error { measure.Placement(report, options.Seed); return nil }},
@@ -104,7 +104,7 @@
 		if !isSelected(experiment.name) {
 			continue
 		}
-		if err := experiment.f(); err != nil {
+		if err := experiment.run(); err != nil {
 			return errors.Wrap(err, experiment.name)
 		}
 	}
--- a/cmd/fieldvale-standin/main.go
+++ b/cmd/fieldvale-standin/main.go
@@ -36,12 +36,12 @@
 	parser.LongDescription = usage
 	for _, c := range []struct {
 		name, short string
-		data        any
+		commander   any
 	}{
 		{"platform", "key-value service, instance list and rating service", &platformCommand{}},
 		{"backends", "model engines and plain services", &backendsCommand{}},
 	} {
-		if _, err := parser.AddCommand(c.name, c.short, "", c.data); err != nil {
+		if _, err := parser.AddCommand(c.name, c.short, "", c.commander); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
--- a/cmd/fieldvale/rollout.go
+++ b/cmd/fieldvale/rollout.go
@@ -15,9 +15,9 @@
 )
 
 const rolloutLong = `A roll-out gives a growing share of a model's new sessions to another version;
-sessions keep the version that they have. Answers are rated on the way: if the
-version turns bad it gets no more work at once, is withdrawn, and the roll-out
-ends as tripped. Any instance takes the next step when it is due.`
+existing sessions keep their version. Answers are rated during the roll-out: if
+the new version turns out bad, it gets no further work, is withdrawn, and the
+roll-out ends as tripped. Any instance takes the next step when it is due.`
 
 // rolloutCommands returns the subcommands of "rollout".
 func rolloutCommands() []command {
--- a/cmd/fieldvale/system.go
+++ b/cmd/fieldvale/system.go
@@ -13,7 +13,7 @@
 
 const withdrawLong = `A withdrawn version gets no new work on any instance within seconds: no first
 try, no retry, no second step of a cascade. Sessions that had it are moved to
-the version in use, once, and their callers are told. Engines are ordered to
+the version in use, once, and their callers are notified. Engines are ordered to
 unload it, so that an instance which is cut off is refused by them.`
 
 // systemCommands returns the commands at the top level.
--- a/measure/compare.go
+++ b/measure/compare.go
@@ -27,7 +27,7 @@
 }
 
 // Comparison compares a variant with the baseline of its decision over the
-// workloads on which both were run.
+// workloads on which both were run. Mean is the mean of the variant's figures.
 type Comparison struct {
 	Decision, Variant string
 	Workloads         int
@@ -39,7 +39,7 @@
 
 // IsWithinSpread reports whether the variant differs from the baseline by no more
 // than the spread. The two then can't be distinguished, and the simpler one is kept.
-func (p Comparison) IsWithinSpread() bool { return math.Abs(p.Difference) <= p.Spread }
+func (c Comparison) IsWithinSpread() bool { return math.Abs(c.Difference) <= c.Spread }
 
 // trialColumns is the required header of a file of trials. Its columns way and day
 // hold Trial.Variant and Trial.Workload.
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -63,24 +63,25 @@
 	return n, err
 }
 
-// fleet runs many real nodes, the control parts of instances, in one process. They exchange messages over loopback
-// with the real code, share an in-memory store, and poll the engines' load over
-// loopback too.
+// fleet runs many real nodes, the control parts of instances, in one process. They
+// exchange messages over loopback with the real code, share an in-memory store, and
+// poll the engines' load over loopback too.
 type fleet struct {
-	nodes      []*control.Node
-	stores     []*kv.Fake
-	list       *platform.List
+	nodes  []*control.Node
+	stores []*kv.Fake
+	list   *platform.List
+	// drainingID is the id of the engine that reports that it is draining.
 	drainingID atomic.Pointer[string]
 	peerBytes  atomic.Int64
 	loadBytes  atomic.Int64
 	heldBills  atomic.Int64
-	// callerIDs makes callers choose the request ids, so that each bill is held by the
+	// useCallerIDs makes callers choose the request ids, so that each bill is held by the
 	// instances that peer.Holders returns instead of by those near its entry.
-	callerIDs atomic.Bool
-	stop      context.CancelFunc
-	done      sync.WaitGroup
-	servers   []*http.Server
-	engines   []net.Listener
+	useCallerIDs atomic.Bool
+	stop         context.CancelFunc
+	done         sync.WaitGroup
+	servers      []*http.Server
+	engines      []net.Listener
 }
 
 const (
@@ -148,7 +149,7 @@
 // startEngines starts the engines for a fleet of that many nodes.
 func (f *fleet) startEngines(nodes int) error {
 	count := engineCount
-	if nodes > maxCallerIDFleet {
+	if nodes > maxFleetWithCallerIDs {
 		count = largeFleetEngineCount
 	}
 	for i := range count {
@@ -190,7 +191,7 @@
 			for seq := uint64(1); ctx.Err() == nil; seq++ {
 				record := bill.Record{RequestID: fmt.Sprint(i, "/", seq), Owner: ledger.Owner, Seq: seq, Line: bill.Line{Team: "t", Customer: fmt.Sprint("c", seq%10), Version: version.New("m", "1")}, Add: bill.Amount{Requests: 1}}
 				holders, _ := peer.NearHolders(n.Self.ID, n.Self.DataCentre, f.list.Members)
-				if f.callerIDs.Load() {
+				if f.useCallerIDs.Load() {
 					holders, _ = peer.Holders(record.RequestID, f.list.Members)
 				}
 				for _, member := range holders {
@@ -252,11 +253,11 @@
 var fleetSizes = []int{7, 35, 100, 350}
 
 const (
-	// maxCallerIDFleet is the largest fleet that is measured with ids that callers
+	// maxFleetWithCallerIDs is the largest fleet that is measured with ids that callers
 	// choose, because all of its connections must fit into one process.
-	maxCallerIDFleet = 100
-	settleTime       = 10 * time.Second
-	measureTime      = 8 * time.Second
+	maxFleetWithCallerIDs = 100
+	settleTime            = 10 * time.Second
+	measureTime           = 8 * time.Second
 	// heartbeatSpacing is the measuring time per node. It is slightly longer than the
 	// time by which a node's heartbeat interval grows with each node of the fleet, so
 	// that a measurement includes a heartbeat of each node.
@@ -297,11 +298,11 @@
 	f.runEntries(ctx, &entries)
 	time.Sleep(2 * time.Second)
 	f.measureSteady(r, variant, "control")
-	if n <= maxCallerIDFleet {
-		f.callerIDs.Store(true)
+	if n <= maxFleetWithCallerIDs {
+		f.useCallerIDs.Store(true)
 		time.Sleep(2 * time.Second)
 		f.measureSteady(r, variant, "control-named-ids")
-		f.callerIDs.Store(false)
+		f.useCallerIDs.Store(false)
 	}
 	// All nodes share one machine: the simulated entries would use processor time that
 	// the next measurements need.
@@ -313,7 +314,9 @@
 }
 
 // measureSteady measures a fleet without configuration changes. The processor time
-// is that of the whole process, which includes stand-ins and simulated entries.
+// is that of the whole process, which includes stand-ins and simulated entries. Peer
+// traffic is counted at the listening end only and doubled, because both ends of a
+// connection are nodes.
 func (f *fleet) measureSteady(r *Report, variant, item string) {
 	bills0 := f.heldBills.Load()
 	peer0, load0, cpu0 := f.peerBytes.Load(), f.loadBytes.Load(), cpuSeconds()
--- a/measure/overload.go
+++ b/measure/overload.go
@@ -27,7 +27,7 @@
 	name string
 	// limits enables the real limiter and deadlines at the engines.
 	limits bool
-	// bounded limits the engines' queues to queueLimit.
+	// bounded limits the engines' queues to queueLimit; without it they are unbounded.
 	bounded bool
 	// budget limits retries by the real retry budget.
 	budget bool
@@ -55,10 +55,13 @@
 	rule     overloadRule
 	rng      *rand.Rand
 	replicas []*simulatedReplica
+	// lost is the number of replicas that are lost, the first ones of replicas.
 	lost     int
 	limiters []*admission.Limiter
 	budgets  []*admission.RetryBudget
 	choosers []*pool.Chooser[pool.TwoChoices]
+	// reported holds the replicas by router, with the load of the router's last report;
+	// local holds the number of the router's own requests on each replica.
 	reported [][]pool.Replica
 	local    [][]int
 
@@ -244,8 +247,8 @@
 // startQueued starts queued requests while the replica has free slots.
 func (o *overloadSimulation) startQueued(f *simulatedReplica) {
 	for f.running < slotsPerReplica && len(f.queue) > 0 {
-		j := f.queue[0]
+		start := f.queue[0]
 		f.queue = f.queue[1:]
-		j()
+		start()
 	}
 }
--- a/measure/placement.go
+++ b/measure/placement.go
@@ -31,11 +31,12 @@
 	meanServiceTime = 1.0
 )
 
-// chooseFunc picks one of the candidates for a session.
+// chooseFunc returns the index of the candidate that a router chooses for a request
+// of the session.
 type chooseFunc func(router int, session string, c []pool.Candidate) int
 
 // placementRule is a placement rule to compare. fresh marks rules that see the
-// current load of all replicas, which no real router can; they are baselines.
+// current load of all replicas, which no real router can.
 type placementRule struct {
 	name       string
 	fresh      bool
@@ -224,8 +225,8 @@
 // startQueued starts queued requests while the replica has free slots.
 func (p *placementSimulation) startQueued(f *simulatedReplica) {
 	for f.running < slotsPerReplica && len(f.queue) > 0 {
-		j := f.queue[0]
+		start := f.queue[0]
 		f.queue = f.queue[1:]
-		j()
+		start()
 	}
 }
--- a/measure/clock.go
+++ b/measure/simulation.go
@@ -38,26 +38,26 @@
 }
 
 // at schedules f for the time t.
-func (r *simulation) at(t float64, f func()) {
-	r.scheduled++
-	heap.Push(&r.queue, event{t, r.scheduled, f})
+func (s *simulation) at(t float64, f func()) {
+	s.scheduled++
+	heap.Push(&s.queue, event{t, s.scheduled, f})
 }
 
 // after schedules f for d seconds from the current simulated time.
-func (r *simulation) after(d float64, f func()) { r.at(r.now+d, f) }
+func (s *simulation) after(d float64, f func()) { s.at(s.now+d, f) }
 
 // every schedules f at each multiple of d before the time until.
-func (r *simulation) every(d float64, until float64, f func()) {
+func (s *simulation) every(d float64, until float64, f func()) {
 	for t := d; t < until; t += d {
-		r.at(t, f)
+		s.at(t, f)
 	}
 }
 
 // run runs events until none is left.
-func (r *simulation) run() {
-	for len(r.queue) > 0 {
-		e := heap.Pop(&r.queue).(event)
-		r.now = e.at
+func (s *simulation) run() {
+	for len(s.queue) > 0 {
+		e := heap.Pop(&s.queue).(event)
+		s.now = e.at
 		e.run()
 	}
 }
@@ -66,7 +66,7 @@
 var epoch = time.Unix(1_700_000_000, 0)
 
 // wallTime converts the current simulated time for code that takes a time.Time.
-func (r *simulation) wallTime() time.Time { return epoch.Add(seconds(r.now)) }
+func (s *simulation) wallTime() time.Time { return epoch.Add(seconds(s.now)) }
 
 // seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
