--- a/measure/rollout.go
+++ b/measure/rollout.go
@@ -46,8 +46,8 @@
 
 // simulateExposure simulates a version that is bad from the start. It returns the
 // number of requests that the version receives until no instance sends it any, and
-// the time in seconds until the detector trips. If pooled is false, each instance
-// uses only its own evidence.
+// the time in seconds until the last detector trips. If pooled is false, each
+// instance uses only its own evidence; otherwise one detector uses all evidence.
 func simulateExposure(rng *rand.Rand, share, badRate float64, pooled bool) (float64, float64) {
 	detectors := make([]rollout.Detector, routerCount)
 	outcomes := make([]rollout.Outcomes, routerCount)
