--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,6 +1,7 @@
-// Package admission decides whether a request is taken in at all. A request
-// that can't be answered in time is refused at once, with when to come back,
-// so that capacity goes to answers that are still wanted.
+// Package admission decides whether an instance accepts a request. A request
+// that can't be answered before its deadline is rejected immediately, together
+// with the earliest useful retry time, so that capacity is spent on responses
+// that a client still waits for.
 package admission
 
 import (
@@ -8,137 +9,142 @@
 	"time"
 )
 
-// Refusal is a final answer of "not run", and when to ask again.
+// Refusal is the rejection of a request that was not executed. RetryAt is the
+// time from which a retry is useful.
 type Refusal struct {
 	Reason  Reason
 	RetryAt time.Time
 }
 
-// Reason names why a request was refused.
+// Reason is the cause of a rejection.
 type Reason string
 
-// The reasons for a refusal.
+// The causes of a rejection.
 const (
-	// Late: the deadline can't be met.
-	Late Reason = "deadline_cannot_be_met"
-	// Share: the customer has its fair share and capacity is short.
-	Share Reason = "fair_share"
-	// Full: the limit is reached.
-	Full Reason = "capacity"
+	// DeadlineUnreachable: the request would finish after its deadline.
+	DeadlineUnreachable Reason = "deadline_cannot_be_met"
+	// FairShareReached: capacity is short and the customer already uses its fair share.
+	FairShareReached Reason = "fair_share"
+	// LimitReached: the concurrency limit is reached.
+	LimitReached Reason = "capacity"
 	// NoReplica: no backend server has the version loaded.
 	NoReplica Reason = "no_replica"
 )
 
 const (
-	// minLimit keeps a trickle going that finds recovered capacity.
+	// minLimit keeps a few requests running during an overload, so that the
+	// limiter notices when capacity has recovered.
 	minLimit = 2
 	maxLimit = 10_000
-	// startLimit is the limit before anything is known.
-	startLimit = 32
-	// backOff is what the limit shrinks to on a sign of overload.
-	backOff = 0.85
-	// calm is how long one shrinking lasts before the next.
-	calm = 200 * time.Millisecond
-	// crowded is the part of the limit from which shares count.
-	crowded = 0.75
-	// smoothing of the mean time of an answer.
-	smoothing = 0.1
+	// initialLimit is the concurrency limit before the first response.
+	initialLimit = 32
+	// limitDecreaseFactor is the factor applied to the limit on an overload signal.
+	limitDecreaseFactor = 0.85
+	// decreaseInterval is the minimum time between two decreases of the limit.
+	decreaseInterval = 200 * time.Millisecond
+	// shareThreshold is the fraction of the limit above which fair shares are enforced.
+	shareThreshold = 0.75
+	// responseTimeWeight is the weight of one response in the mean response time.
+	responseTimeWeight = 0.1
 )
 
-// Limiter bounds the requests that one instance has on one version or
-// service, shares the bound between customers and learns it from the answers:
-// it grows while they are in time and shrinks when they are late or refused.
-// It is not safe for concurrent use.
+// Limiter is an adaptive concurrency limit for the requests of one instance to
+// one version or service. It divides the limit between customers by weight. The
+// limit grows while responses arrive in time and shrinks when they are late or
+// rejected. It is not safe for concurrent use.
 type Limiter struct {
-	limit   float64
-	total   int
-	running map[string]int
-	shares  map[string]int
-	// mean is the smoothed seconds of an answer.
-	mean     float64
-	shrinkAt time.Time
+	limit              float64
+	inFlight           int
+	inFlightByCustomer map[string]int
+	shares             map[string]int
+	// meanSeconds is the exponentially weighted mean response time in seconds.
+	meanSeconds  float64
+	nextDecrease time.Time
 }
 
-// NewLimiter returns a limiter at its starting limit.
+// NewLimiter returns a limiter at its initial limit.
 func NewLimiter() *Limiter {
-	return &Limiter{limit: startLimit, running: map[string]int{}, shares: map[string]int{}}
+	return &Limiter{limit: initialLimit, inFlightByCustomer: map[string]int{}, shares: map[string]int{}}
 }
 
-// Admit takes the request in or says why not. queued is the work waiting at
-// the backend servers, by slot, in units of one answer's time.
+// Admit accepts the request and returns nil, or returns why it is rejected.
+// queued is the work that waits at the backend servers per slot, in units of
+// the mean response time.
 func (l *Limiter) Admit(customer string, share int, queued float64, now, deadline time.Time) *Refusal {
-	w := time.Duration((queued + 1) * l.mean * float64(time.Second))
-	if l.mean > 0 && now.Add(w).After(deadline) {
-		return &Refusal{Reason: Late, RetryAt: now.Add(l.drain(queued))}
+	w := time.Duration((queued + 1) * l.meanSeconds * float64(time.Second))
+	if l.meanSeconds > 0 && now.Add(w).After(deadline) {
+		return &Refusal{Reason: DeadlineUnreachable, RetryAt: now.Add(l.estimateWait(queued))}
 	}
-	if float64(l.total) >= l.limit {
-		return &Refusal{Reason: Full, RetryAt: now.Add(l.drain(1))}
+	if float64(l.inFlight) >= l.limit {
+		return &Refusal{Reason: LimitReached, RetryAt: now.Add(l.estimateWait(1))}
 	}
-	if float64(l.total) >= crowded*l.limit && l.overShare(customer, share) {
-		return &Refusal{Reason: Share, RetryAt: now.Add(l.drain(1))}
+	if float64(l.inFlight) >= shareThreshold*l.limit && l.usesFairShare(customer, share) {
+		return &Refusal{Reason: FairShareReached, RetryAt: now.Add(l.estimateWait(1))}
 	}
-	l.total++
-	l.running[customer]++
+	l.inFlight++
+	l.inFlightByCustomer[customer]++
 	l.shares[customer] = share
 	return nil
 }
 
-// drain is a guess of how long the given work takes.
-func (l *Limiter) drain(work float64) time.Duration {
-	s := math.Max(0.05, work*l.mean)
+// estimateWait estimates how long the given work takes, in units of the mean response
+// time. The result is between 50 ms and 30 s.
+func (l *Limiter) estimateWait(work float64) time.Duration {
+	s := math.Max(0.05, work*l.meanSeconds)
 	return time.Duration(math.Min(s, 30) * float64(time.Second))
 }
 
-// overShare reports whether the customer has at least its part of the limit
-// among those that have requests running.
-func (l *Limiter) overShare(customer string, share int) bool {
+// usesFairShare reports whether the customer uses at least its weighted part of the
+// limit. Only customers with requests in flight take part in the division.
+func (l *Limiter) usesFairShare(customer string, share int) bool {
 	t := share
-	for c, n := range l.running {
+	for c, n := range l.inFlightByCustomer {
 		if n > 0 && c != customer {
 			t += l.shares[c]
 		}
 	}
-	return float64(l.running[customer]) >= l.limit*float64(share)/float64(t)
+	return float64(l.inFlightByCustomer[customer]) >= l.limit*float64(share)/float64(t)
 }
 
-// Done gives the request's place back. took is the answer's time in seconds,
-// 0 if there was none; overload says that it was late or refused.
-func (l *Limiter) Done(customer string, took float64, overload bool, now time.Time) {
-	l.total--
-	if l.running[customer]--; l.running[customer] <= 0 {
-		delete(l.running, customer)
+// Done releases the slot of an accepted request. seconds is the response time in
+// seconds, 0 without a response; overload reports that the response was late or
+// that the backend server rejected the request.
+func (l *Limiter) Done(customer string, seconds float64, overload bool, now time.Time) {
+	l.inFlight--
+	if l.inFlightByCustomer[customer]--; l.inFlightByCustomer[customer] <= 0 {
+		delete(l.inFlightByCustomer, customer)
 		delete(l.shares, customer)
 	}
-	if took > 0 {
-		l.learn(took)
+	if seconds > 0 {
+		l.updateMean(seconds)
 	}
 	if overload {
-		l.shrink(now)
+		l.decreaseLimit(now)
 		return
 	}
-	if float64(l.total+1) >= l.limit/2 {
+	if float64(l.inFlight+1) >= l.limit/2 {
 		l.limit = math.Min(maxLimit, l.limit+1/l.limit)
 	}
 }
 
-func (l *Limiter) learn(took float64) {
-	if l.mean == 0 {
-		l.mean = took
+func (l *Limiter) updateMean(seconds float64) {
+	if l.meanSeconds == 0 {
+		l.meanSeconds = seconds
 		return
 	}
-	l.mean += smoothing * (took - l.mean)
+	l.meanSeconds += responseTimeWeight * (seconds - l.meanSeconds)
 }
 
-func (l *Limiter) shrink(now time.Time) {
-	if now.Before(l.shrinkAt) {
+func (l *Limiter) decreaseLimit(now time.Time) {
+	if now.Before(l.nextDecrease) {
 		return
 	}
-	l.limit = math.Max(minLimit, l.limit*backOff)
-	l.shrinkAt = now.Add(calm)
+	l.limit = math.Max(minLimit, l.limit*limitDecreaseFactor)
+	l.nextDecrease = now.Add(decreaseInterval)
 }
 
-// Limit returns the bound in force.
+// Limit returns the current concurrency limit.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
-// Running returns the requests taken in and not done.
-func (l *Limiter) Running() int { return l.total }
+// InFlight returns the number of accepted requests that have not finished.
+func (l *Limiter) InFlight() int { return l.inFlight }
--- a/admission/breaker.go
+++ b/admission/breaker.go
@@ -6,98 +6,104 @@
 )
 
 const (
-	// breakAfter failures in a row open a breaker.
-	breakAfter  = 5
-	firstBreak  = time.Second
-	longestStop = 30 * time.Second
-	// window is how many outcomes the rate of failures is taken from, and
-	// minFailures how many of them must be failures: fewer happen by chance.
-	window      = 20
-	minFailures = 4
-	// badRate is the part of failures from which a backend server is worse
-	// than sound ones are at any time; badTimes is how many times the usual
-	// rate of its kind it must have as well.
-	badRate  = 0.25
-	badTimes = 3
-	// relapse is how soon after a stop the next one counts as its
-	// continuation and lasts longer.
-	relapse = 15 * time.Second
+	// failuresToOpen is the number of consecutive failures that opens a breaker.
+	failuresToOpen    = 5
+	initialOpenPeriod = time.Second
+	maxOpenPeriod     = 30 * time.Second
+	// outcomeWindow is the number of recent outcomes over which the failure rate
+	// is computed. At least minFailures of them must be failures, since fewer
+	// occur by chance.
+	outcomeWindow = 20
+	minFailures   = 4
+	// A breaker opens on the failure rate only if the rate is at least
+	// minFailureRate, which healthy backend servers never reach, and at least
+	// usualRateFactor times the usual rate of the other servers of its kind.
+	minFailureRate  = 0.25
+	usualRateFactor = 3
+	// relapsePeriod follows each open period. A breaker that opens again within
+	// it stays open for longer.
+	relapsePeriod = 15 * time.Second
 )
 
-// Breaker keeps requests from a backend server that fails them in a row, or
-// fails many more of them than others of its kind do. It is not safe for
-// concurrent use.
+// Breaker is the circuit breaker of one backend server. It opens on consecutive
+// failures, or when the server fails a much larger fraction of its requests than
+// others of its kind. It is not safe for concurrent use.
 type Breaker struct {
-	failures int
-	// recent holds a bit for each of the last outcomes, 1 for a failure.
-	recent uint32
-	seen   int
-	// retryAt is when one request may try again; zero while closed.
-	retryAt time.Time
-	stop    time.Duration
-	// relapseUntil is until when another stop is longer than the last.
+	consecutiveFailures int
+	// outcomes holds one bit for each recent outcome, 1 for a failure.
+	outcomes     uint32
+	outcomeCount int
+	// probeAt is when a request may probe the server; zero while the breaker is
+	// closed.
+	probeAt    time.Time
+	openPeriod time.Duration
+	// relapseUntil is the end of the relapse period: opening before it doubles
+	// the open period.
 	relapseUntil time.Time
 }
 
-// Allows reports whether a request may go to the backend server now.
+// Allows reports whether a request may be sent to the backend server now.
 func (b *Breaker) Allows(now time.Time) bool {
-	return b.retryAt.IsZero() || !now.Before(b.retryAt)
+	return b.probeAt.IsZero() || !now.Before(b.probeAt)
 }
 
-// Tried is called when a request is sent: of those that an open breaker
-// lets through, one goes and the rest wait for its result.
+// Tried records that a request was sent. While the breaker is open, it postpones
+// the next probe by another open period, so that a single request probes the
+// server and others are held back until its result.
 func (b *Breaker) Tried(now time.Time) {
-	if !b.retryAt.IsZero() {
-		b.retryAt = now.Add(b.stop)
+	if !b.probeAt.IsZero() {
+		b.probeAt = now.Add(b.openPeriod)
 	}
 }
 
-// Succeeded closes the breaker.
+// Succeeded records a success and closes the breaker.
 func (b *Breaker) Succeeded() {
-	b.failures = 0
-	b.retryAt = time.Time{}
-	b.note(0)
+	b.consecutiveFailures = 0
+	b.probeAt = time.Time{}
+	b.recordOutcome(0)
 }
 
-// Failed opens it after breakAfter failures in a row, for twice as long each
-// time that the try after it fails too. usual is the rate of failures of
-// others of its kind, from 0 to 1.
-func (b *Breaker) Failed(now time.Time, usual float64) {
-	b.failures++
-	b.note(1)
-	if b.failures >= breakAfter || !b.retryAt.IsZero() || b.isWorse(usual) {
+// Failed records a failure. It opens the breaker after failuresToOpen
+// consecutive failures, on an excessive failure rate, or when the probe of an
+// open breaker fails; each failed probe doubles the open period. usualRate is the
+// failure rate of the other servers of its kind, from 0 to 1.
+func (b *Breaker) Failed(now time.Time, usualRate float64) {
+	b.consecutiveFailures++
+	b.recordOutcome(1)
+	if b.consecutiveFailures >= failuresToOpen || !b.probeAt.IsZero() || b.isWorse(usualRate) {
 		b.Open(now)
 	}
 }
 
-func (b *Breaker) note(bit uint32) {
-	b.recent = (b.recent<<1 | bit) & (1<<window - 1)
-	b.seen = min(window, b.seen+1)
+func (b *Breaker) recordOutcome(bit uint32) {
+	b.outcomes = (b.outcomes<<1 | bit) & (1<<outcomeWindow - 1)
+	b.outcomeCount = min(outcomeWindow, b.outcomeCount+1)
 }
 
-// isWorse reports whether the failures are more than chance and than usual.
-func (b *Breaker) isWorse(usual float64) bool {
-	n := bits.OnesCount32(b.recent)
+// isWorse reports whether the failure rate exceeds both what occurs by chance and
+// the usual rate by the required factor.
+func (b *Breaker) isWorse(usualRate float64) bool {
+	n := bits.OnesCount32(b.outcomes)
 	r := b.Rate()
-	return n >= minFailures && r >= badRate && r >= badTimes*usual
+	return n >= minFailures && r >= minFailureRate && r >= usualRateFactor*usualRate
 }
 
-// Rate is the part of failures among the recent outcomes.
+// Rate returns the fraction of failures among the recent outcomes.
 func (b *Breaker) Rate() float64 {
-	if b.seen == 0 {
+	if b.outcomeCount == 0 {
 		return 0
 	}
-	return float64(bits.OnesCount32(b.recent)) / float64(b.seen)
+	return float64(bits.OnesCount32(b.outcomes)) / float64(b.outcomeCount)
 }
 
-// Open stops requests at once, for a backend server that can't be reached or
-// fails too many.
+// Open opens the breaker immediately, such as for a backend server that can't be
+// reached.
 func (b *Breaker) Open(now time.Time) {
 	if now.After(b.relapseUntil) {
-		b.stop = 0
+		b.openPeriod = 0
 	}
-	b.stop = min(longestStop, max(firstBreak, 2*b.stop))
-	b.retryAt = now.Add(b.stop)
-	b.relapseUntil = b.retryAt.Add(relapse)
-	b.recent, b.seen = 0, 0
+	b.openPeriod = min(maxOpenPeriod, max(initialOpenPeriod, 2*b.openPeriod))
+	b.probeAt = now.Add(b.openPeriod)
+	b.relapseUntil = b.probeAt.Add(relapsePeriod)
+	b.outcomes, b.outcomeCount = 0, 0
 }
--- a/admission/retry.go
+++ b/admission/retry.go
@@ -1,13 +1,13 @@
 package admission
 
-// Retries may be at most a fixed part of requests, so that a failing backend
-// server is not hit harder than a sound one.
+// Retries are limited to a fixed fraction of the requests, so that a failing
+// backend server does not receive more load than a healthy one.
 const (
-	retryPart   = 0.1
-	retryTokens = 10
+	retryRatio = 0.1
+	maxTokens  = 10
 )
 
-// RetryBudget says whether a retry may be made. It is not safe for
+// RetryBudget is a token bucket that limits retries. It is not safe for
 // concurrent use.
 type RetryBudget struct {
 	tokens float64
@@ -15,15 +15,15 @@
 
 // NewRetryBudget returns a full budget.
 func NewRetryBudget() *RetryBudget {
-	return &RetryBudget{tokens: retryTokens}
+	return &RetryBudget{tokens: maxTokens}
 }
 
-// Request earns the part of a retry that one request allows.
+// Request adds the fraction of a token that one request earns.
 func (b *RetryBudget) Request() {
-	b.tokens = min(retryTokens, b.tokens+retryPart)
+	b.tokens = min(maxTokens, b.tokens+retryRatio)
 }
 
-// Retry takes one retry and reports whether there was one left.
+// Retry takes one token and reports whether one was available.
 func (b *RetryBudget) Retry() bool {
 	if b.tokens < 1 {
 		return false
--- a/admission/window.go
+++ b/admission/window.go
@@ -3,68 +3,70 @@
 import "time"
 
 const (
-	// budgetWindow is the span over which repeats are held against requests,
-	// and slots how finely it slides.
-	budgetWindow = 10 * time.Second
-	slots        = 20
+	// windowLength is the period over which retries are compared with requests.
+	// The window slides in steps of a slot, slotCount of which make up the window.
+	windowLength = 10 * time.Second
+	slotCount    = 20
 )
 
-// Repeats bounds how much more often requests reach a service than they came
-// in, so that failing backend servers are not hit harder than sound ones.
+// Repeats limits the retries of a service's requests, so that failing backend
+// servers do not receive much more load than healthy ones.
 type Repeats struct {
-	// Part is the repeats that each request allows.
+	// Part is the number of retries that each request earns.
 	Part float64
-	// Burst is allowed on top, fleet-wide, in any span of the window.
+	// Burst is the number of further retries that the whole fleet may make in any
+	// period of the window's length.
 	Burst float64
 }
 
-// Window counts requests and repeats of one service over the last seconds.
+// Window counts the requests and retries of one service in a sliding window.
 // It is not safe for concurrent use.
 type Window struct {
 	limit    Repeats
-	requests [slots]float64
-	repeats  [slots]float64
-	// newest is the number of the slot that now falls into.
+	requests [slotCount]float64
+	retries  [slotCount]float64
+	// newest is the number of the latest slot, counted since the Unix epoch.
 	newest int64
 }
 
-// NewWindow returns a window in which nothing was counted.
+// NewWindow returns an empty window with the given limit.
 func NewWindow(r Repeats) *Window { return &Window{limit: r} }
 
-// Request counts a request.
+// Request records a request.
 func (w *Window) Request(now time.Time) {
-	w.requests[w.slot(now)]++
+	w.requests[w.advance(now)]++
 }
 
-// Rate returns how many requests a second there were lately.
+// Rate returns the mean number of requests per second in the window.
 func (w *Window) Rate(now time.Time) float64 {
-	w.slot(now)
-	return sum(w.requests) / budgetWindow.Seconds()
+	w.advance(now)
+	return sum(w.requests) / windowLength.Seconds()
 }
 
-// Repeat counts a repeat and reports whether it is allowed. share is this
-// instance's part of what the fleet is allowed on top; reserve is the part of
-// the allowance that is to be left for others.
+// Repeat reports whether a retry is allowed, and records it if so. share is the
+// fraction of the fleet-wide burst that belongs to this instance; reserve is the
+// fraction of the allowance that this kind of retry must leave to other kinds.
 func (w *Window) Repeat(now time.Time, share, reserve float64) bool {
-	i := w.slot(now)
-	if sum(w.repeats)+1 > w.limit.Part*(1-reserve)*sum(w.requests)+w.limit.Burst*share*(1-reserve) {
+	i := w.advance(now)
+	if sum(w.retries)+1 > w.limit.Part*(1-reserve)*sum(w.requests)+w.limit.Burst*share*(1-reserve) {
 		return false
 	}
-	w.repeats[i]++
+	w.retries[i]++
 	return true
 }
 
-// slot returns the index for now and empties the slots passed since.
-func (w *Window) slot(now time.Time) int64 {
-	n := now.UnixNano() / int64(budgetWindow/slots)
-	for i := max(w.newest+1, n-slots+1); i <= n; i++ {
-		w.requests[i%slots], w.repeats[i%slots] = 0, 0
+// advance clears the slots that have become current since the last call and
+// returns the index of the current slot.
+func (w *Window) advance(now time.Time) int64 {
+	n := now.UnixNano() / int64(windowLength/slotCount)
+	for i := max(w.newest+1, n-slotCount+1); i <= n; i++ {
+		w.requests[i%slotCount], w.retries[i%slotCount] = 0, 0
 	}
 	w.newest = max(w.newest, n)
-	return w.newest % slots
+	return w.newest % slotCount
 }
 
-func sum(l [slots]float64) float64 {
+func sum(l [slotCount]float64) float64 {
 	t := 0.0
 	for _, x := range l {
 		t += x
--- a/admission/window_test.go
+++ b/admission/window_test.go
@@ -12,36 +12,37 @@
 
 var _ = seed.Fix()
 
-// In any span of the window the repeats stay within the part of the requests
-// of that span and the one before, and what is allowed on top.
-func TestRepeatsStayWithinTheWindow(t *testing.T) {
+// In every period of nearly the window's length, the retries must not exceed the
+// given fraction of the requests plus the burst. A window that clears its slots
+// too early or too late would allow more.
+func TestRetriesStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := admission.Repeats{Part: 0.8, Burst: 5}
-		w := admission.NewWindow(l)
+		limit := admission.Repeats{Part: 0.8, Burst: 5}
+		w := admission.NewWindow(limit)
 		now := noon
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
 			if rapid.IntRange(0, 2).Draw(t, "what") == 0 {
 				w.Request(now)
 				requests = append(requests, now)
 			} else if w.Repeat(now, 1, 0) {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
-		for _, end := range repeats {
-			q := within(requests, end.Add(-10*time.Second), end)
-			p := within(repeats, end.Add(-9500*time.Millisecond), end)
-			if float64(p) > l.Part*float64(q)+l.Burst {
-				t.Fatalf("%d repeats beside %d requests", p, q)
+		for _, end := range retries {
+			q := countBetween(requests, end.Add(-10*time.Second), end)
+			p := countBetween(retries, end.Add(-9500*time.Millisecond), end)
+			if float64(p) > limit.Part*float64(q)+limit.Burst {
+				t.Fatalf("got %d retries beside %d requests, which is more than the limit allows", p, q)
 			}
 		}
 	})
 }
 
-func within(l []time.Time, from, to time.Time) int {
+func countBetween(times []time.Time, from, to time.Time) int {
 	n := 0
-	for _, x := range l {
+	for _, x := range times {
 		if !x.Before(from) && !x.After(to) {
 			n++
 		}
@@ -49,7 +50,9 @@
 	return n
 }
 
-func TestReserveLeavesRepeatsForFailures(t *testing.T) {
+// Retries with a reserve must leave that fraction of the allowance to retries
+// without one, such as those after a failure.
+func TestReserveLeavesRetriesForFailures(t *testing.T) {
 	w := admission.NewWindow(admission.Repeats{Part: 1})
 	for range 100 {
 		w.Request(noon)
@@ -62,9 +65,9 @@
 		n++
 	}
 	if n != 100 {
-		t.Errorf("%d repeats in all, want 100", n)
+		t.Errorf("got %d retries in total, want 100", n)
 	}
 	if w.Repeat(noon, 1, 0) || !w.Repeat(noon.Add(time.Minute), 1, 0) == false {
-		t.Error("what was counted a minute ago still counts, or repeats without requests are allowed")
+		t.Error("a retry is allowed with the allowance used up, or a minute later without any request in the window")
 	}
 }
