--- a/policy/compile.go
+++ b/policy/compile.go
@@ -12,41 +12,42 @@
 	"fieldvale/version"
 )
 
-// maxSteps bounds the Starlark steps of loading a program and of each call
-// of its functions. A program that needs more is refused by check and accept.
-const maxSteps = 100_000
+// maxExecutionSteps bounds the Starlark execution steps for loading a program and
+// for each call of its functions. The check and accept commands reject a program
+// that needs more.
+const maxExecutionSteps = 100_000
 
-// maxPlan is the largest number of steps in a plan.
-const maxPlan = 4
+// maxPlanSteps is the largest number of cascade steps in a plan.
+const maxPlanSteps = 4
 
 const programName = "policy.star"
 
-// Compile runs the program over everything that the catalogue declares. The
-// errors name the call that failed; all faults found are returned.
+// Compile evaluates the program for every combination of inputs that the
+// catalogue declares. It returns all errors found; each names the call that failed.
 func Compile(s Source) (*Table, []error) {
 	if e := s.Catalog.Validate(); len(e) > 0 {
 		return nil, e
 	}
-	p, err := load(s.Program)
+	p, err := loadProgram(s.Program)
 	if err != nil {
 		return nil, []error{err}
 	}
-	t := &Table{catalog: s.Catalog, allow: map[grant]bool{}, plans: map[question]Plan{}}
-	e := p.fillAllow(t)
-	e = append(e, p.fillPlans(t)...)
+	t := &Table{catalog: s.Catalog, allow: map[permissionKey]bool{}, plans: map[decisionKey]Plan{}}
+	e := p.compilePermissions(t)
+	e = append(e, p.compilePlans(t)...)
 	if len(e) > 0 {
 		return nil, e
 	}
 	return t, nil
 }
 
-// program is a loaded policy program with its two functions.
+// program holds the two functions of a loaded policy program.
 type program struct {
 	allow starlark.Value
 	route starlark.Value
 }
 
-func load(text string) (*program, error) {
+func loadProgram(text string) (*program, error) {
 	o := &syntax.FileOptions{}
 	h := newThread("load")
 	g, err := starlark.ExecFileOptions(o, h, programName, text, builtins())
@@ -65,16 +66,16 @@
 
 func newThread(name string) *starlark.Thread {
 	h := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
-	h.SetMaxExecutionSteps(maxSteps)
+	h.SetMaxExecutionSteps(maxExecutionSteps)
 	return h
 }
 
 func builtins() starlark.StringDict {
-	return starlark.StringDict{"step": starlark.NewBuiltin("step", newStep)}
+	return starlark.StringDict{"step": starlark.NewBuiltin("step", callStep)}
 }
 
-// newStep is the program's step(model, accept=0).
-func newStep(_ *starlark.Thread, b *starlark.Builtin, a starlark.Tuple, k []starlark.Tuple) (starlark.Value, error) {
+// callStep implements the built-in function step(model, accept=0).
+func callStep(_ *starlark.Thread, b *starlark.Builtin, a starlark.Tuple, k []starlark.Tuple) (starlark.Value, error) {
 	var m string
 	var x starlark.Value = starlark.Float(0)
 	if err := starlark.UnpackArgs(b.Name(), a, k, "model", &m, "accept?", &x); err != nil {
@@ -82,7 +83,7 @@
 	}
 	f, ok := starlark.AsFloat(x)
 	if !ok || f < 0 || f > 1 {
-		return nil, errors.Newf("step(%q): accept %s is not between 0 and 1", m, x)
+		return nil, errors.Newf("step(%q): accept is %s, want a number between 0 and 1", m, x)
 	}
 	return starlarkstruct.FromStringDict(starlark.String("step"), starlark.StringDict{"model": starlark.String(m), "accept": starlark.Float(f)}), nil
 }
@@ -91,7 +92,7 @@
 	return starlarkstruct.FromStringDict(starlark.String("customer"), starlark.StringDict{"name": starlark.String(c.Name), "tier": starlark.String(c.Tier)})
 }
 
-func (p *program) fillAllow(t *Table) []error {
+func (p *program) compilePermissions(t *Table) []error {
 	var e []error
 	for _, c := range t.catalog.Customers {
 		for _, v := range t.catalog.Versions {
@@ -100,7 +101,7 @@
 				e = append(e, err)
 				continue
 			}
-			t.allow[grant{c.Name, v.ID}] = ok
+			t.allow[permissionKey{c.Name, v.ID}] = ok
 		}
 	}
 	return e
@@ -113,12 +114,12 @@
 	}
 	b, ok := r.(starlark.Bool)
 	if !ok {
-		return false, errors.Newf("allow(%s, %s, %s) gave %s, want True or False", c.Name, v.Model, v.Name, r)
+		return false, errors.Newf("allow(%s, %s, %s) returned %s, want True or False", c.Name, v.Model, v.Name, r)
 	}
 	return bool(b), nil
 }
 
-func (p *program) fillPlans(t *Table) []error {
+func (p *program) compilePlans(t *Table) []error {
 	var e []error
 	for _, c := range t.catalog.Customers {
 		for _, k := range taskNames(t.catalog) {
@@ -128,7 +129,7 @@
 					e = append(e, err)
 					continue
 				}
-				t.plans[question{c.Name, k, z}] = s
+				t.plans[decisionKey{c.Name, k, z}] = s
 			}
 		}
 	}
@@ -146,7 +147,7 @@
 }
 
 func (p *program) callRoute(t *Table, c catalog.Customer, task string, z Size) (Plan, error) {
-	q := question{c.Name, task, z}
+	q := decisionKey{c.Name, task, z}
 	r, err := starlark.Call(newThread("route"), p.route, starlark.Tuple{customerValue(c), starlark.String(task), starlark.String(z.String())}, nil)
 	if err != nil {
 		return nil, errors.Wrapf(err, "route(%s)", q)
@@ -161,10 +162,10 @@
 func readPlan(v starlark.Value) (Plan, error) {
 	l, ok := v.(starlark.Sequence)
 	if !ok {
-		return nil, errors.Newf("gave %s, want a list of step(model, accept=0)", v)
+		return nil, errors.Newf("returned %s, want a list of step(model, accept=0)", v)
 	}
-	if l.Len() > maxPlan {
-		return nil, errors.Newf("gave %d steps, at most %d are allowed", l.Len(), maxPlan)
+	if l.Len() > maxPlanSteps {
+		return nil, errors.Newf("returned a plan of %d steps, want at most %d", l.Len(), maxPlanSteps)
 	}
 	var p Plan
 	i := l.Iterate()
@@ -183,7 +184,7 @@
 func readStep(v starlark.Value) (Step, error) {
 	s, ok := v.(*starlarkstruct.Struct)
 	if !ok || s.Constructor() != starlark.String("step") {
-		return Step{}, errors.Newf("holds %s, want step(model, accept=0)", v)
+		return Step{}, errors.Newf("plan contains %s, want step(model, accept=0)", v)
 	}
 	m, err := s.Attr("model")
 	if err != nil {
@@ -198,21 +199,21 @@
 	return Step{Model: n, Accept: f}, nil
 }
 
-// checkPlan refuses a plan that names a model without a version that the
-// customer may use, or whose last step may reject its own answer.
+// checkPlan returns an error if the plan names a model of which the customer may
+// use no version, or if its last step sets a threshold for accepting the answer.
 func (t *Table) checkPlan(customer string, p Plan) error {
 	for _, s := range p {
-		if !t.allowsSome(customer, s.Model) {
-			return errors.Newf("names model %q, of which %s is allowed no version", s.Model, customer)
+		if !t.allowsAnyVersion(customer, s.Model) {
+			return errors.Newf("plan names model %q, but customer %s is allowed none of its versions", s.Model, customer)
 		}
 	}
 	if n := len(p); n > 0 && p[n-1].Accept != 0 {
-		return errors.Newf("ends with accept=%g, but no step is left to try", p[n-1].Accept)
+		return errors.Newf("last step of the plan has accept=%g, want 0 because no further step follows", p[n-1].Accept)
 	}
 	return nil
 }
 
-func (t *Table) allowsSome(customer, model string) bool {
+func (t *Table) allowsAnyVersion(customer, model string) bool {
 	for _, v := range t.catalog.Versions {
 		if v.ID.Model == model && t.Allows(customer, v.ID) {
 			return true
@@ -221,7 +222,8 @@
 	return false
 }
 
-// String returns the step as test cases state it: "MODEL" or "MODEL accept X".
+// String returns the step in the notation of test cases: "MODEL" or
+// "MODEL accept X".
 func (s Step) String() string {
 	if s.Accept == 0 {
 		return s.Model
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -15,8 +15,8 @@
 
 var _ = seed.Fix()
 
-// Each file of testdata is a policy directory with the errors that must come
-// out, one a line; none if it is sound.
+// Each file in testdata is a policy directory together with the expected errors,
+// one per line; a valid policy expects none.
 func TestPolicies(t *testing.T) {
 	l, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(l) == 0 {
@@ -37,15 +37,16 @@
 				}
 				files[x.Name] = string(x.Data)
 			}
-			if g := strings.Join(faults(files), "\n"); !matches(g, want) {
+			if g := strings.Join(compileErrors(files), "\n"); !matchesLines(g, want) {
 				t.Errorf("got\n%s\nwant\n%s", g, want)
 			}
 		})
 	}
 }
 
-// matches reports whether each line of got holds that line of want.
-func matches(got, want string) bool {
+// matchesLines reports whether got and want have the same number of lines and each
+// line of got contains the corresponding line of want.
+func matchesLines(got, want string) bool {
 	g, w := strings.Split(got, "\n"), strings.Split(want, "\n")
 	if want == "" || len(g) != len(w) {
 		return got == want
@@ -58,7 +59,7 @@
 	return true
 }
 
-func faults(files map[string]string) []string {
+func compileErrors(files map[string]string) []string {
 	var r []string
 	s, e := policyfile.Parse(files)
 	if len(e) == 0 {
@@ -73,8 +74,9 @@
 	return r
 }
 
-// Whatever a program's functions give for its inputs, a compiled table never
-// plans a model of which the customer is allowed no version.
+// Guards against plans that no backend server may run: whatever a program's
+// functions return, a compiled table must never plan a model of which the customer
+// may use no version.
 func TestPlansNameAllowedModelsOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		allow := rapid.SampledFrom([]string{"True", "False", `model == "a"`, `customer.name == "x"`, `version == "2"`}).Draw(t, "allow")
@@ -99,7 +101,7 @@
 						ok = ok || v.ID.Model == x.Model && b.Allows(c.Name, v.ID)
 					}
 					if !ok {
-						t.Fatalf("%s is sent to %s", c.Name, x.Model)
+						t.Fatalf("got a plan for %s with model %s, want only models of which it may use a version", c.Name, x.Model)
 					}
 				}
 			}
--- a/policy/size.go
+++ b/policy/size.go
@@ -1,28 +1,28 @@
 package policy
 
-// Size is the class of a request's length, the finest measure of the prompt
-// that a policy program sees.
+// Size is the size class of a request's prompt. A policy program gets no finer
+// information on the prompt.
 type Size int
 
-// The size classes, by estimated prompt tokens.
+// The size classes, by estimated number of prompt tokens.
 const (
 	Small Size = iota
 	Medium
 	Large
 )
 
-// Upper bounds in tokens of the classes below Large.
+// Upper bounds of the classes below Large, in tokens.
 const (
 	smallTokens  = 256
 	mediumTokens = 2048
 )
 
-// Sizes lists the classes in order.
+// Sizes returns all classes in ascending order.
 func Sizes() []Size {
 	return []Size{Small, Medium, Large}
 }
 
-// SizeOf returns the class of a prompt of that many tokens.
+// SizeOf returns the class of a prompt with the given number of tokens.
 func SizeOf(tokens int) Size {
 	switch {
 	case tokens <= smallTokens:
@@ -33,7 +33,7 @@
 	return Large
 }
 
-// ParseSize returns the class of that name.
+// ParseSize returns the class with the given name.
 func ParseSize(s string) (Size, bool) {
 	for _, z := range Sizes() {
 		if z.String() == s {
@@ -43,7 +43,7 @@
 	return Small, false
 }
 
-// String returns the name that programs and test cases use.
+// String returns the name of the class in policy programs and test cases.
 func (s Size) String() string {
 	return [...]string{"small", "medium", "large"}[s]
 }
--- a/policy/source.go
+++ b/policy/source.go
@@ -1,12 +1,13 @@
 // Package policy compiles an operator's policy program into an immutable
 // table of decisions.
 //
-// The program's functions see only a customer, a version, a task and a size
-// class, all of which come from finite sets that the catalogue declares. So
-// the program is run over all of them once, when a revision is checked or
-// activated, and a request's decision is a look-up that can't fail, loop or
-// reach anything that accept has not seen. docs/decisions/policy.md has the
-// figures against evaluating the program on each request.
+// The arguments of the program's functions are a customer, a version, a task and
+// a size class, all of which come from finite sets that the catalogue declares.
+// The program is therefore evaluated once for all combinations, when a revision is
+// checked or activated. The decision for a request is a table look-up, which can't
+// fail, loop or give a result that was not checked when the policy was accepted.
+// docs/decisions/policy.md compares this with evaluating the program on each
+// request.
 package policy
 
 import (
@@ -16,28 +17,30 @@
 	"fieldvale/version"
 )
 
-// Source is what an operator writes: the program, the catalogue that it
-// speaks of, and the test cases that it must pass.
+// Source is a policy as written by an operator: the program, the catalogue that
+// it refers to, and the test cases that it must pass.
 type Source struct {
 	Program string
 	Catalog catalog.Catalog
 	Cases   []Case
-	// Files are the texts by file name as the operator wrote them.
+	// Files holds the operator's unmodified files by name.
 	Files map[string]string
 }
 
 // Step is one attempt of a cascade.
 type Step struct {
 	Model string
-	// Accept is the least rating, from 0 to 1, with which this step's answer
-	// is good enough. 0 takes the answer unrated; the last step is always 0.
+	// Accept is the lowest rating, from 0 to 1, at which this step's answer is
+	// accepted. With 0 the answer is accepted without a rating; the last step
+	// always has 0.
 	Accept float64
 }
 
-// Plan lists the models to try in order, cheapest first.
+// Plan lists the steps of a cascade in the order in which they are tried, cheapest
+// model first.
 type Plan []Step
 
-// String returns the plan in the form that test cases state it.
+// String returns the plan in the notation of test cases.
 func (p Plan) String() string {
 	s := make([]string, len(p))
 	for i, x := range p {
@@ -46,8 +49,9 @@
 	return strings.Join(s, ", ")
 }
 
-// Case is one test of a policy: what must come out for a request, and which
-// versions the customer must and must not be allowed.
+// Case is a test case of a policy. Want is the expected plan for a request, or
+// empty to check none; Allow and Deny list versions that the customer must and
+// must not be allowed to use.
 type Case struct {
 	Name     string
 	Customer string
--- a/policy/table.go
+++ b/policy/table.go
@@ -11,46 +11,48 @@
 	"fieldvale/version"
 )
 
-// Table holds every decision of one compiled policy. It is immutable and safe
-// for use by many goroutines.
+// Table holds all decisions of one compiled policy. It is immutable and safe for
+// concurrent use.
 type Table struct {
 	catalog catalog.Catalog
-	allow   map[grant]bool
-	plans   map[question]Plan
+	allow   map[permissionKey]bool
+	plans   map[decisionKey]Plan
 }
 
-type grant struct {
+type permissionKey struct {
 	customer string
 	version  version.ID
 }
 
-type question struct {
+type decisionKey struct {
 	customer string
 	task     string
 	size     Size
 }
 
-// Catalog returns the catalogue that the table was compiled with.
+// Catalog returns the catalogue for which the table was compiled.
 func (t *Table) Catalog() catalog.Catalog {
 	return t.catalog
 }
 
 // Allows reports whether the customer may use the version.
 func (t *Table) Allows(customer string, v version.ID) bool {
-	return t.allow[grant{customer, v}]
+	return t.allow[permissionKey{customer, v}]
 }
 
 // Decide returns the plan for a request. A task that the catalogue does not
-// declare is decided as catalog.DefaultTask. An unknown customer gets no plan.
+// declare is treated as catalog.DefaultTask. The plan of an unknown customer is
+// empty.
 func (t *Table) Decide(customer, task string, size Size) Plan {
-	p, ok := t.plans[question{customer, task, size}]
+	p, ok := t.plans[decisionKey{customer, task, size}]
 	if ok {
 		return p
 	}
-	return t.plans[question{customer, catalog.DefaultTask, size}]
+	return t.plans[decisionKey{customer, catalog.DefaultTask, size}]
 }
 
-// Check runs the cases and returns one error for each that does not hold.
+// Check runs the test cases and returns an error for each expectation that is not
+// met.
 func (t *Table) Check(cases []Case) []error {
 	var e []error
 	for _, c := range cases {
@@ -63,43 +65,44 @@
 	var e []error
 	if c.Want != "" {
 		if g := t.Decide(c.Customer, c.Task, c.Size).String(); g != c.Want {
-			e = append(e, errors.Newf("case %s: route(%s, %s, %s) gave %q, want %q", c.Name, c.Customer, c.Task, c.Size, g, c.Want))
+			e = append(e, errors.Newf("case %s: route(%s, %s, %s) returned %q, want %q", c.Name, c.Customer, c.Task, c.Size, g, c.Want))
 		}
 	}
 	for _, v := range c.Allow {
 		if !t.Allows(c.Customer, v) {
-			e = append(e, errors.Newf("case %s: %s is not allowed %s", c.Name, c.Customer, v))
+			e = append(e, errors.Newf("case %s: customer %s may not use %s, want allowed", c.Name, c.Customer, v))
 		}
 	}
 	for _, v := range c.Deny {
 		if t.Allows(c.Customer, v) {
-			e = append(e, errors.Newf("case %s: %s is allowed %s", c.Name, c.Customer, v))
+			e = append(e, errors.Newf("case %s: customer %s may use %s, want denied", c.Name, c.Customer, v))
 		}
 	}
 	return e
 }
 
-// Difference is one decision that two tables answer differently.
+// Difference is a decision in which two tables differ. What identifies the
+// decision, such as "allow CUSTOMER VERSION"; From and To are the two results.
 type Difference struct {
 	What string
 	From string
 	To   string
 }
 
-// Diff lists the decisions in which t differs from the older table o, which
-// may be nil.
+// Diff lists the decisions in which t differs from the older table o, sorted by
+// What. A nil o counts as a table without decisions.
 func (t *Table) Diff(o *Table) []Difference {
 	if o == nil {
 		o = &Table{}
 	}
 	var d []Difference
-	for _, q := range questions(t.plans, o.plans) {
+	for _, q := range decisionKeys(t.plans, o.plans) {
 		f, n := o.plans[q].String(), t.plans[q].String()
 		if f != n {
 			d = append(d, Difference{What: "route " + q.String(), From: f, To: n})
 		}
 	}
-	for _, g := range grants(t.allow, o.allow) {
+	for _, g := range permissionKeys(t.allow, o.allow) {
 		if o.allow[g] != t.allow[g] {
 			d = append(d, Difference{What: "allow " + g.customer + " " + g.version.String(), From: strconv.FormatBool(o.allow[g]), To: strconv.FormatBool(t.allow[g])})
 		}
@@ -108,15 +111,15 @@
 	return d
 }
 
-func (q question) String() string {
+func (q decisionKey) String() string {
 	return q.customer + " " + q.task + " " + q.size.String()
 }
 
-func questions(a, b map[question]Plan) []question {
+func decisionKeys(a, b map[decisionKey]Plan) []decisionKey {
 	return unionKeys(a, b)
 }
 
-func grants(a, b map[grant]bool) []grant {
+func permissionKeys(a, b map[permissionKey]bool) []permissionKey {
 	return unionKeys(a, b)
 }
 
