--- a/route/route.go
+++ b/route/route.go
@@ -1,5 +1,5 @@
-// Package route holds the operator's routing table: which service answers
-// which host and path, within what time, for whom.
+// Package route holds the operator's routing table. It maps the host and path of
+// a request to a service, with the route's time limits and access rules.
 package route
 
 import (
@@ -9,61 +9,61 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind says how often a request of a route may run.
+// Kind is the class of a route's requests; it decides how often one may run.
 type Kind int
 
 const (
-	// Once requests run at most once for each attempt of a client.
+	// Once requests run at most once for each attempt of the client.
 	Once Kind = iota
 	// Repeatable requests may run any number of times.
 	Repeatable
-	// Stream answers are a series of events. They run once unless the route
-	// lets them resume.
+	// Stream requests are answered by a series of events. They run at most once,
+	// unless the route is resumable.
 	Stream
 )
 
-// Route is one entry of the table.
+// Route is one entry of the routing table.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a request is held; Target is the time in
-	// which its answer, or a stream's first event, is wanted. They are spans
-	// because the operator sets them for requests yet to come.
+	// Timeout bounds the total time of a request. Target is the response-time
+	// target, up to the answer or a stream's first event. Both are durations
+	// rather than deadlines because they apply to future requests.
 	Timeout time.Duration
 	Target  time.Duration
-	// Priority ranks requests, 0 first.
+	// Priority orders requests by urgency; 0 is the most urgent.
 	Priority int
-	// MaxAttempts is the most replicas that one request may run on.
+	// MaxAttempts is the maximum number of replicas on which one request may run.
 	MaxAttempts int
-	// Public routes take requests without a key.
+	// Public routes accept requests without an API key.
 	Public bool
-	// Resumable streams may be continued on another replica.
+	// Resumable reports that a stream may be continued on another replica.
 	Resumable bool
-	// Models are the sizes to choose from, smallest first; none leaves the
-	// choice to the client.
+	// Models are the models that the router may choose from, smallest first. If
+	// it is empty, the client chooses.
 	Models []string
-	// Regions are where its requests may run; none given allows all.
+	// Regions are the regions in which its requests may run; empty allows all.
 	Regions []string
-	// Split shares requests between services; it has at least one part.
+	// Split divides the requests between services; it has at least one element.
 	Split []Part
 }
 
-// Part is one service's weight in a route's traffic.
+// Part is a service with its weight in a route's traffic.
 type Part struct {
 	Service string
 	Weight  int
 }
 
-// Repeats reports whether a request may run again after a failure of which it
-// is not known whether it ran.
+// Repeats reports whether a request may be retried after a failure that leaves
+// open whether the request ran.
 func (r *Route) Repeats() bool {
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
 }
 
-// Service returns the service for the request with that id: the same one at
-// each instance.
+// Service returns the service for the request with the given id. The choice is a
+// hash of the id, so that all instances choose the same service.
 func (r *Route) Service(request string) string {
 	t := 0
 	for _, p := range r.Split {
@@ -82,7 +82,7 @@
 	return r.Split[0].Service
 }
 
-// matches reports whether the path lies below the route's prefix.
+// matches reports whether the path starts with the route's prefix.
 func (r *Route) matches(path string) bool {
 	return strings.HasPrefix(path, r.Prefix)
 }
--- a/route/table.go
+++ b/route/table.go
@@ -6,47 +6,50 @@
 	"time"
 )
 
-// Table is one version of the operator's configuration. It is immutable.
+// Table is one version of the operator's routing configuration. It is immutable.
 type Table struct {
 	Version  uint64
 	Services map[string]Service
 	Limits   Limits
 
-	routes []Route
-	byHost map[string][]*Route
-	// customers are found by key.
-	customers map[string]Customer
-	// keyed says that requests need a key, unless their route is public.
-	keyed bool
+	routes         []Route
+	byHost         map[string][]*Route
+	customersByKey map[string]Customer
+	// requiresKeys reports that requests need an API key, unless their route is
+	// public.
+	requiresKeys bool
 }
 
-// Service is what the configuration says of a backend service.
+// Service is the configuration of a backend service.
 type Service struct {
 	Name string
-	// MaxConns is how many connections each of its replicas takes from all
-	// callers together; 0 for no bound.
+	// MaxConns is the number of connections that each of its replicas accepts
+	// from all callers together; 0 for no limit.
 	MaxConns int
-	// Models have a price each, in credit for 1,000 tokens made.
+	// Models lists its models, each with its price in credits per 1,000 generated
+	// tokens.
 	Models []Model
-	// Slots is how many requests a replica runs at once.
+	// Slots is the number of requests that a replica runs concurrently.
 	Slots int
-	// ColdFor is how long a replica is cold after its start, and ColdPerSecond how
-	// many requests a second it then bears; 0 for services whose replicas bear all
-	// at once. ColdFor is a span because it is of starts yet to come.
+	// ColdFor is how long a replica is cold after its start, and ColdPerSecond the
+	// request rate that it can handle during that time; both are 0 for services
+	// whose replicas handle the full rate from the start. ColdFor is a duration
+	// rather than a point in time because it applies to future starts.
 	ColdFor       time.Duration
 	ColdPerSecond float64
-	// Scaling says that the platform starts and stops replicas as it is told; nil where
-	// it does not.
+	// Scaling bounds the replica counts that may be ordered from the platform; nil if
+	// the platform does not start and stop replicas of the service on request.
 	Scaling *Scaling
 }
 
-// Scaling bounds the replicas of a service in each data centre.
+// Scaling is the minimum and maximum number of a service's replicas in each data
+// centre.
 type Scaling struct {
 	Min, Max int
 }
 
-// Cost returns the price of the service's model with that name; 0 if it is not
-// known.
+// Cost returns the price of the service's model with the given name; 0 for an
+// unknown model.
 func (s Service) Cost(model string) float64 {
 	for _, m := range s.Models {
 		if m.Name == model {
@@ -56,23 +59,24 @@
 	return 0
 }
 
-// Model is one of the sizes that a service's replicas run.
+// Model is a model that a service's replicas run, with its price in credits per
+// 1,000 generated tokens.
 type Model struct {
 	Name string
 	Cost float64
 }
 
-// Customer is one of the configuration's customers, who holds keys.
+// Customer is a holder of API keys.
 type Customer struct {
-	Name string
-	// Priority takes the place of the route's if Ranked.
+	Name     string
 	Priority int
-	Ranked   bool
-	// Regions are where its requests may run; none given allows all.
+	// Ranked reports that Priority replaces the route's priority.
+	Ranked bool
+	// Regions are the regions in which its requests may run; empty allows all.
 	Regions []string
 }
 
-// Limits bound what a client may send. Zero fields bound nothing.
+// Limits bounds a client's requests and connections. A zero field sets no limit.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -80,10 +84,10 @@
 	Idle        time.Duration
 }
 
-// New returns a table. keys maps each key to its customer; nil says that
-// requests need none.
+// New returns a table. keys maps each API key to its customer; with nil, requests
+// need no key.
 func New(version uint64, routes []Route, services map[string]Service, keys map[string]Customer, l Limits) *Table {
-	t := &Table{Version: version, Services: services, Limits: l, routes: routes, byHost: map[string][]*Route{}, customers: keys, keyed: keys != nil}
+	t := &Table{Version: version, Services: services, Limits: l, routes: routes, byHost: map[string][]*Route{}, customersByKey: keys, requiresKeys: keys != nil}
 	for i := range t.routes {
 		r := &t.routes[i]
 		h := strings.ToLower(r.Host)
@@ -95,8 +99,8 @@
 	return t
 }
 
-// Service returns what the configuration says of the service; nothing where there is
-// no table or it is not named there.
+// Service returns the configuration of the service; the zero value if t is nil or
+// does not contain the service.
 func (t *Table) Service(name string) Service {
 	if t == nil {
 		return Service{}
@@ -104,7 +108,7 @@
 	return t.Services[name]
 }
 
-// Find returns the route of the host with the longest prefix of the path.
+// Find returns the host's route with the longest prefix that matches the path.
 func (t *Table) Find(host, path string) (*Route, bool) {
 	for _, r := range t.byHost[strings.ToLower(host)] {
 		if r.matches(path) {
@@ -114,19 +118,19 @@
 	return nil, false
 }
 
-// Customer returns the customer that holds the key.
+// Customer returns the customer to which the API key belongs.
 func (t *Table) Customer(key string) (Customer, bool) {
-	c, ok := t.customers[key]
+	c, ok := t.customersByKey[key]
 	return c, ok
 }
 
-// NeedsKey reports whether requests of the route must carry a key.
-func (t *Table) NeedsKey(r *Route) bool { return t.keyed && !r.Public }
+// NeedsKey reports whether requests of the route must carry an API key.
+func (t *Table) NeedsKey(r *Route) bool { return t.requiresKeys && !r.Public }
 
-// Routes returns how many routes there are.
+// Routes returns the number of routes.
 func (t *Table) Routes() int { return len(t.routes) }
 
-// Newer reports whether t takes the place of o. Versions never go back.
+// Newer reports whether t replaces o: o is nil or has a lower version.
 func (t *Table) Newer(o *Table) bool {
 	return o == nil || t.Version > o.Version
 }
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -26,37 +26,39 @@
 	// false
 }
 
-func TestServiceFollowsTheWeights(t *testing.T) {
+// Traffic must be divided by the configured weights. A split with one service that
+// has no weight must send everything there instead of dividing by zero.
+func TestServiceFollowsWeights(t *testing.T) {
 	r := route.Route{Split: []route.Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	n := map[string]int{}
 	for i := range 10_000 {
 		n[r.Service(fmt.Sprint("request", i))]++
 	}
 	if n["b"] < 800 || n["b"] > 1200 {
-		t.Errorf("%d of 10000 requests went to the part with weight 10, want about 1000", n["b"])
+		t.Errorf("got %d of 10000 requests for the service with weight 10, want 800 to 1200", n["b"])
 	}
-	o := route.Route{Split: []route.Part{{Service: "a"}}}
-	if g := o.Service("x"); g != "a" {
-		t.Errorf("a single part without a weight gives %q, want a", g)
+	single := route.Route{Split: []route.Part{{Service: "a"}}}
+	if g := single.Service("x"); g != "a" {
+		t.Errorf("got service %q for a split of one service without a weight, want a", g)
 	}
 }
 
 func TestNeedsKey(t *testing.T) {
-	open, shut := route.Route{Public: true}, route.Route{}
-	keyed := route.New(1, nil, nil, map[string]route.Customer{"k": {Name: "n"}}, route.Limits{})
-	free := route.New(1, nil, nil, nil, route.Limits{})
+	publicRoute, privateRoute := route.Route{Public: true}, route.Route{}
+	withKeys := route.New(1, nil, nil, map[string]route.Customer{"k": {Name: "n"}}, route.Limits{})
+	withoutKeys := route.New(1, nil, nil, nil, route.Limits{})
 	for _, c := range []struct {
 		name  string
 		table *route.Table
 		route route.Route
 		want  bool
 	}{
-		{"keyed", keyed, shut, true},
-		{"public", keyed, open, false},
-		{"no customers", free, shut, false},
+		{"private route, keys configured", withKeys, privateRoute, true},
+		{"public route, keys configured", withKeys, publicRoute, false},
+		{"private route, no keys configured", withoutKeys, privateRoute, false},
 	} {
 		if g := c.table.NeedsKey(&c.route); g != c.want {
-			t.Errorf("%s: needs a key: %t, want %t", c.name, g, c.want)
+			t.Errorf("%s: got NeedsKey %t, want %t", c.name, g, c.want)
 		}
 	}
 }
--- a/session/session.go
+++ b/session/session.go
@@ -1,6 +1,6 @@
-// Package session mints and checks the signed tokens by which a session
-// keeps its version. A token carries all that is needed, so any instance can
-// honour it with no look-up and no instance has to remember it.
+// Package session issues and verifies the signed tokens that pin a session to
+// model versions. A token contains the whole session, so any instance can accept
+// it without a look-up and no instance stores session state.
 package session
 
 import (
@@ -18,18 +18,19 @@
 	"fieldvale/version"
 )
 
-// Reasons for which a token is not honoured. Tell them apart with errors.Is.
+// Errors of Ring.Open, to be matched with errors.Is.
 var (
-	ErrMalformed = errors.New("session: token is malformed")
-	ErrUnknown   = errors.New("session: token is signed with an unknown key")
-	ErrForged    = errors.New("session: token's signature is wrong")
-	ErrExpired   = errors.New("session: token has expired")
+	ErrMalformed    = errors.New("session: token is malformed")
+	ErrUnknownKey   = errors.New("session: token is signed with an unknown key")
+	ErrBadSignature = errors.New("session: token's signature is wrong")
+	ErrExpired      = errors.New("session: token has expired")
 )
 
-// MaxToken is the longest token that is read, in bytes.
+// MaxToken is the maximum length of a token in bytes; Ring.Open rejects longer
+// ones as malformed.
 const MaxToken = 2048
 
-// Session is what a token says. Pins hold one version for each model.
+// Session is the content of a token. Pins has at most one version of each model.
 type Session struct {
 	ID       string
 	Customer string
@@ -37,12 +38,12 @@
 	Pins     []version.ID
 }
 
-// New returns a session with no pins.
+// New returns a session without pins.
 func New(id, customer string, expires time.Time) Session {
 	return Session{ID: id, Customer: customer, Expires: expires}
 }
 
-// Pin returns the version that the session keeps for the model.
+// Pin returns the version of the model to which the session is pinned.
 func (s Session) Pin(model string) (version.ID, bool) {
 	for _, p := range s.Pins {
 		if p.Model == model {
@@ -52,7 +53,8 @@
 	return version.ID{}, false
 }
 
-// WithPin returns s pinned to v in place of any other version of its model.
+// WithPin returns a copy of s that is pinned to v instead of any other version of
+// the same model.
 func (s Session) WithPin(v version.ID) Session {
 	n := make([]version.ID, 0, len(s.Pins)+1)
 	for _, p := range s.Pins {
@@ -64,36 +66,38 @@
 	return s
 }
 
-// Key signs tokens.
+// Key is a secret that signs tokens, with the id under which tokens refer to it.
 type Key struct {
 	ID     string
 	Secret []byte
 }
 
-// Ring holds the keys whose tokens are honoured; the first one signs. Rotation
-// puts a new key first and keeps the old ones until their tokens have expired.
+// Ring is a key ring. Tokens of all its keys are accepted; new tokens are signed
+// with the first. A rotation inserts a new key at the front and keeps the old ones
+// until their tokens have expired.
 type Ring struct {
 	keys []Key
 }
 
-// NewRing returns a ring of the keys, the signing one first.
+// NewRing returns a ring with the given keys, the signing key first.
 func NewRing(k ...Key) Ring {
 	return Ring{keys: k}
 }
 
 const fieldSeparator = "|"
 
-// Mint returns the signed token of s. A ring without keys mints none.
+// Mint returns the signed token of s, or "" if the ring has no keys.
 func (r Ring) Mint(s Session) string {
 	if len(r.keys) == 0 {
 		return ""
 	}
 	k := r.keys[0]
 	b := encode(s)
-	return k.ID + "." + b64(b) + "." + b64(sign(k, b))
+	return k.ID + "." + encodeBase64(b) + "." + encodeBase64(sign(k, b))
 }
 
-// Open checks a token and returns what it says. now decides expiry.
+// Open verifies a token and returns its session. A token has expired if its
+// expiry time is not after now.
 func (r Ring) Open(token string, now time.Time) (Session, error) {
 	f := strings.Split(token, ".")
 	if len(token) > MaxToken || len(f) != 3 {
@@ -107,17 +111,17 @@
 	if err != nil {
 		return Session{}, ErrMalformed
 	}
-	k, ok := r.find(f[0])
+	k, ok := r.findKey(f[0])
 	if !ok {
-		return Session{}, ErrUnknown
+		return Session{}, ErrUnknownKey
 	}
 	if !hmac.Equal(m, sign(k, b)) {
-		return Session{}, ErrForged
+		return Session{}, ErrBadSignature
 	}
-	return checkExpiry(b, now)
+	return decodeUnexpired(b, now)
 }
 
-func checkExpiry(b []byte, now time.Time) (Session, error) {
+func decodeUnexpired(b []byte, now time.Time) (Session, error) {
 	s, err := decode(string(b))
 	if err != nil {
 		return Session{}, err
@@ -128,7 +132,7 @@
 	return s, nil
 }
 
-func (r Ring) find(id string) (Key, bool) {
+func (r Ring) findKey(id string) (Key, bool) {
 	for _, k := range r.keys {
 		if k.ID == id {
 			return k, true
@@ -143,7 +147,7 @@
 	return h.Sum(nil)
 }
 
-func b64(b []byte) string {
+func encodeBase64(b []byte) string {
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
@@ -175,13 +179,13 @@
 	return s, nil
 }
 
-// secretBytes is the length of a new key's secret.
+// secretBytes is the length of a generated secret.
 const secretBytes = 32
 
-// NewKey returns a key with a new random secret.
+// NewKey returns a key with a random id and secret.
 func NewKey() Key {
 	b := make([]byte, secretBytes)
-	// crypto/rand.Read never fails: it ends the program instead.
+	// crypto/rand.Read never returns an error; it crashes the program instead.
 	_, _ = rand.Read(b)
 	return Key{ID: uuid.NewString()[:8], Secret: b}
 }
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -30,7 +30,10 @@
 	return s
 }
 
-func TestTokenSaysWhatWasMintedAcrossRotation(t *testing.T) {
+// A token must return the session it was issued for, also after its key was rotated
+// to a later place in the ring. It must be rejected once its key has been removed or
+// the session has expired.
+func TestTokenRoundTripAcrossRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSession(t)
 		token := session.NewRing(key1).Mint(s)
@@ -43,16 +46,18 @@
 				t.Fatal(d)
 			}
 		}
-		if _, err := session.NewRing(key2).Open(token, now); !errors.Is(err, session.ErrUnknown) {
-			t.Fatalf("a dropped key's token: %v", err)
+		if _, err := session.NewRing(key2).Open(token, now); !errors.Is(err, session.ErrUnknownKey) {
+			t.Fatalf("token of a removed key: got error %v, want ErrUnknownKey", err)
 		}
 		if _, err := session.NewRing(key1).Open(token, s.Expires); !errors.Is(err, session.ErrExpired) {
-			t.Fatalf("an expired token: %v", err)
+			t.Fatalf("expired token: got error %v, want ErrExpired", err)
 		}
 	})
 }
 
-func TestChangedTokenIsNotHonoured(t *testing.T) {
+// Guards against forged sessions: a token with one byte changed must not open as a
+// different session.
+func TestModifiedTokenIsRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSession(t)
 		r := session.NewRing(key1)
@@ -65,7 +70,7 @@
 		b[i] = c
 		got, err := r.Open(string(b), now)
 		if err == nil && !cmp.Equal(s, got) {
-			t.Fatalf("token %q opened as %+v", b, got)
+			t.Fatalf("modified token %q opened as %+v, want an error or the original session", b, got)
 		}
 	})
 }
--- a/store/feed.go
+++ b/store/feed.go
@@ -7,61 +7,65 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrCompacted says that the changes asked for are no longer kept: the keys
-// have to be read whole.
+// ErrCompacted is returned if the store has discarded the history of the requested
+// changes; the caller has to read all keys again.
 var ErrCompacted = errors.New("store: history is gone")
 
-// Item is a key as a feed tells of it.
+// Item is the state of a key as reported by a feed.
 type Item struct {
 	Key   string
 	Value []byte
-	// Revision is the store's counter at the key's last change.
+	// Revision is the store's revision at the key's last change.
 	Revision int64
-	// Deleted items have no value.
+	// Deleted reports that the key was deleted; Value is then empty.
 	Deleted bool
-	// Lease is what the key goes with; 0 for none. Only the store itself
-	// tells it.
+	// Lease is the lease under which the key exists; 0 for none. Only the store
+	// itself reports it, instances that pass items on do not.
 	Lease int64
 }
 
-// Page is a part of the keys below a prefix, in the order of the keys.
-// Revision is the store's at the time of the read; pages are no snapshot.
+// Page is a part of the keys below a prefix, in ascending order. Revision is the
+// store's revision at the time of the read. Successive pages are read at different
+// revisions, so together they are not a consistent snapshot.
 type Page struct {
 	Items    []Item
 	Revision int64
 	More     bool
-	// Age is how old the answer was when it was given; 0 from the store.
+	// Age is the age of the response when it was sent; 0 if it is from the store
+	// itself.
 	Age time.Duration
 }
 
-// Changes are what happened to keys after a revision, oldest first. Revision
-// is where to go on from.
+// Changes lists the changes of keys after a revision, oldest first. Revision is
+// the revision from which to continue.
 type Changes struct {
 	Items    []Item
 	Revision int64
-	// Whole says that Items are all keys there are.
+	// Whole reports that Items is a snapshot of all keys instead of the changes.
 	Whole bool
-	// Age is how old the answer was when it was given; 0 from the store.
+	// Age is the age of the response when it was sent; 0 if it is from the store
+	// itself.
 	Age time.Duration
-	// Waited is how long the one who answered waits for a change, if that is
-	// less than was asked for.
+	// Waited is how long the responding peer waits for a change, if that is less
+	// than requested.
 	Waited time.Duration
 }
 
-// Feed tells of keys and of their changes.
+// Feed reads keys and watches their changes.
 type Feed interface {
 	// Read returns the keys below the prefix that follow the key after.
 	Read(ctx context.Context, prefix, after string) (Page, error)
-	// Changes waits until there is a change after the revision, at most for
-	// wait, and fails soon after that if there is no answer at all. It fails
-	// with ErrCompacted if the store forgot its history.
+	// Changes waits for a change after the given revision, at most for the duration
+	// of wait. Without any response it returns an error soon after that. It returns
+	// ErrCompacted if the store has discarded the history since the revision.
 	Changes(ctx context.Context, prefix string, after int64, wait time.Duration) (Changes, error)
 }
 
-// Committer changes keys under conditions.
+// Committer reads keys and changes them conditionally.
 type Committer interface {
-	// Get returns the pair, with Version 0 if there is none.
+	// Get returns the key's pair, with Version 0 if the key does not exist.
 	Get(ctx context.Context, key string) (Pair, error)
-	// Commit makes all writes or, if a guard does not hold, none.
+	// Commit performs all writes if all guards hold, else none. It reports whether
+	// the writes were performed.
 	Commit(ctx context.Context, g []Guard, w []Write) (bool, error)
 }
--- a/store/presence.go
+++ b/store/presence.go
@@ -7,21 +7,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrLapsed says that an announcement is over and has to be made anew.
+// ErrLapsed is returned if the lease of an announcement has expired, so that the
+// process has to be announced again.
 var ErrLapsed = errors.New("store: the announcement has lapsed")
 
-// Announced is a key that stays as long as it is renewed.
+// Announced is a key under a lease: it exists as long as the lease is renewed.
 type Announced struct {
 	Lease int64
-	// RenewBy is when it lapses if it is not renewed.
+	// RenewBy is when the lease expires unless it is renewed before.
 	RenewBy time.Time
 }
 
-// Presence announces a process under a key that goes with it.
+// Presence announces a process under a key that is deleted when the process stops
+// renewing its lease.
 type Presence interface {
+	// Announce writes the key under a new lease with the given ttl.
 	Announce(ctx context.Context, key string, value []byte, ttl time.Duration) (Announced, error)
-	// Renew prolongs the announcement; ErrLapsed if it is over.
+	// Renew extends the lease by ttl. It returns ErrLapsed if the lease has expired.
 	Renew(ctx context.Context, a Announced, ttl time.Duration) (Announced, error)
-	// End takes the key away.
+	// End deletes the key.
 	End(ctx context.Context, a Announced) error
 }
--- a/store/store.go
+++ b/store/store.go
@@ -1,5 +1,5 @@
-// Package store is the port to the platform's key-value service, which holds
-// all that must last.
+// Package store defines the interfaces to the platform's key-value service, which
+// holds all persistent state.
 package store
 
 import (
@@ -9,30 +9,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Reasons for which a call fails. Tell them apart with errors.Is.
+// Errors of the store's calls, to be matched with errors.Is.
 var (
-	// ErrUnavailable: the service was not reached or refused; nothing changed.
+	// ErrUnavailable: the service could not be reached or rejected the call;
+	// nothing changed.
 	ErrUnavailable = errors.New("store: unavailable")
 	// ErrUnknown: the call may or may not have taken effect.
-	ErrUnknown = errors.New("store: answer lost, the write may have taken effect")
+	ErrUnknown = errors.New("store: response lost, the write may have taken effect")
 )
 
-// Pair is a key with its value. Version is 0 if there is no such key; it
-// grows with each write.
+// Pair is a key with its value. Version is 0 if the key does not exist and
+// increases with each write.
 type Pair struct {
 	Key     string
 	Value   []byte
 	Version int64
 }
 
-// Write is one change to a key. A zero Expires keeps it for good.
+// Write sets the value of a key. With a zero Expires the key does not expire.
 type Write struct {
 	Key     string
 	Value   []byte
 	Expires time.Time
 }
 
-// Guard lets a commit go on only if the key has the version.
+// Guard is a precondition of a commit: the key must have the given version.
 type Guard struct {
 	Key     string
 	Version int64
@@ -41,15 +42,17 @@
 // Store is the platform's key-value service.
 type Store interface {
 	Committer
-	// List returns at most n pairs below the prefix, the last by key first.
+	// List returns at most n pairs below the prefix in descending order of their
+	// keys.
 	List(ctx context.Context, prefix string, n int) ([]Pair, error)
-	// CreateAll makes each write whose key does not exist, in one call, and
-	// returns what stands under each key now.
+	// CreateAll performs, in one call, each write whose key does not exist yet, and
+	// returns the current pair of every key.
 	CreateAll(ctx context.Context, w []Write) ([]Pair, error)
-	// Wait returns the pair once its version is above the given one.
+	// Wait blocks until the key's version exceeds the given one and returns the
+	// pair.
 	Wait(ctx context.Context, key string, above int64) (Pair, error)
 }
 
-// MaxValue is the largest value in bytes that the platform takes, with room
-// left for the key.
+// MaxValue is the maximum size of a value in bytes. It leaves room for the key
+// within the platform's size limit.
 const MaxValue = 1_000_000
