--- a/duty/duty.go
+++ b/duty/duty.go
@@ -1,7 +1,8 @@
-// Package duty decides which instance does what only one may do at a time. The right to
-// it is a key of the store under a lease; the revision with which the key was made is the
-// fencing token, which rises with each holder. Nobody is elected: where the key is gone
-// the instances try for it in the order of their ranks.
+// Package duty decides which instance performs a duty, a task that only one instance may
+// perform at a time. The holder owns a key in the store under a lease. The revision at
+// which the key was created is the fencing token, which increases with each holder. There
+// is no election protocol: if the key does not exist, the instances try to create it in
+// the order of their ranks.
 package duty
 
 import (
@@ -10,127 +11,133 @@
 )
 
 const (
-	// TTL is how long a holder that is gone keeps the duty from others.
+	// TTL is the duration of the lease: no other instance can take over the duty of a
+	// holder that has failed for that long.
 	TTL = 3 * time.Second
-	// renewEvery is between a holder's renewals.
-	renewEvery = TTL / 3
-	// margin is how long before its lease runs out a holder stops: what it has sent is
-	// under way by then.
-	margin = 700 * time.Millisecond
-	// turn is how much longer each instance waits for a free duty than the one ranked
-	// before it.
-	turn = 300 * time.Millisecond
-	// rest is how long one that has lost a duty leaves it to others: two holders must not
-	// act by turns.
-	rest = 2 * TTL
+	// renewInterval is the time between a holder's lease renewals.
+	renewInterval = TTL / 3
+	// safetyMargin is how long before the expiry of its lease a holder stops acting,
+	// since the calls that it has sent by then are still in transit.
+	safetyMargin = 700 * time.Millisecond
+	// claimStagger is how much longer each instance waits to claim a vacant duty than
+	// the one ranked before it, so that they do not all claim it at once.
+	claimStagger = 300 * time.Millisecond
+	// retryDelay is how long an instance that has lost the duty does not claim it again,
+	// so that two instances do not take the duty from each other alternately.
+	retryDelay = 2 * TTL
 )
 
 // Holder is the instance that holds the duty.
 type Holder struct {
 	ID, Addr string
-	// Fence rises whenever the holder changes.
+	// Fence is the fencing token; it increases whenever the holder changes.
 	Fence int64
 }
 
-// Tenure is what one instance knows of a duty. It is safe for concurrent use.
+// Tenure is one instance's state of a duty: the holder last reported by the store and
+// the instance's own lease. It is safe for concurrent use.
 type Tenure struct {
 	self string
 
 	mu     sync.Mutex
 	holder Holder
-	// known says that the store has told whether there is a holder, freeAt since when
-	// there is none.
-	known  bool
-	freeAt time.Time
-	// fence is this instance's own token, 0 if it does not hold the duty; until is when
-	// its lease runs out and renewAt when it is to be renewed.
-	fence          int64
-	until, renewAt time.Time
-	// restsUntil is when this instance may try again.
-	restsUntil time.Time
+	// isReported is set once the store has reported whether there is a holder;
+	// vacantSince is when it first reported that there is none.
+	isReported  bool
+	vacantSince time.Time
+	// fence is this instance's own fencing token, 0 if it does not hold the duty;
+	// expiresAt is when its lease expires and renewAt when to renew it.
+	fence              int64
+	expiresAt, renewAt time.Time
+	// retryAt is when this instance may claim the duty again.
+	retryAt time.Time
 }
 
-// New returns the tenure of the instance with the id, which knows of no holder.
+// New returns the state of the instance with the given id before any report from the
+// store.
 func New(self string) *Tenure { return &Tenure{self: self} }
 
-// Seen takes in that the store names a holder.
+// Seen records that the store reports the holder h. A report with a lower fencing token
+// than an earlier one is outdated and ignored.
 func (t *Tenure) Seen(h Holder, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if h.Fence < t.holder.Fence {
 		return
 	}
-	t.holder, t.known = h, true
+	t.holder, t.isReported = h, true
 	if t.fence != 0 && h.Fence > t.fence {
-		t.fence, t.restsUntil = 0, now.Add(rest)
+		t.fence, t.retryAt = 0, now.Add(retryDelay)
 	}
 }
 
-// Free takes in that the store names none.
+// Free records that the store reports no holder.
 func (t *Tenure) Free(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.known || t.holder.ID != "" {
-		t.freeAt = now
+	if !t.isReported || t.holder.ID != "" {
+		t.vacantSince = now
 	}
-	t.known = true
+	t.isReported = true
 	t.holder = Holder{Fence: t.holder.Fence}
 }
 
-// Holder returns the holder; ok is false if none is known.
+// Holder returns the holder last reported; ok is false if there is none.
 func (t *Tenure) Holder() (Holder, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.holder, t.holder.ID != ""
 }
 
-// IsDue reports whether the instance with that rank, from 0, is to try for the duty.
+// IsDue reports whether this instance, with the given rank from 0, should claim the duty
+// now.
 func (t *Tenure) IsDue(rank int, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	free := t.known && t.holder.ID == "" && t.fence == 0
-	return free && !now.Before(t.restsUntil) && now.Sub(t.freeAt) >= time.Duration(rank)*turn
+	free := t.isReported && t.holder.ID == "" && t.fence == 0
+	return free && !now.Before(t.retryAt) && now.Sub(t.vacantSince) >= time.Duration(rank)*claimStagger
 }
 
-// Won notes that this instance holds the duty, by a lease that runs out then.
-func (t *Tenure) Won(fence int64, now, until time.Time) {
+// Won records that this instance has acquired the duty, under a lease that expires at
+// the given time.
+func (t *Tenure) Won(fence int64, now, expiresAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.fence, t.until, t.renewAt = fence, until, now.Add(renewEvery)
+	t.fence, t.expiresAt, t.renewAt = fence, expiresAt, now.Add(renewInterval)
 }
 
-// Renews reports whether the lease is to be renewed now.
+// Renews reports whether the lease has to be renewed now.
 func (t *Tenure) Renews(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fence != 0 && !now.Before(t.renewAt)
 }
 
-// Renewed notes that the lease runs on until then.
-func (t *Tenure) Renewed(now, until time.Time) {
+// Renewed records that the lease was extended to the given expiry time.
+func (t *Tenure) Renewed(now, expiresAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.until, t.renewAt = until, now.Add(renewEvery)
+	t.expiresAt, t.renewAt = expiresAt, now.Add(renewInterval)
 }
 
-// Lost notes that this instance holds the duty no longer.
+// Lost records that this instance no longer holds the duty.
 func (t *Tenure) Lost(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.fence, t.restsUntil = 0, now.Add(rest)
+	t.fence, t.retryAt = 0, now.Add(retryDelay)
 }
 
-// Fence returns the token to act with; ok is false where this instance may not act, also
-// since it can't be sure of its lease.
+// Fence returns the fencing token of this instance. ok is false if the instance must not
+// act: it does not hold the duty, or its lease expires within the safety margin.
 func (t *Tenure) Fence(now time.Time) (fence int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fence, t.fence != 0 && now.Before(t.until.Add(-margin))
+	return t.fence, t.fence != 0 && now.Before(t.expiresAt.Add(-safetyMargin))
 }
 
-// HasLapsed reports whether this instance's lease has run out.
+// HasLapsed reports whether this instance's lease has expired.
 func (t *Tenure) HasLapsed(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fence != 0 && !now.Before(t.until)
+	return t.fence != 0 && !now.Before(t.expiresAt)
 }
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,25 +1,27 @@
-// Package roster decides which instances put themselves on the fleet's list.
-// The list names the keepers, the instances that pass changes on and those that
-// judge releases; a large fleet needs only some of its instances for that. Each
-// one on the list costs the store two calls and its renewals, and each change of
-// the list goes to all.
+// Package roster decides which instances register as members of the fleet.
+// Registered members own keys, forward changes to other instances and judge
+// releases; a large fleet needs only some of its instances for that. Each
+// registration costs two calls to the store and the renewals of a lease, and each
+// change of the membership is sent to all instances.
 package roster
 
 const (
-	// Enough is how many instances on the list serve any fleet: 16 groups of
-	// replicas find three each, and at 350 instances each of them passes
-	// changes on to some seven others.
+	// Enough is the number of registered members that suffices for a fleet of any
+	// size: 16 groups of replicas get three owners each, and in a fleet of 350
+	// instances each member forwards changes to about seven others.
 	Enough = 48
-	// few is how many are left of those that were enough when others join. It
-	// is far below, so that the loss of some does not have all others join.
-	few = Enough / 2
+	// refillThreshold is the number of registered members below which running
+	// instances register. It is far below Enough, so that the loss of a few members
+	// does not make all other instances register.
+	refillThreshold = Enough / 2
 )
 
-// Joins is the chance with which an instance that has just started joins so many
-// listed ones of a fleet: instances that are started at once decide at once, and each
-// knows only how many are listed and how many there are.
-func Joins(listed, fleet int) float64 {
-	missing, others := Enough-listed, fleet-listed
+// Joins returns the probability with which an instance that has just started
+// registers. The choice is random because instances that start simultaneously also
+// decide simultaneously, and each has only the number of registered members and the
+// size of the fleet to go by.
+func Joins(registered, fleet int) float64 {
+	missing, others := Enough-registered, fleet-registered
 	switch {
 	case missing <= 0:
 		return 0
@@ -29,11 +31,11 @@
 	return float64(missing) / float64(others)
 }
 
-// JoinsLater is the chance with which one that has run for a while joins: only where
-// few are left.
-func JoinsLater(listed, fleet int) float64 {
-	if listed >= few {
+// JoinsLater returns the probability with which an instance that has run for a while
+// registers: 0 unless fewer than refillThreshold members are registered.
+func JoinsLater(registered, fleet int) float64 {
+	if registered >= refillThreshold {
 		return 0
 	}
-	return Joins(listed, fleet)
+	return Joins(registered, fleet)
 }
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -1,5 +1,6 @@
-// Package usage counts the requests that began to run, by customer and window of the
-// time of day, and adds up what all instances have counted.
+// Package usage counts started requests by customer and time window, and sums the
+// counts of all instances. Windows are aligned to the Unix epoch, so that all
+// instances use the same ones.
 package usage
 
 import (
@@ -8,42 +9,44 @@
 	"time"
 )
 
-// Counts are requests by customer.
+// Counts holds the number of requests by customer.
 type Counts map[string]int
 
-// Window returns the number of the window of that length in which t lies.
+// Window returns the number of the window that contains t; all windows have the
+// given length.
 func Window(t time.Time, length time.Duration) int64 {
 	return t.UnixNano() / int64(length)
 }
 
-// End returns when the window is over.
+// End returns the end of the window.
 func End(window int64, length time.Duration) time.Time {
 	return time.Unix(0, (window+1)*int64(length))
 }
 
-// Windows are counts by window.
+// Windows holds counts by window number.
 type Windows map[int64]Counts
 
-// keptWindows is how many windows are remembered: a report may be due ten seconds after
-// its window, and another instance may have to make it.
-const keptWindows = 6
+// retainedWindows is the number of windows for which counts are kept: a report may be
+// due ten seconds after the end of its window, and another instance may have to take
+// it over.
+const retainedWindows = 6
 
-// trim drops the windows that are long over.
+// trim deletes the windows that are too old to be retained.
 func (w Windows) trim(newest int64) {
-	maps.DeleteFunc(w, func(n int64, _ Counts) bool { return n <= newest-keptWindows })
+	maps.DeleteFunc(w, func(n int64, _ Counts) bool { return n <= newest-retainedWindows })
 }
 
-// Tally is what one instance has counted. It is safe for concurrent use.
+// Tally holds the counts of one instance. It is safe for concurrent use.
 type Tally struct {
 	length time.Duration
 	mu     sync.Mutex
 	counts Windows
 }
 
-// NewTally returns an empty tally of windows of that length.
+// NewTally returns an empty tally with windows of the given length.
 func NewTally(length time.Duration) *Tally { return &Tally{length: length, counts: Windows{}} }
 
-// Saw counts a request of the customer that began to run then.
+// Saw counts a request of the customer that started at the given time.
 func (t *Tally) Saw(customer string, began time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,7 +58,7 @@
 	t.counts[w][customer]++
 }
 
-// Counts returns a copy of all that is remembered.
+// Counts returns a copy of all retained counts.
 func (t *Tally) Counts() Windows {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,40 +69,40 @@
 	return c
 }
 
-// origin is one life of an instance: what it has counted is lost with it, but for what it
-// has told.
+// origin is one incarnation of an instance. Its counts are lost when the process ends,
+// except for those that it has reported to others.
 type origin struct {
-	id   string
-	life uint64
+	id          string
+	incarnation uint64
 }
 
-// Book adds up what all instances have counted. It is safe for concurrent use.
+// Book sums the reported counts of all instances. It is safe for concurrent use.
 type Book struct {
-	mu   sync.Mutex
-	told map[int64]map[origin]Counts
+	mu       sync.Mutex
+	reported map[int64]map[origin]Counts
 }
 
 // NewBook returns an empty book.
-func NewBook() *Book { return &Book{told: map[int64]map[origin]Counts{}} }
+func NewBook() *Book { return &Book{reported: map[int64]map[origin]Counts{}} }
 
-// Report takes in all that an instance has counted in its life so far. Reports may come
-// twice and in any order, since counts only grow.
-func (b *Book) Report(id string, life uint64, l Windows) {
+// Report merges the counts of an instance's incarnation so far. Reports may arrive
+// repeatedly and in any order: counts only grow, so the larger one is kept.
+func (b *Book) Report(id string, incarnation uint64, l Windows) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	newest := int64(0)
 	for w, c := range l {
 		newest = max(newest, w)
-		if b.told[w] == nil {
-			b.told[w] = map[origin]Counts{}
+		if b.reported[w] == nil {
+			b.reported[w] = map[origin]Counts{}
 		}
-		b.told[w][origin{id, life}] = larger(b.told[w][origin{id, life}], c)
+		b.reported[w][origin{id, incarnation}] = maxCounts(b.reported[w][origin{id, incarnation}], c)
 	}
-	maps.DeleteFunc(b.told, func(w int64, _ map[origin]Counts) bool { return w <= newest-keptWindows })
+	maps.DeleteFunc(b.reported, func(w int64, _ map[origin]Counts) bool { return w <= newest-retainedWindows })
 }
 
-// larger returns the larger count of each customer.
-func larger(a, b Counts) Counts {
+// maxCounts returns the larger of the two counts for each customer.
+func maxCounts(a, b Counts) Counts {
 	c := maps.Clone(b)
 	for k, n := range a {
 		c[k] = max(c[k], n)
@@ -107,12 +110,12 @@
 	return c
 }
 
-// Sum returns what all have counted in the window.
+// Sum returns the total counts of all instances in the window.
 func (b *Book) Sum(window int64) Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := Counts{}
-	for _, c := range b.told[window] {
+	for _, c := range b.reported[window] {
 		for k, n := range c {
 			s[k] += n
 		}
@@ -120,15 +123,16 @@
 	return s
 }
 
-// settle is how long after its end a window's counts may still come: instances tell what
-// they count each second, twice before a report at least.
-const settle = 3 * time.Second
+// settleTime is how long after the end of a window its counts may still arrive.
+// Instances send their counts every second, so at least two of their messages arrive
+// before the window is reported.
+const settleTime = 3 * time.Second
 
-// Due returns the windows that can be reported now and are not too late to be: those that
-// ended within late.
+// Due returns the windows that are complete and can still be reported: those that ended
+// at least settleTime and less than late ago.
 func Due(now time.Time, length, late time.Duration) []int64 {
 	var l []int64
-	for w := Window(now.Add(-late), length); !End(w, length).Add(settle).After(now); w++ {
+	for w := Window(now.Add(-late), length); !End(w, length).Add(settleTime).After(now); w++ {
 		if End(w, length).Add(late).After(now) {
 			l = append(l, w)
 		}
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -26,18 +26,19 @@
 	// 9 [339999999 340000000]
 }
 
-// Reports that come twice, late or out of order count once; what an instance had counted
-// before it was started again counts as well.
-func TestBookAddsUpLives(t *testing.T) {
+// Counts must be neither billed twice nor lost: reports that arrive repeatedly or out of
+// order count once, and the counts of an instance before its restart are added to those
+// of its new incarnation.
+func TestBookSumsIncarnations(t *testing.T) {
 	a, b := usage.NewTally(length), usage.NewBook()
 	for range 3 {
 		a.Saw("acme", start)
 	}
-	old := a.Counts()
+	earlier := a.Counts()
 	a.Saw("acme", start.Add(time.Second))
 	a.Saw("zeta", start.Add(length))
-	now := a.Counts()
-	for _, w := range []usage.Windows{now, old, now} {
+	latest := a.Counts()
+	for _, w := range []usage.Windows{latest, earlier, latest} {
 		b.Report("n1", 1, w)
 	}
 	b.Report("n1", 2, usage.Windows{usage.Window(start, length): {"acme": 5}})
