--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock tells the time by a clock that counts the time for which the machine was
-// suspended, and no steps of the time of day. Go's own steady reading stands still while
-// the machine is suspended: a process that wakes after ten seconds takes what it was told
-// before for fresh, and honours keys that were taken away meanwhile.
+// Package clock provides a monotonic clock that includes the time for which the machine
+// was suspended and ignores steps of the wall clock. Go's own monotonic clock stops while
+// the machine is suspended: a process that resumes after ten seconds would treat the state
+// it received before as fresh, and accept API keys that were revoked in the meantime.
 package clock
 
 import (
@@ -12,43 +12,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// noticed is how far the time of day may move against the steady reading before a
-// suspension is looked for: much less than any bound on beliefs, and more than what
-// slewing brings in a minute.
-const noticed = 20 * time.Millisecond
+// driftThreshold is how far the wall clock may move relative to the monotonic clock before
+// Now checks for a suspension: much less than any limit on the age of cached state, and
+// more than clock slewing causes within a minute.
+const driftThreshold = 20 * time.Millisecond
 
-// least is how long a suspension is at least; the two clocks are not read in one moment.
-const least = 5 * time.Millisecond
+// minSuspension is the shortest suspension that is recognised. Smaller differences arise
+// because the two clocks are not read at the same instant.
+const minSuspension = 5 * time.Millisecond
 
-// Reading is a moment by the steady clock and by the time of day.
+// Reading is a reading of the monotonic clock and of the wall clock at the same instant.
 type Reading struct {
 	Steady time.Duration
 	Wall   time.Duration
 }
 
-// Sources are what a clock reads. Boot is the time since the machine started, suspensions
-// included.
+// Sources are the system clocks that a clock reads. Boot returns the time since the
+// machine booted, including suspensions.
 type Sources struct {
 	Read func() Reading
 	Boot func() (time.Duration, error)
 }
 
-// Clock is safe for concurrent use. The moments that it returns carry Go's steady reading
-// with all suspensions added, so that spans between them are right; a deadline among them
-// is given to a timer as the span that is left.
+// Clock is a monotonic clock that includes suspensions. It is safe for concurrent use. The
+// times that it returns contain Go's monotonic reading plus all suspensions, so that
+// durations between them are correct. A timer for a deadline on this clock has to be
+// given the remaining duration.
 type Clock struct {
-	start   time.Time
-	sources Sources
-	boot    time.Duration
-	first   Reading
-	// suspended is for how long the machine was suspended since the start, and offset
-	// the time of day less the steady reading, as last seen; both in nanoseconds.
+	start        time.Time
+	sources      Sources
+	firstBoot    time.Duration
+	firstReading Reading
+	// suspended is the total suspension since the start of the clock. offset is the last
+	// observed difference of the wall clock and the monotonic clock. Both are in
+	// nanoseconds.
 	suspended, offset atomic.Int64
 
 	mu sync.Mutex
 }
 
-// New returns a clock of this machine.
+// New returns a clock that reads the clocks of this machine.
 func New() *Clock {
 	start := time.Now()
 	return NewFrom(start, Sources{
@@ -60,12 +63,12 @@
 	})
 }
 
-// NewFrom returns a clock that reads the sources; start is the moment at which its steady
-// reading was 0.
+// NewFrom returns a clock that reads the given sources; start is the time at which their
+// monotonic reading was 0.
 func NewFrom(start time.Time, s Sources) *Clock {
-	c := &Clock{start: start, sources: s, first: s.Read()}
-	c.boot, _ = s.Boot()
-	c.offset.Store(int64(c.first.Wall - c.first.Steady))
+	c := &Clock{start: start, sources: s, firstReading: s.Read()}
+	c.firstBoot, _ = s.Boot()
+	c.offset.Store(int64(c.firstReading.Wall - c.firstReading.Steady))
 	return c
 }
 
@@ -75,39 +78,41 @@
 	return time.Duration(t.Nano()), err
 }
 
-// Now returns the time. Both readings of the time of day and the steady one come with one
-// look; the machine's time since its start is read only where they have moved against each
-// other, as a suspension and a step have them do.
+// Now returns the current time. The wall clock and the monotonic clock are read together.
+// The boot-time clock is read only if they have moved relative to each other, as they do
+// on a suspension or on a step of the wall clock.
 func (c *Clock) Now() time.Time {
 	r := c.sources.Read()
-	if d := time.Duration(int64(r.Wall-r.Steady) - c.offset.Load()); d > noticed || d < -noticed {
-		c.look(r)
+	if d := time.Duration(int64(r.Wall-r.Steady) - c.offset.Load()); d > driftThreshold || d < -driftThreshold {
+		c.updateSuspended(r)
 	}
 	return c.start.Add(r.Steady + time.Duration(c.suspended.Load()))
 }
 
-// Look finds a suspension that a step of the time of day has hidden, and returns for how
-// long the machine was suspended since the last look.
+// Look reads the boot-time clock unconditionally. It detects a suspension that Now misses
+// because a step of the wall clock cancels it out, and returns the duration of the
+// suspensions that were not detected before.
 func (c *Clock) Look() time.Duration {
 	was := c.suspended.Load()
-	c.look(c.sources.Read())
+	c.updateSuspended(c.sources.Read())
 	return time.Duration(c.suspended.Load() - was)
 }
 
-func (c *Clock) look(r Reading) {
+func (c *Clock) updateSuspended(r Reading) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.offset.Store(int64(r.Wall - r.Steady))
 	b, err := c.sources.Boot()
 	if err != nil {
-		// A kernel without this clock has no suspension that could be told.
+		// On a kernel without a boot-time clock, suspensions can't be detected.
 		return
 	}
-	s := (b - c.boot) - (r.Steady - c.first.Steady)
-	if s > time.Duration(c.suspended.Load())+least {
+	s := (b - c.firstBoot) - (r.Steady - c.firstReading.Steady)
+	if s > time.Duration(c.suspended.Load())+minSuspension {
 		c.suspended.Store(int64(s))
 	}
 }
 
-// Suspended returns for how long the machine was suspended since the clock's start.
+// Suspended returns the total duration of the suspensions detected since the clock was
+// created.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -9,11 +9,11 @@
 	"fieldvale/clock"
 )
 
-// machine is a machine whose clocks are moved by hand.
+// machine simulates the clocks of a machine.
 type machine struct {
 	steady, wall, boot time.Duration
 	noBoot             bool
-	reads              int
+	bootReads          int
 }
 
 func (m *machine) run(d time.Duration)     { m.steady, m.wall, m.boot = m.steady+d, m.wall+d, m.boot+d }
@@ -24,7 +24,7 @@
 	return clock.NewFrom(start, clock.Sources{
 		Read: func() clock.Reading { return clock.Reading{Steady: m.steady, Wall: m.wall} },
 		Boot: func() (time.Duration, error) {
-			m.reads++
+			m.bootReads++
 			if m.noBoot {
 				return 0, errors.New("no such clock")
 			}
@@ -33,7 +33,7 @@
 	})
 }
 
-// A suspension counts, a step of the time of day does not.
+// The clock includes a suspension and ignores a step of the wall clock.
 func ExampleClock_Now() {
 	m := &machine{}
 	c := m.clock(time.Now())
@@ -48,51 +48,54 @@
 	// 11s
 }
 
-func TestClock(t *testing.T) {
+// A clock that misses a suspension treats outdated state as fresh; one that follows steps
+// of the wall clock lets deadlines pass too early or too late.
+func TestNowCountsSuspensionsOnly(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(m *machine, c *clock.Clock)
 		want time.Duration
 	}{
-		"runs on":                        {func(m *machine, _ *clock.Clock) { m.run(time.Minute) }, time.Minute},
-		"a step ahead":                   {func(m *machine, _ *clock.Clock) { m.step(2 * time.Second) }, 0},
-		"a suspension":                   {func(m *machine, _ *clock.Clock) { m.suspend(3 * time.Second) }, 3 * time.Second},
-		"a suspension within a step":     {func(m *machine, _ *clock.Clock) { m.suspend(3 * time.Second); m.step(time.Second) }, 3 * time.Second},
-		"two suspensions":                {func(m *machine, c *clock.Clock) { m.suspend(time.Second); c.Now(); m.run(1); m.suspend(time.Second) }, 2*time.Second + 1},
-		"hidden by a step, until a look": {func(m *machine, c *clock.Clock) { m.suspend(time.Second); m.step(-time.Second); c.Look() }, time.Second},
-		"no such clock":                  {func(m *machine, _ *clock.Clock) { m.noBoot = true; m.suspend(time.Second) }, 0},
+		"running":             {func(m *machine, _ *clock.Clock) { m.run(time.Minute) }, time.Minute},
+		"step forward":        {func(m *machine, _ *clock.Clock) { m.step(2 * time.Second) }, 0},
+		"suspension":          {func(m *machine, _ *clock.Clock) { m.suspend(3 * time.Second) }, 3 * time.Second},
+		"suspension and step": {func(m *machine, _ *clock.Clock) { m.suspend(3 * time.Second); m.step(time.Second) }, 3 * time.Second},
+		"two suspensions":     {func(m *machine, c *clock.Clock) { m.suspend(time.Second); c.Now(); m.run(1); m.suspend(time.Second) }, 2*time.Second + 1},
+		"suspension hidden by a step, until Look": {func(m *machine, c *clock.Clock) { m.suspend(time.Second); m.step(-time.Second); c.Look() }, time.Second},
+		"no boot-time clock":                      {func(m *machine, _ *clock.Clock) { m.noBoot = true; m.suspend(time.Second) }, 0},
 	} {
 		m := &machine{boot: time.Hour}
 		k := m.clock(time.Now())
 		from := k.Now()
 		c.do(m, k)
 		if got := k.Now().Sub(from); got != c.want {
-			t.Errorf("%s: %s went by, want %s", name, got, c.want)
+			t.Errorf("%s: got %s elapsed, want %s", name, got, c.want)
 		}
 	}
 }
 
-// The time of day and the steady reading agree as a rule; then nothing else is read.
-func TestClockReadsLittle(t *testing.T) {
+// Reading the boot-time clock costs a system call on every call of Now. It must not be
+// read while the wall clock and the monotonic clock advance together.
+func TestNowDoesNotReadBootTimeNeedlessly(t *testing.T) {
 	m := &machine{}
 	c := m.clock(time.Now())
-	before := m.reads
+	before := m.bootReads
 	for range 100 {
 		m.run(time.Second)
 		c.Now()
 	}
-	if m.reads != before {
-		t.Errorf("the machine's own time was read %d times", m.reads-before)
+	if m.bootReads != before {
+		t.Errorf("got %d reads of the boot-time clock, want none", m.bootReads-before)
 	}
 }
 
-func TestThisMachine(t *testing.T) {
+func TestSystemClock(t *testing.T) {
 	c := clock.New()
 	a := c.Now()
 	time.Sleep(5 * time.Millisecond)
 	if d := c.Now().Sub(a); d < 5*time.Millisecond || d > time.Minute {
-		t.Errorf("%s went by, want some 5 ms", d)
+		t.Errorf("got %s elapsed after a sleep of 5 ms, want between 5 ms and a minute", d)
 	}
 	if d := time.Until(c.Now()); d < -time.Minute || d > time.Minute {
-		t.Errorf("the clock is %s away from the time", d)
+		t.Errorf("got a clock %s away from the system time, want less than a minute", d)
 	}
 }
--- a/reply/reply.go
+++ b/reply/reply.go
@@ -1,5 +1,4 @@
-// Package reply matches answers that come as datagrams to the questions that
-// they belong to.
+// Package reply matches responses that arrive as datagrams to their pending requests.
 package reply
 
 import (
@@ -8,28 +7,27 @@
 	"time"
 )
 
-// Waiters are the questions that wait for an answer. It is safe for
-// concurrent use.
+// Waiters holds the requests that wait for a response. It is safe for concurrent use.
 type Waiters[T any] struct {
-	mu   sync.Mutex
-	next uint64
-	open map[uint64]chan T
+	mu      sync.Mutex
+	next    uint64
+	pending map[uint64]chan T
 }
 
-// New returns no waiters. start makes the ids of their questions differ from
-// those of an earlier run.
+// New returns an empty set of pending requests. Request ids follow start, which has to
+// differ from run to run so that late responses to an earlier process match no request.
 func New[T any](start uint64) *Waiters[T] {
-	return &Waiters[T]{next: start, open: map[uint64]chan T{}}
+	return &Waiters[T]{next: start, pending: map[uint64]chan T{}}
 }
 
-// Ask sends a question with an id of its own and waits for the answer. It
-// reports false if none comes in time.
+// Ask calls send with a new request id and waits for the response. It reports false if
+// send fails, or if no response arrives within the given time or before ctx ends.
 func (w *Waiters[T]) Ask(ctx context.Context, within time.Duration, send func(id uint64) error) (T, bool) {
-	var none T
+	var zero T
 	id, c := w.add()
 	defer w.remove(id)
 	if err := send(id); err != nil {
-		return none, false
+		return zero, false
 	}
 	t := time.NewTimer(within)
 	defer t.Stop()
@@ -39,21 +37,21 @@
 	case <-t.C:
 	case <-ctx.Done():
 	}
-	// An answer that is there counts, though the time is over: what its giver counted for it
-	// would else be lost.
+	// A response that has already arrived is returned although the time is over: the
+	// responder has accounted for it, such as for a permit, and it would be lost otherwise.
 	select {
 	case a := <-c:
 		return a, true
 	default:
-		return none, false
+		return zero, false
 	}
 }
 
-// Deliver hands an answer over and reports whether its question still waited.
-// A second answer to one question is dropped.
+// Deliver passes a response to its request and reports whether the request was still
+// pending. Further responses to the same request are dropped.
 func (w *Waiters[T]) Deliver(id uint64, a T) bool {
 	w.mu.Lock()
-	c := w.open[id]
+	c := w.pending[id]
 	w.mu.Unlock()
 	if c == nil {
 		return false
@@ -70,12 +68,12 @@
 	defer w.mu.Unlock()
 	w.next++
 	c := make(chan T, 1)
-	w.open[w.next] = c
+	w.pending[w.next] = c
 	return w.next, c
 }
 
 func (w *Waiters[T]) remove(id uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.open, id)
+	delete(w.pending, id)
 }
--- a/reply/reply_test.go
+++ b/reply/reply_test.go
@@ -9,27 +9,30 @@
 	"fieldvale/reply"
 )
 
-// long bounds a wait that ends at once.
-const long = 10 * time.Second
+// longTimeout bounds a wait that is expected to end immediately.
+const longTimeout = 10 * time.Second
 
-func TestAnswersReachTheirQuestion(t *testing.T) {
+// Responses must reach the request with their id, and only the first one counts.
+func TestDeliverMatchesRequestID(t *testing.T) {
 	w := reply.New[string](7)
-	a, ok := w.Ask(t.Context(), long, func(id uint64) error {
-		if w.Deliver(id+1, "another's") {
-			t.Error("an answer to no question was taken")
+	a, ok := w.Ask(t.Context(), longTimeout, func(id uint64) error {
+		if w.Deliver(id+1, "other") {
+			t.Error("Deliver accepted a response with an unknown id")
 		}
 		if !w.Deliver(id, "first") || !w.Deliver(id, "second") {
-			t.Error("the question did not wait")
+			t.Error("Deliver reported a pending request as not pending")
 		}
 		return nil
 	})
 	if !ok || a != "first" {
-		t.Errorf("got %q, %t, want the first answer", a, ok)
+		t.Errorf("got response %q, %t, want \"first\", true", a, ok)
 	}
 }
 
-func TestQuestionsWithoutAnAnswer(t *testing.T) {
-	over, cancel := context.WithCancel(t.Context())
+// A request that fails must end without a response and leave nothing pending, or late
+// responses would be taken for it and the set would grow.
+func TestFailedRequestIsRemoved(t *testing.T) {
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	for _, c := range []struct {
 		name   string
@@ -37,9 +40,9 @@
 		within time.Duration
 		err    error
 	}{
-		{"unsent", t.Context(), long, errors.New("no way")},
-		{"out of time", t.Context(), time.Millisecond, nil},
-		{"called off", over, long, nil},
+		{"send fails", t.Context(), longTimeout, errors.New("no route")},
+		{"timeout", t.Context(), time.Millisecond, nil},
+		{"context cancelled", cancelled, longTimeout, nil},
 	} {
 		w := reply.New[string](0)
 		var id uint64
@@ -48,27 +51,27 @@
 			return c.err
 		})
 		if ok {
-			t.Errorf("%s: reports an answer", c.name)
+			t.Errorf("%s: got a response, want none", c.name)
 		}
 		if w.Deliver(id, "late") {
-			t.Errorf("%s: a late answer was taken", c.name)
+			t.Errorf("%s: Deliver accepted a late response", c.name)
 		}
 	}
 }
 
-// An answer and the end of the time come in one moment, on a busy machine. Of two that were ready
-// one was chosen by chance, so that answers were lost that had been given: a right to send that
-// nobody used, and other results in each run of a test whose answers come at once.
-func TestAnAnswerThatIsThereCounts(t *testing.T) {
+// On a busy machine, a response and the timeout can become ready at the same time. Select
+// then chooses at random, so that a response that had arrived could be lost: a granted permit
+// stayed unused, and simulations with immediate responses were not reproducible.
+func TestResponseAtTimeoutIsReturned(t *testing.T) {
 	for i := range 50 {
 		w := reply.New[string](0)
 		_, ok := w.Ask(t.Context(), time.Nanosecond, func(id uint64) error {
 			time.Sleep(time.Millisecond)
-			w.Deliver(id, "given")
+			w.Deliver(id, "response")
 			return nil
 		})
 		if !ok {
-			t.Fatalf("question %d: its answer was there, and none was reported", i)
+			t.Fatalf("request %d: got no response, want the one delivered before the timeout was noticed", i)
 		}
 	}
 }
--- a/scaling/scaling.go
+++ b/scaling/scaling.go
@@ -1,7 +1,8 @@
-// Package scaling decides how many replicas of a service each data centre should have, by
-// how many requests run at once. It answers loads that change within seconds before
-// replicas that take some seconds to start: it orders more at once, and fewer only step by
-// step, by the largest load of the last seconds.
+// Package scaling decides how many replicas of a service each data centre should have,
+// based on the number of concurrently running requests. The load can change faster than
+// replicas start, which takes several seconds. The planner therefore orders additional
+// replicas immediately and removes replicas only in small steps, based on the peak load of
+// the last seconds.
 package scaling
 
 import (
@@ -11,69 +12,73 @@
 )
 
 const (
-	// busyPart of a replica's slots is what should be taken: engines read prompts in
-	// between, and what runs is not spread evenly.
-	busyPart = 0.25
-	// least is the part of the replicas seen at first below which none is taken away: a
-	// loss of replicas must not meet a fleet without room.
-	least = 0.4
-	// remembers is how long a load counts.
-	remembers = 10 * time.Second
-	// evidence is for how long a load must have been seen before replicas are taken away.
-	evidence = 4 * time.Second
-	// calm is how long replicas must have been as usual: those that a release has
-	// replaced are still counted for a while, and an order must not be for both.
-	calm = 5 * time.Second
-	// stepEvery is between two steps down, of stepPart of the replicas each.
-	stepEvery = 2 * time.Second
-	stepPart  = 0.15
+	// targetUtilization is the fraction of a replica's slots that should be in use. It
+	// is low because engines also spend time on reading prompts, and because requests
+	// are not distributed evenly.
+	targetUtilization = 0.25
+	// minReplicaRatio is the fraction of the initial replicas below which none is
+	// removed, so that the fleet has spare capacity when replicas fail.
+	minReplicaRatio = 0.4
+	// loadWindow is the period over which the peak load is taken.
+	loadWindow = 10 * time.Second
+	// minObservation is how long a load must have been observed before anything is
+	// ordered, so that no replicas are removed too early.
+	minObservation = 4 * time.Second
+	// settleTime is how long the set of replicas must have been steady before anything is
+	// ordered: replicas that a release has replaced are still counted for a while, and an
+	// order must not include both old and new ones.
+	settleTime = 5 * time.Second
+	// stepDownInterval is the time between two reductions, each of at most stepDownRatio
+	// of the replicas.
+	stepDownInterval = 2 * time.Second
+	stepDownRatio    = 0.15
 )
 
-// Zone is one data centre's replicas of a service.
+// Zone is the state of a service's replicas in one data centre.
 type Zone struct {
 	Name string
-	// Replicas are those that take requests.
+	// Replicas is the number of replicas that accept requests.
 	Replicas int
 }
 
-// Bounds are the operator's, for each data centre.
+// Bounds are the operator's limits for the replicas in each data centre.
 type Bounds struct {
 	Min, Max int
-	// Slots is how many requests a replica runs at once.
+	// Slots is the number of requests that a replica runs concurrently.
 	Slots int
 }
 
-// sample is the load of a moment.
+// sample is the number of running requests at one time.
 type sample struct {
 	at      time.Time
 	running int
 }
 
-// Planner plans for one service. It is not safe for concurrent use.
+// Planner plans the replicas of one service. It is not safe for concurrent use.
 type Planner struct {
 	samples []sample
-	// first is how many replicas there were when they were as usual for the first time,
-	// calmSince since when they are, and since when there is a load.
-	first            int
-	calmSince, since time.Time
-	stepAt           time.Time
-	ordered          map[string]int
+	// initialReplicas is the number of replicas when they were first steady,
+	// steadySince when they became steady, and loadSince when the first request ran.
+	initialReplicas        int
+	steadySince, loadSince time.Time
+	lastStepDown           time.Time
+	orderedReplicas        map[string]int
 }
 
-// NewPlanner returns a planner that has seen nothing.
-func NewPlanner() *Planner { return &Planner{ordered: map[string]int{}} }
+// NewPlanner returns a planner without observations.
+func NewPlanner() *Planner { return &Planner{orderedReplicas: map[string]int{}} }
 
-// Saw notes how many requests run in the whole fleet.
+// Saw records the number of requests that run in the whole fleet.
 func (p *Planner) Saw(running int, now time.Time) {
-	if running > 0 && p.since.IsZero() {
-		p.since = now
+	if running > 0 && p.loadSince.IsZero() {
+		p.loadSince = now
 	}
 	p.samples = append(p.samples, sample{now, running})
-	p.samples = slices.DeleteFunc(p.samples, func(s sample) bool { return now.Sub(s.at) > remembers })
+	p.samples = slices.DeleteFunc(p.samples, func(s sample) bool { return now.Sub(s.at) > loadWindow })
 }
 
-// peak is the largest load remembered.
-func (p *Planner) peak() int {
+// peakLoad returns the largest load within loadWindow.
+func (p *Planner) peakLoad() int {
 	n := 0
 	for _, s := range p.samples {
 		n = max(n, s.running)
@@ -81,23 +86,23 @@
 	return n
 }
 
-// Plan returns what to order for the data centres, with only those that change. steady
-// says that the replicas are as usual: none is replaced or emptied. Else nothing is
-// ordered, since what an order counts then is not known.
+// Plan returns the number of replicas to order for each data centre whose number has to
+// change. steady reports that no replica is being replaced and no data centre evacuated;
+// otherwise nothing is ordered, since the replicas to count are not known.
 func (p *Planner) Plan(zones []Zone, b Bounds, steady bool, now time.Time) map[string]int {
 	total := 0
 	for _, z := range zones {
 		total += z.Replicas
 	}
-	if !p.isCalm(steady, now) || now.Sub(p.since) < evidence || total == 0 || b.Slots <= 0 {
+	if !p.isSettled(steady, now) || now.Sub(p.loadSince) < minObservation || total == 0 || b.Slots <= 0 {
 		return nil
 	}
-	if p.first == 0 {
-		p.first = total
+	if p.initialReplicas == 0 {
+		p.initialReplicas = total
 	}
-	want := float64(p.peak()) / (busyPart * float64(b.Slots))
-	each := int(math.Ceil(max(want, least*float64(p.first)) / float64(len(zones))))
-	down := now.Sub(p.stepAt) >= stepEvery
+	want := float64(p.peakLoad()) / (targetUtilization * float64(b.Slots))
+	each := int(math.Ceil(max(want, minReplicaRatio*float64(p.initialReplicas)) / float64(len(zones))))
+	down := now.Sub(p.lastStepDown) >= stepDownInterval
 	orders := map[string]int{}
 	for _, z := range zones {
 		if n, ok := p.order(z, each, b, down); ok {
@@ -105,36 +110,38 @@
 		}
 	}
 	if down && len(orders) > 0 {
-		p.stepAt = now
+		p.lastStepDown = now
 	}
 	return orders
 }
 
-// isCalm reports whether the replicas have been as usual for a while, and there is a load.
-func (p *Planner) isCalm(steady bool, now time.Time) bool {
+// isSettled reports whether the replicas have been steady for settleTime and a load has
+// been observed.
+func (p *Planner) isSettled(steady bool, now time.Time) bool {
 	if !steady {
-		p.calmSince = time.Time{}
+		p.steadySince = time.Time{}
 		return false
 	}
-	if p.calmSince.IsZero() {
-		p.calmSince = now
+	if p.steadySince.IsZero() {
+		p.steadySince = now
 	}
-	return !p.since.IsZero() && now.Sub(p.calmSince) >= calm
+	return !p.loadSince.IsZero() && now.Sub(p.steadySince) >= settleTime
 }
 
-// order returns what to order for one data centre; ok is false for no change.
+// order returns the number of replicas to order for one data centre; ok is false if it
+// does not change.
 func (p *Planner) order(z Zone, want int, b Bounds, down bool) (n int, ok bool) {
-	was, ordered := p.ordered[z.Name]
-	if !ordered {
-		was = z.Replicas
+	current, hasOrder := p.orderedReplicas[z.Name]
+	if !hasOrder {
+		current = z.Replicas
 	}
 	n = want
-	if n < was {
-		n = max(n, was-max(1, int(stepPart*float64(was))))
+	if n < current {
+		n = max(n, current-max(1, int(stepDownRatio*float64(current))))
 	}
 	n = max(b.Min, min(b.Max, n))
-	return n, n > was || n < was && down
+	return n, n > current || n < current && down
 }
 
-// Ordered notes that the order was taken.
-func (p *Planner) Ordered(zone string, n int) { p.ordered[zone] = n }
+// Ordered records that the platform has accepted the order of n replicas.
+func (p *Planner) Ordered(zone string, n int) { p.orderedReplicas[zone] = n }
