--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -1,13 +1,13 @@
-// Package cascade learns, within the bound that a policy states, when a cheap
-// first step is not worth trying: a cheap answer that is rejected costs its
-// tokens and its time.
+// Package cascade learns when the first, cheap step of a cascade is not worth trying,
+// because a rejected answer of it still costs tokens and time. It only ever skips steps
+// of the plan that a policy gives.
 package cascade
 
 import (
 	"fieldvale/policy"
 )
 
-// Key is what chances are learnt by.
+// Key identifies an estimate: one is learned for each combination of its fields.
 type Key struct {
 	Team  string
 	Task  string
@@ -15,64 +15,65 @@
 	Model string
 }
 
-// chance is an exponentially weighted estimate of how often the step's answer
-// is accepted, starting from an even prior.
-type chance struct {
-	p float64
-	n int
+// estimate is an exponentially weighted estimate of the probability that a step's
+// answer is accepted, with a prior of 0.5.
+type estimate struct {
+	probability float64
+	ratings     int
 }
 
 const (
-	// weight of one new rating.
-	weight = 0.05
-	// minRatings before an estimate is used.
+	// ratingWeight is the weight of a new rating in the estimate.
+	ratingWeight = 0.05
+	// minRatings is the number of ratings before an estimate is used.
 	minRatings = 20
-	// exploreEvery makes each n-th request try a skipped step again, so that
-	// a model that got better is found.
-	exploreEvery = 20
+	// exploreInterval makes every n-th request try a skipped step nevertheless, so that
+	// an improved model is detected.
+	exploreInterval = 20
 )
 
-// Learner holds estimates. It is not safe for concurrent use.
+// Learner holds the acceptance estimates. It is not safe for concurrent use.
 type Learner struct {
-	c map[Key]chance
-	n map[Key]int
+	estimates map[Key]estimate
+	// skipCounts is the number of requests for which skipping was considered.
+	skipCounts map[Key]int
 }
 
-// NewLearner returns a learner that has seen nothing and skips nothing.
+// NewLearner returns a learner without ratings, which skips nothing.
 func NewLearner() *Learner {
-	return &Learner{c: map[Key]chance{}, n: map[Key]int{}}
+	return &Learner{estimates: map[Key]estimate{}, skipCounts: map[Key]int{}}
 }
 
-// Saw adds one rating's result.
+// Saw records whether a rated answer was accepted.
 func (l *Learner) Saw(k Key, accepted bool) {
-	c, ok := l.c[k]
+	c, ok := l.estimates[k]
 	if !ok {
-		c = chance{p: 0.5}
+		c = estimate{probability: 0.5}
 	}
 	x := 0.0
 	if accepted {
 		x = 1
 	}
-	w := max(weight, 1/float64(c.n+2))
-	c.p += w * (x - c.p)
-	c.n++
-	l.c[k] = c
+	w := max(ratingWeight, 1/float64(c.ratings+2))
+	c.probability += w * (x - c.probability)
+	c.ratings++
+	l.estimates[k] = c
 }
 
-// Chance returns the estimate and whether enough ratings stand behind it.
-func (l *Learner) Chance(k Key) (float64, bool) {
-	c := l.c[k]
-	return c.p, c.n >= minRatings
+// AcceptanceRate returns the estimate and whether it is based on at least minRatings ratings.
+func (l *Learner) AcceptanceRate(k Key) (float64, bool) {
+	c := l.estimates[k]
+	return c.probability, c.ratings >= minRatings
 }
 
-// Skip reports whether the first of two steps should be left out: its cost
-// cheap, against strong for the next one, is not won back by the share of
-// answers that it settles. Costs are in any one unit.
+// Skip reports whether the first of two steps should be skipped: its cost, cheap,
+// exceeds the expected saving, which is the probability that its answer is accepted
+// times the cost of the next step, strong. Both costs are in the same unit.
 func (l *Learner) Skip(k Key, cheap, strong float64) bool {
-	p, ok := l.Chance(k)
+	p, ok := l.AcceptanceRate(k)
 	if !ok || p*strong >= cheap {
 		return false
 	}
-	l.n[k]++
-	return l.n[k]%exploreEvery != 0
+	l.skipCounts[k]++
+	return l.skipCounts[k]%exploreInterval != 0
 }
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,9 +1,8 @@
-// Package catalog holds what a team declares beside its policy program: its
-// customers, the versions of its models with their costs, its tasks and the
-// plain services that it routes to.
+// Package catalog holds the declarations of a team that accompany its policy program:
+// its customers, the versions of its models with their costs, its tasks and the plain
+// services to which it routes.
 //
-// Values are immutable: nothing in this package changes one after New
-// returned it.
+// Values are immutable: no function of this package changes an existing value.
 package catalog
 
 import (
@@ -15,8 +14,8 @@
 	"fieldvale/version"
 )
 
-// Catalog is one team's declarations, with Customers, Versions, Tasks and
-// Services sorted by name.
+// Catalog is the declarations of one team. Customers, Versions, Tasks and Services
+// are sorted by name.
 type Catalog struct {
 	Team      string
 	Customers []Customer
@@ -25,11 +24,11 @@
 	Services  []Service
 }
 
-// Validate returns one error for each fault of the catalogue.
+// Validate returns an error for each invalid value in the catalogue.
 func (c Catalog) Validate() []error {
 	var e []error
-	if !nameOK(c.Team) {
-		e = append(e, errors.Newf("team: name %q may hold only a-z, 0-9, '-', '.' and '_'", c.Team))
+	if !isValidName(c.Team) {
+		e = append(e, errors.Newf("team: invalid name %q, want 1 to 64 characters of a-z, 0-9, '-', '.' and '_'", c.Team))
 	}
 	for _, x := range c.Customers {
 		e = append(e, x.Validate()...)
@@ -43,18 +42,18 @@
 	for _, s := range c.Services {
 		e = append(e, s.Validate()...)
 	}
-	return append(e, c.duplicates()...)
+	return append(e, c.checkSharedKeys()...)
 }
 
-// duplicates finds caller keys that two customers share; the sections of the
-// file already make names unique.
-func (c Catalog) duplicates() []error {
+// checkSharedKeys returns an error for each API key that two customers share. Names
+// need no such check, since the sections of the file make them unique.
+func (c Catalog) checkSharedKeys() []error {
 	var e []error
 	seen := map[string]string{}
 	for _, x := range c.Customers {
 		for _, k := range x.KeyHashes {
 			if o, ok := seen[k]; ok && o != x.Name {
-				e = append(e, errors.Newf("customer %s: has a key of customer %s", x.Name, o))
+				e = append(e, errors.Newf("customer %s: API key is also declared for customer %s, want distinct keys", x.Name, o))
 			}
 			seen[k] = x.Name
 		}
@@ -62,7 +61,7 @@
 	return e
 }
 
-// Customer returns the customer of that name.
+// Customer returns the customer with the given name.
 func (c Catalog) Customer(name string) (Customer, bool) {
 	for _, x := range c.Customers {
 		if x.Name == name {
@@ -72,7 +71,7 @@
 	return Customer{}, false
 }
 
-// Version returns the declared version with that ID.
+// Version returns the declared version with the given ID.
 func (c Catalog) Version(id version.ID) (Version, bool) {
 	for _, v := range c.Versions {
 		if v.ID == id {
@@ -82,7 +81,7 @@
 	return Version{}, false
 }
 
-// Models returns the names of the models declared, sorted.
+// Models returns the sorted names of all models that have a declared version.
 func (c Catalog) Models() []string {
 	m := map[string]bool{}
 	for _, v := range c.Versions {
@@ -96,8 +95,8 @@
 	return r
 }
 
-// ActiveVersion returns the version that a model's new sessions get when no
-// roll-out is under way: the one declared default, else the first by name.
+// ActiveVersion returns the version that new sessions of the model use while no
+// roll-out is in progress: the version declared as the default, else the first by name.
 func (c Catalog) ActiveVersion(model string) (version.ID, bool) {
 	var f version.ID
 	for _, v := range c.Versions {
@@ -114,18 +113,19 @@
 	return f, !f.IsZero()
 }
 
-const nameRunes = "abcdefghijklmnopqrstuvwxyz0123456789-._"
+const nameAlphabet = "abcdefghijklmnopqrstuvwxyz0123456789-._"
 
-const maxName = 64
+// maxNameLength is the maximum length of a name. The error messages state it too.
+const maxNameLength = 64
 
-// nameOK reports whether s can stand in a key of the store, a metric label
-// and a header without escaping.
-func nameOK(s string) bool {
-	if s == "" || len(s) > maxName {
+// isValidName reports whether s can be part of a key of the store, a metric label and
+// a header without escaping.
+func isValidName(s string) bool {
+	if s == "" || len(s) > maxNameLength {
 		return false
 	}
 	for _, r := range s {
-		if !strings.ContainsRune(nameRunes, r) {
+		if !strings.ContainsRune(nameAlphabet, r) {
 			return false
 		}
 	}
--- a/catalog/service.go
+++ b/catalog/service.go
@@ -6,30 +6,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Service is a plain service, such as a memory service or an order desk.
+// Service is a plain service rather than a language model, such as a memory service
+// or an order service.
 type Service struct {
 	Name string
-	// Once lists the calls that may not be repeated.
+	// Once lists the calls that are not idempotent and must not be repeated.
 	Once []string
-	// ChecksKey says that the service itself refuses a second call with the
-	// same key, so that it may be called while the store is out.
+	// ChecksKey reports that the service itself rejects a second call with the same
+	// idempotency key, so that it may be called while the store is unavailable.
 	ChecksKey bool
 }
 
-// IsOnce reports whether the named call may not be repeated.
+// IsOnce reports whether the call is not idempotent and must not be repeated.
 func (s Service) IsOnce(call string) bool {
 	return slices.Contains(s.Once, call)
 }
 
-// Validate returns one error for each fault of the service.
+// Validate returns an error for each invalid field of the service.
 func (s Service) Validate() []error {
 	var e []error
-	if !nameOK(s.Name) {
-		e = append(e, errors.Newf("service %q: bad name", s.Name))
+	if !isValidName(s.Name) {
+		e = append(e, errors.Newf("service %q: invalid name, want 1 to 64 characters of a-z, 0-9, '-', '.' and '_'", s.Name))
 	}
 	for _, c := range s.Once {
-		if !nameOK(c) {
-			e = append(e, errors.Newf("service %s: bad call name %q", s.Name, c))
+		if !isValidName(c) {
+			e = append(e, errors.Newf("service %s: invalid call name %q, want 1 to 64 characters of a-z, 0-9, '-', '.' and '_'", s.Name, c))
 		}
 	}
 	return e
--- a/catalog/task.go
+++ b/catalog/task.go
@@ -6,24 +6,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Task is a kind of request, such as a segment review, that callers name in
-// a header and policies look at.
+// Task is a kind of request, such as the review of a segment. Callers name it in a
+// header and policy programs receive it as an argument.
 type Task struct {
 	Name string
-	// Allowance is the time that a request without a deadline of its own is
-	// given; admission turns it into a deadline once, when the request comes in.
+	// Allowance is the time limit of a request without a deadline of its own. It is
+	// converted to a deadline once, when the request arrives.
 	Allowance time.Duration
 }
 
-// DefaultTask is the task of a request that names none.
+// DefaultTask is the task of a request that does not name one.
 const DefaultTask = "chat"
 
-// DefaultAllowance is the time given to a task that states none.
+// DefaultAllowance is the allowance of a task that does not set one.
 const DefaultAllowance = 10 * time.Second
 
 const maxAllowance = 10 * time.Minute
 
-// Defaults returns t with what was left out filled in.
+// Defaults returns t with default values in unset fields.
 func (t Task) Defaults() Task {
 	if t.Allowance == 0 {
 		t.Allowance = DefaultAllowance
@@ -31,14 +31,14 @@
 	return t
 }
 
-// Validate returns one error for each fault of the task.
+// Validate returns an error for each invalid field of the task.
 func (t Task) Validate() []error {
 	var e []error
-	if !nameOK(t.Name) {
-		e = append(e, errors.Newf("task %q: bad name", t.Name))
+	if !isValidName(t.Name) {
+		e = append(e, errors.Newf("task %q: invalid name, want 1 to 64 characters of a-z, 0-9, '-', '.' and '_'", t.Name))
 	}
 	if t.Allowance <= 0 || t.Allowance > maxAllowance {
-		e = append(e, errors.Newf("task %s: allowance %s is not between 0 and %s", t.Name, t.Allowance, maxAllowance))
+		e = append(e, errors.Newf("task %s: allowance is %s, want more than 0 and at most %s", t.Name, t.Allowance, maxAllowance))
 	}
 	return e
 }
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,111 +1,112 @@
-// Package claim decides who may send a request that may not be repeated.
+// Package claim decides which instance may send a non-idempotent request.
 //
-// A claim is a record in the platform's store under the caller's key, made
-// only if there is none. Whoever finds its own nonce in it may send, once;
-// everyone else is told what the record proves and no more.
+// A claim is a record in the platform's store under the caller's idempotency key.
+// It is created only if no record exists. The instance that finds its own nonce in
+// the stored record may send the request once; any other instance only gets the
+// result that the record proves.
 package claim
 
 import (
 	"time"
 )
 
-// State is what a claim proves.
+// State is what a claim proves about the execution of its request.
 type State string
 
 const (
 	// Held: the holder may have sent the request.
 	Held State = "held"
-	// Ran: the request ran; the answer is kept if it was short.
+	// Ran: the request ran; its answer is stored if it is short enough.
 	Ran State = "ran"
 	// Free: the holder proved that the request did not run.
 	Free State = "free"
 )
 
-// MaxAnswer is the longest answer, in bytes, that a claim keeps for a caller
-// who asks again.
-const MaxAnswer = 4096
+// MaxStoredAnswer is the maximum size, in bytes, of an answer that a claim stores for
+// retries of the caller.
+const MaxStoredAnswer = 4096
 
-// Margin is how long a record outlives its deadline, so that a holder which
-// was paused past the deadline still can't be doubled.
+// Margin is how long a record is kept after its deadline, so that no second instance
+// can send the request while a holder that was paused past the deadline may resume.
 const Margin = time.Hour
 
-// Claim is the record kept under a key.
+// Claim is the record stored under an idempotency key.
 type Claim struct {
 	Customer string
 	Key      string
-	// Nonce tells whose claim it is; it is new for each try.
+	// Nonce identifies the attempt that created the claim; each attempt has a new one.
 	Nonce  string
 	Holder string
-	// Deadline is when the caller gives up; the holder sends nothing after it.
+	// Deadline is the caller's deadline; the holder sends nothing after it.
 	Deadline time.Time
 	State    State
-	// Status and Answer are those of a request that ran.
+	// Status and Answer are the HTTP status and the answer of a request that ran.
 	Status int
 	Answer []byte
 }
 
-// New returns a claim that the holder wants.
+// New returns a claim in state Held for the holder to store.
 func New(customer, key, nonce, holder string, deadline time.Time) Claim {
 	return Claim{Customer: customer, Key: key, Nonce: nonce, Holder: holder, Deadline: deadline, State: Held}
 }
 
-// WithAnswer returns the claim of a request that ran. Too long an answer is
-// left out; the state alone is kept then.
+// WithAnswer returns the claim of a request that ran. An answer longer than
+// MaxStoredAnswer is omitted, so that only state and status are stored.
 func (c Claim) WithAnswer(status int, b []byte) Claim {
 	c.State = Ran
 	c.Status = status
-	if len(b) <= MaxAnswer {
+	if len(b) <= MaxStoredAnswer {
 		c.Answer = b
 	}
 	return c
 }
 
-// WithFree returns the claim of a request that surely did not run.
+// WithFree returns the claim of a request that certainly did not run.
 func (c Claim) WithFree() Claim {
 	c.State = Free
 	return c
 }
 
-// Expires is when the store may forget the record.
+// Expires returns the time from which the store may delete the record.
 func (c Claim) Expires() time.Time { return c.Deadline.Add(Margin) }
 
-// Verdict is what an asker may do.
+// Verdict is what an instance may do after comparing its claim with the stored one.
 type Verdict int
 
 const (
-	// Send: the claim is the asker's; it may send once.
+	// Send: the stored claim is the instance's own; it may send the request once.
 	Send Verdict = iota
-	// MayHaveRun: someone else holds the claim and there is no proof of a
-	// result. The request must not be sent.
+	// MayHaveRun: another attempt holds the claim and there is no proof of a result.
+	// The request must not be sent.
 	MayHaveRun
-	// Replay: the request ran and its answer is kept.
+	// Replay: the request ran and its answer is stored.
 	Replay
-	// RanBefore: the request ran, but its answer was too long to keep.
+	// RanBefore: the request ran, but its answer was too long to be stored.
 	RanBefore
-	// Takeable: the earlier holder proved that it did not run; the asker may
-	// replace exactly that record with its own.
+	// Takeable: the earlier holder proved that the request did not run; the instance
+	// may replace exactly this version of the record with its own claim.
 	Takeable
-	// Expired: the asker's own deadline has passed; it must not send.
+	// Expired: the deadline of the instance's own claim has passed; it must not send.
 	Expired
 )
 
-// String returns the verdict as logs name it.
+// String returns the name of the verdict in logs.
 func (v Verdict) String() string {
 	return [...]string{"send", "may_have_run", "replay", "ran_before", "takeable", "expired"}[v]
 }
 
-// Judge compares the record found under the key with the asker's claim.
-func Judge(found, mine Claim, now time.Time) Verdict {
+// Judge compares the record stored under the key with the instance's own claim.
+func Judge(stored, own Claim, now time.Time) Verdict {
 	switch {
-	case found.State == Ran && found.Answer != nil:
+	case stored.State == Ran && stored.Answer != nil:
 		return Replay
-	case found.State == Ran:
+	case stored.State == Ran:
 		return RanBefore
-	case found.Nonce == mine.Nonce && !now.Before(mine.Deadline):
+	case stored.Nonce == own.Nonce && !now.Before(own.Deadline):
 		return Expired
-	case found.Nonce == mine.Nonce && found.State == Held:
+	case stored.Nonce == own.Nonce && stored.State == Held:
 		return Send
-	case found.State == Free && found.Nonce != mine.Nonce:
+	case stored.State == Free && stored.Nonce != own.Nonce:
 		return Takeable
 	}
 	return MayHaveRun
