--- a/audit/audit.go
+++ b/audit/audit.go
@@ -1,13 +1,13 @@
-// Package audit holds the entries of the trail of changes. An entry is
-// written in the same transaction as the change that it tells of.
+// Package audit defines the entries of the audit trail. An entry is written in the same
+// transaction as the change that it records.
 package audit
 
 import "time"
 
-// Action names a kind of change.
+// Action is the kind of a recorded change.
 type Action string
 
-// The actions that leave an entry.
+// The actions that are recorded.
 const (
 	Accept     Action = "accept"
 	Withdraw   Action = "withdraw"
@@ -20,7 +20,8 @@
 	Restore    Action = "restore"
 )
 
-// Entry tells of one change: who made it, when, from what to what, and why.
+// Entry records one change: who made it and when, the old and the new value, and the
+// reason.
 type Entry struct {
 	Revision uint64
 	ChangeID string
--- a/means/means.go
+++ b/means/means.go
@@ -1,60 +1,63 @@
-// Package means learns running means of figures.
+// Package means maintains running means of observed values by key.
 package means
 
 import "sync"
 
-// Means are the running means of a figure, by what it is known for. They are
-// safe for concurrent use.
+// Means holds exponentially weighted means of one quantity by key. It is safe for
+// concurrent use.
 type Means struct {
 	mu sync.Mutex
-	// weight is of one value in the mean.
+	// weight is the weight of a new value in the mean, from 0 to 1.
 	weight float64
-	// prior is how many values the first one counts as, if not 0: the next ones
-	// then count for as much each until they count for weight.
+	// prior is the number of values as which the initial value counts. If it is not 0,
+	// the mean begins as the arithmetic mean of the initial value and the observed ones,
+	// and becomes exponentially weighted once a new value would count less than weight.
 	prior float64
-	m     map[string]mean
+	byKey map[string]mean
 }
 
-// mean is a running mean and how many values it was learnt from.
+// mean is a running mean with the number of observed values.
 type mean struct {
 	value float64
 	n     float64
 }
 
-// New returns no means yet; weight is of one value in the mean, from 0 to 1.
-func New(weight float64) *Means { return &Means{weight: weight, m: map[string]mean{}} }
+// New returns an empty set of means; weight is the weight of a new value, from 0 to 1.
+func New(weight float64) *Means { return &Means{weight: weight, byKey: map[string]mean{}} }
 
-// NewQuick returns means that are learnt sooner: where few values come, a
-// mean of constant weight keeps to what it began as for too long.
+// NewQuick returns an empty set of means that adapt faster to their first values. With
+// few observations, a mean of constant weight stays close to its initial value for too
+// long.
 func NewQuick(weight, prior float64) *Means {
-	return &Means{weight: weight, prior: prior, m: map[string]mean{}}
+	return &Means{weight: weight, prior: prior, byKey: map[string]mean{}}
 }
 
-// Of returns the key's mean, which begins as first.
-func (m *Means) Of(key string, first float64) float64 {
+// Of returns the mean of the key. The first call of Of or Learn for a key sets the mean to
+// initial.
+func (m *Means) Of(key string, initial float64) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.at(key, first).value
+	return m.getOrCreate(key, initial).value
 }
 
-// Learn takes a value in; value returns it for the mean so far, which begins
-// as first.
-func (m *Means) Learn(key string, first float64, value func(mean float64) float64) {
+// Learn adds a value to the mean of the key. The function value computes it from the
+// current mean.
+func (m *Means) Learn(key string, initial float64, value func(mean float64) float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	v := m.at(key, first)
+	v := m.getOrCreate(key, initial)
 	w := m.weight
 	if m.prior > 0 {
 		w = max(w, 1/(m.prior+v.n+1))
 	}
-	m.m[key] = mean{value: v.value + w*(value(v.value)-v.value), n: v.n + 1}
+	m.byKey[key] = mean{value: v.value + w*(value(v.value)-v.value), n: v.n + 1}
 }
 
-func (m *Means) at(key string, first float64) mean {
-	v, ok := m.m[key]
+func (m *Means) getOrCreate(key string, initial float64) mean {
+	v, ok := m.byKey[key]
 	if !ok {
-		v = mean{value: first}
-		m.m[key] = v
+		v = mean{value: initial}
+		m.byKey[key] = v
 	}
 	return v
 }
--- a/means/means_test.go
+++ b/means/means_test.go
@@ -6,8 +6,8 @@
 	"fieldvale/means"
 )
 
-// A mean begins as it is taken to be, and moves by its weight with each value; a quick one moves
-// more as long as it has seen few.
+// A mean starts at its initial value and moves towards each new value by its weight. One of
+// NewQuick moves further for the first values.
 func ExampleMeans() {
 	slow, quick := means.New(0.1), means.NewQuick(0.1, 1)
 	for range 3 {
--- a/outcome/closed.go
+++ b/outcome/closed.go
@@ -7,9 +7,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// IsClosed reports whether the peer, or what stands for it, closed or reset the connection
-// while an answer was due. Nothing else shows that it may have ended: a time-out is also
-// what a cut link gives.
+// IsClosed reports whether the peer, or a proxy or kernel acting for it, closed or reset
+// the connection while a response was pending. No other error indicates that the peer may
+// have crashed: a timeout also occurs when the network link is down.
 func IsClosed(err error) bool {
 	for _, c := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, c) {
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,6 +1,6 @@
-// Package outcome says what is known of an attempt at a backend server. One
-// typed value decides whether the attempt may be made again elsewhere and
-// what the caller is told.
+// Package outcome classifies failed attempts at backend servers by whether the work
+// ran. The classification decides whether another backend server may be tried and
+// which error the caller gets.
 package outcome
 
 import (
@@ -9,39 +9,39 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind is what is known of an attempt.
+// Kind states whether the work of an attempt ran.
 type Kind int
 
 const (
-	// Unknown: bytes were sent and no whole answer or refusal came back.
+	// Unknown: bytes were sent, but no complete answer or rejection was received.
 	Unknown Kind = iota
-	// NotRun: nothing was sent, or the backend server itself said that it
-	// did not start the work.
+	// NotRun: nothing was sent, or the backend server itself reported that it did not
+	// start the work.
 	NotRun
 	// Ran: the backend server answered.
 	Ran
 )
 
-// String returns the kind as logs and metrics name it.
+// String returns the name of the kind in logs and metrics.
 func (k Kind) String() string {
 	return [...]string{"unknown", "not_run", "ran"}[k]
 }
 
-// Error is a failed attempt with the step and the peer at which it arose.
+// Error is the failure of an attempt, with the step and the peer at which it occurred.
 type Error struct {
 	Kind Kind
-	// Step is what was being done, such as "dial" or "read".
+	// Step is the operation that failed, such as "dial" or "read".
 	Step string
-	// Peer is the backend server or process that was spoken to.
+	// Peer is the backend server or process at the other end.
 	Peer string
-	// RetryAt is when the peer asked to be asked again; zero if it did not.
+	// RetryAt is the retry time that the peer requested; zero if it requested none.
 	RetryAt time.Time
-	// Status is the peer's HTTP status; 0 if there was none.
+	// Status is the HTTP status of the peer's response; 0 without a response.
 	Status int
 	Cause  error
 }
 
-// Error tells step, peer and cause on one line.
+// Error returns the step, the peer, the kind and the cause in one line.
 func (e *Error) Error() string {
 	return e.Step + " " + e.Peer + " (" + e.Kind.String() + "): " + e.Cause.Error()
 }
@@ -49,27 +49,27 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// New returns an attempt's failure.
+// New returns the failure of an attempt.
 func New(k Kind, step, peer string, cause error) *Error {
 	return &Error{Kind: k, Step: step, Peer: peer, Cause: cause}
 }
 
-// WithRetryAt returns a copy of e that says when to come back.
+// WithRetryAt returns a copy of e with the retry time that the peer requested.
 func (e *Error) WithRetryAt(t time.Time) *Error {
 	c := *e
 	c.RetryAt = t
 	return &c
 }
 
-// WithStatus returns a copy of e with the peer's HTTP status.
+// WithStatus returns a copy of e with the HTTP status of the peer's response.
 func (e *Error) WithStatus(n int) *Error {
 	c := *e
 	c.Status = n
 	return &c
 }
 
-// Of returns the kind of a failure; an error of another type is Unknown,
-// since nothing can be promised of it.
+// Of returns the kind of an error. An error that contains no *Error is Unknown, since
+// the work may have run.
 func Of(err error) Kind {
 	var e *Error
 	if errors.As(err, &e) {
@@ -78,8 +78,8 @@
 	return Unknown
 }
 
-// MayRepeat reports whether the work may be sent again after err. Work that
-// may not be repeated goes again only if it surely did not run.
+// MayRepeat reports whether the work may be retried after err. With once, the work is not
+// idempotent and may be retried only if it certainly did not run.
 func MayRepeat(err error, once bool) bool {
 	switch Of(err) {
 	case NotRun:
--- a/prompt/prompt.go
+++ b/prompt/prompt.go
@@ -1,39 +1,42 @@
-// Package prompt describes what a request gives a language model to read, as
-// far as placement needs it: its size and the parts that others share.
+// Package prompt describes the prompt of a request as far as the choice of a replica
+// needs it: its size, and its parts that other requests share.
 package prompt
 
-// Prompt is one request's prompt. The zero value is no prompt.
+// Prompt is the prompt of one request. The zero value means that there is none.
 type Prompt struct {
-	// Model is what the client asked for; AnyModel leaves the choice to the
-	// router.
+	// Model is the model that the client requested. With AnyModel, the router chooses
+	// one.
 	Model string
-	// In and MaxOut are tokens: those of the prompt, and the most to be made.
+	// In is the number of prompt tokens, MaxOut the maximum number of tokens to
+	// generate.
 	In     int
 	MaxOut int
-	// Parts make up the prompt in order. The last one is the request's own
-	// or its session's; those before it are shared with other requests.
+	// Parts are the consecutive parts of the prompt. The last one belongs to the request
+	// or its session; those before it are shared with other requests.
 	Parts []Part
 }
 
-// Part is a piece of a prompt that a replica may have kept from before.
+// Part is a part of a prompt that a replica may have in its cache from an earlier
+// request.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// AnyModel as a prompt's model leaves the choice to the router.
+// AnyModel is the model of a prompt for which the router chooses the model.
 const AnyModel = "*"
 
-// IsNone reports whether there is no prompt.
+// IsNone reports whether the request has no prompt.
 func (p Prompt) IsNone() bool { return p.Model == "" && p.In == 0 && len(p.Parts) == 0 }
 
-// Shared returns the parts that others share, in order. One is kept only with
-// all before it, so the deepest one names them all.
+// Shared returns the parts that are shared with other requests, in order. A replica
+// caches a part only together with all parts before it, so the last shared part
+// identifies the whole shared prefix.
 func (p Prompt) Shared() []Part {
 	return p.Parts[:max(0, len(p.Parts)-1)]
 }
 
-// SharedTokens is the size of the shared parts.
+// SharedTokens returns the number of tokens of the shared parts.
 func (p Prompt) SharedTokens() int {
 	n := 0
 	for _, x := range p.Shared() {
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -1,20 +1,21 @@
-// Package ring joins the duties of a process by bounded queues. A full ring
-// refuses instead of growing, so that overload shows at once where it arises.
+// Package ring provides the bounded queues between the goroutines of a process. A full
+// queue rejects items instead of growing, so that an overload becomes visible immediately
+// where it occurs.
 package ring
 
 import "context"
 
-// Ring is a bounded first-in first-out queue between goroutines.
+// Ring is a bounded FIFO queue between goroutines.
 type Ring[T any] struct {
 	c chan T
 }
 
-// New returns a ring that holds at most n items.
+// New returns a queue with room for n items.
 func New[T any](n int) *Ring[T] {
 	return &Ring[T]{c: make(chan T, n)}
 }
 
-// Offer adds x and reports whether there was room.
+// Offer adds x if there is room and reports whether it did. It does not wait.
 func (r *Ring[T]) Offer(x T) bool {
 	select {
 	case r.c <- x:
@@ -24,7 +25,7 @@
 	}
 }
 
-// Put waits for room and adds x. It reports false if ctx ended first.
+// Put waits for room and adds x. It returns false if ctx is done first.
 func (r *Ring[T]) Put(ctx context.Context, x T) bool {
 	select {
 	case r.c <- x:
@@ -34,7 +35,7 @@
 	}
 }
 
-// Take waits for an item. It fails only with ctx's error.
+// Take waits for an item and removes it. It returns an error only if ctx is done first.
 func (r *Ring[T]) Take(ctx context.Context) (T, error) {
 	select {
 	case x := <-r.c:
@@ -45,7 +46,7 @@
 	}
 }
 
-// Drain returns the items queued now, at most n of them, without waiting.
+// Drain removes and returns at most n of the queued items without waiting.
 func (r *Ring[T]) Drain(n int) []T {
 	var d []T
 	for len(d) < n {
@@ -59,8 +60,8 @@
 	return d
 }
 
-// Len returns the number of items queued.
+// Len returns the number of queued items.
 func (r *Ring[T]) Len() int { return len(r.c) }
 
-// Chan is for use in a select beside other waits.
+// Chan returns the channel of the queue, for receiving in a select statement.
 func (r *Ring[T]) Chan() <-chan T { return r.c }
--- a/version/version.go
+++ b/version/version.go
@@ -1,4 +1,4 @@
-// Package version names the versions of models that fieldvale routes to.
+// Package version identifies versions of models.
 package version
 
 import (
@@ -7,21 +7,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// separator stands between the model and the version's name in text.
+// separator separates the model and the name of the version in the text form.
 const separator = "@"
 
-// ID names one version of one model. It is comparable and used as a map key.
+// ID identifies one version of a model. It is comparable, so that it can be a map key.
 type ID struct {
 	Model string
 	Name  string
 }
 
-// New returns the ID of the named version of model.
+// New returns the ID of the version of model with the given name.
 func New(model, name string) ID {
 	return ID{Model: model, Name: name}
 }
 
-// Parse reads "model@name". Both parts must be present.
+// Parse parses the text form "model@name". Both parts must be non-empty.
 func Parse(s string) (ID, error) {
 	m, n, ok := strings.Cut(s, separator)
 	if !ok || m == "" || n == "" {
@@ -30,12 +30,12 @@
 	return ID{Model: m, Name: n}, nil
 }
 
-// String returns "model@name", the form that Parse reads.
+// String returns the text form "model@name".
 func (i ID) String() string {
 	return i.Model + separator + i.Name
 }
 
-// IsZero reports whether i names no version.
+// IsZero reports whether i is the zero value, which identifies no version.
 func (i ID) IsZero() bool {
 	return i == ID{}
 }
