--- a/admission/admission.go
+++ b/admission/admission.go
@@ -106,7 +106,7 @@
 	return float64(l.inFlightByCustomer[customer]) >= l.limit*float64(share)/float64(t)
 }
 
-// Done releases the slot of an accepted request. seconds is the response time in
+// Done frees the slot of an accepted request. seconds is the response time in
 // seconds, 0 without a response; overload reports that the response was late or
 // that the backend server rejected the request.
 func (l *Limiter) Done(customer string, seconds float64, overload bool, now time.Time) {
--- a/prompt/prompt.go
+++ b/prompt/prompt.go
@@ -7,9 +7,9 @@
 	// Model is the model that the client requested. With AnyModel, the router chooses
 	// one.
 	Model string
-	// In is the number of prompt tokens, MaxOut the maximum number of tokens to
-	// generate.
-	In     int
+	// In is the number of tokens of the prompt.
+	In int
+	// MaxOut is the maximum number of tokens to generate.
 	MaxOut int
 	// Parts are the consecutive parts of the prompt. The last one belongs to the request
 	// or its session; those before it are shared with other requests.
--- a/reply/reply.go
+++ b/reply/reply.go
@@ -20,8 +20,8 @@
 	return &Waiters[T]{next: start, pending: map[uint64]chan T{}}
 }
 
-// Ask calls send with a new request id and waits for the response. It reports false if
-// send fails, or if no response arrives within the given time or before ctx ends.
+// Ask sends a request by calling send with a new id, and waits for the response. It
+// reports false if send fails, or if no response arrives within the given time or before ctx ends.
 func (w *Waiters[T]) Ask(ctx context.Context, within time.Duration, send func(id uint64) error) (T, bool) {
 	var zero T
 	id, c := w.add()
--- a/reply/reply_test.go
+++ b/reply/reply_test.go
@@ -40,8 +40,8 @@
 		within time.Duration
 		err    error
 	}{
-		{"send fails", t.Context(), longTimeout, errors.New("no route")},
-		{"timeout", t.Context(), time.Millisecond, nil},
+		{"send fails", t.Context(), longTimeout, errors.New("link down")},
+		{"out of time", t.Context(), time.Millisecond, nil},
 		{"context cancelled", cancelled, longTimeout, nil},
 	} {
 		w := reply.New[string](0)
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -11,8 +11,8 @@
 	// instances each member forwards changes to about seven others.
 	Enough = 48
 	// refillThreshold is the number of registered members below which running
-	// instances register. It is far below Enough, so that the loss of a few members
-	// does not make all other instances register.
+	// instances register. It is far below the sufficient number, so that the loss of a
+	// few members does not make all other instances register.
 	refillThreshold = Enough / 2
 )
 
--- a/scaling/scaling.go
+++ b/scaling/scaling.go
@@ -28,8 +28,8 @@
 	// ordered: replicas that a release has replaced are still counted for a while, and an
 	// order must not include both old and new ones.
 	settleTime = 5 * time.Second
-	// stepDownInterval is the time between two reductions, each of at most stepDownRatio
-	// of the replicas.
+	// stepDownInterval is the time between two reductions. Each removes at most
+	// stepDownRatio of the replicas, but at least one.
 	stepDownInterval = 2 * time.Second
 	stepDownRatio    = 0.15
 )
--- a/session/session.go
+++ b/session/session.go
@@ -18,7 +18,7 @@
 	"fieldvale/version"
 )
 
-// Errors of Ring.Open, to be matched with errors.Is.
+// Reasons for which a token is rejected, to be matched with errors.Is.
 var (
 	ErrMalformed    = errors.New("session: token is malformed")
 	ErrUnknownKey   = errors.New("session: token is signed with an unknown key")
@@ -26,8 +26,8 @@
 	ErrExpired      = errors.New("session: token has expired")
 )
 
-// MaxToken is the maximum length of a token in bytes; Ring.Open rejects longer
-// ones as malformed.
+// MaxToken is the maximum length of a token in bytes; longer ones are rejected as
+// malformed.
 const MaxToken = 2048
 
 // Session is the content of a token. Pins has at most one version of each model.
@@ -72,8 +72,8 @@
 	Secret []byte
 }
 
-// Ring is a key ring. Tokens of all its keys are accepted; new tokens are signed
-// with the first. A rotation inserts a new key at the front and keeps the old ones
+// Ring holds signing keys. Tokens of all its keys are accepted; new tokens are
+// signed with the first. A rotation inserts a new key at the front and keeps the old ones
 // until their tokens have expired.
 type Ring struct {
 	keys []Key
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -82,7 +82,7 @@
 	reported map[int64]map[origin]Counts
 }
 
-// NewBook returns an empty book.
+// NewBook returns a sum without any reported counts.
 func NewBook() *Book { return &Book{reported: map[int64]map[origin]Counts{}} }
 
 // Report merges the counts of an instance's incarnation so far. Reports may arrive
