--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Reading the boot-time clock costs a system call on every call of Now. It must not be
-// read while the wall clock and the monotonic clock advance together.
+// The boot-time clock must be read only if the wall clock and the monotonic clock have
+// diverged; otherwise each call of Now would cost a further system call.
 func TestNowDoesNotReadBootTimeNeedlessly(t *testing.T) {
 	m := &machine{}
 	c := m.clock(time.Now())
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -19,8 +19,8 @@
 	// safetyMargin is how long before the expiry of its lease a holder stops acting,
 	// since the calls that it has sent by then are still in transit.
 	safetyMargin = 700 * time.Millisecond
-	// claimStagger is how much longer each instance waits to claim a vacant duty than
-	// the one ranked before it, so that they do not all claim it at once.
+	// claimStagger is how much longer each instance waits before it claims a vacant duty
+	// than the one ranked before it.
 	claimStagger = 300 * time.Millisecond
 	// retryDelay is how long an instance that has lost the duty does not claim it again,
 	// so that two instances do not take the duty from each other alternately.
