--- a/faults/bills_test.go
+++ b/faults/bills_test.go
@@ -68,7 +68,7 @@
 		}
 		d.instance("a1").Kill()
 		time.Sleep(settleTime)
-		d.w.SetStoreFault(kv.Sound)
+		d.w.SetStoreFault(kv.NoFault)
 		time.Sleep(settleTime)
 		for n := range 10 {
 			if g := d.billedRequests(ctx)[customerName(n)]; g != 1 {
--- a/faults/configuration_test.go
+++ b/faults/configuration_test.go
@@ -76,7 +76,7 @@
 				t.Errorf("non-idempotent request: got %v, want a rejection with outcome NotRun", err)
 			}
 		}
-		d.w.SetStoreFault(kv.Sound)
+		d.w.SetStoreFault(kv.NoFault)
 		d.mustChange(ctx, withdrawal(cheap1))
 		time.Sleep(configPropagation)
 		for _, i := range d.w.Instances() {
@@ -127,7 +127,7 @@
 		if err != nil || !r.Repeated {
 			t.Errorf("change: got %+v, %v; want Repeated, since the write took effect", r, err)
 		}
-		d.w.SetStoreFault(kv.Sound)
+		d.w.SetStoreFault(kv.NoFault)
 		again, err := n.Change(ctx, c)
 		if err != nil || again.Revision != r.Revision {
 			t.Errorf("retried change: got %+v, %v; want revision %d", again, err, r.Revision)
--- a/faults/matrix_test.go
+++ b/faults/matrix_test.go
@@ -124,7 +124,7 @@
 // setStoreFault sets a fault of the store for the duration of a fault.
 func (d *deployment) setStoreFault(f kv.Fault) {
 	d.w.SetStoreFault(f)
-	d.undoLater("store", func() { d.w.SetStoreFault(kv.Sound) })
+	d.undoLater("store", func() { d.w.SetStoreFault(kv.NoFault) })
 }
 
 // faultList returns all kinds of faults.
--- a/faults/once_test.go
+++ b/faults/once_test.go
@@ -29,7 +29,7 @@
 		if _, err := d.sendOne(ctx, "a1", "once", 1); err != nil {
 			t.Errorf("first request: got %v, want an answer", err)
 		}
-		d.w.SetStoreFault(kv.Sound)
+		d.w.SetStoreFault(kv.NoFault)
 		s, err := d.sendOne(ctx, "b1", "once", 1)
 		if err != nil || !s.replayed || !s.complete {
 			t.Errorf("second request: got %v, replayed %t; want the first answer replayed", err, s.replayed)
--- a/standin/kv/fake.go
+++ b/standin/kv/fake.go
@@ -24,8 +24,8 @@
 
 // The faults of a Fake.
 const (
-	// Sound injects no fault.
-	Sound Fault = iota
+	// NoFault injects no fault.
+	NoFault Fault = iota
 	// Down makes calls fail without reaching the store.
 	Down
 	// LostAnswers applies writes and loses their responses.
