--- a/control/control_test.go
+++ b/control/control_test.go
@@ -64,7 +64,7 @@
 		holders := map[string][]claim.Claim{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "asks") {
 			at := rapid.IntRange(0, 2).Draw(t, "node")
-			f[at].Break(rapid.SampledFrom([]kv.Fault{kv.NoFault, kv.NoFault, kv.Down, kv.LostAnswers, kv.LostRequests}).Draw(t, "fault"))
+			f[at].Break(rapid.SampledFrom([]kv.Fault{kv.NoFault, kv.NoFault, kv.Down, kv.LostResponses, kv.LostRequests}).Draw(t, "fault"))
 			k := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")
 			c := claim.New("t/c", k, fmt.Sprint(i), n[at].Self.ID, time.Now().Add(time.Hour))
 			j := queuedClaim{claim: c, reply: make(chan claimResult, 1)}
--- a/faults/configuration_test.go
+++ b/faults/configuration_test.go
@@ -120,7 +120,7 @@
 // its write but the response is lost.
 func TestChangeWrittenAndAnswerLost(t *testing.T) {
 	withDeployment(t, func(d *deployment, ctx context.Context) {
-		d.w.SetStoreFault(kv.LostAnswers)
+		d.w.SetStoreFault(kv.LostResponses)
 		c := withdrawal(cheap1)
 		n := d.instance("a1").Node
 		r, err := n.Change(ctx, c)
--- a/faults/matrix_test.go
+++ b/faults/matrix_test.go
@@ -178,7 +178,7 @@
 			s := d.w.Store.Snapshot()
 			go func() { time.Sleep(2 * time.Second); d.w.Store.Restore(s) }()
 		}, applicable},
-		{"answer lost", func(d *deployment, _ *world.Proc) { d.setStoreFault(kv.LostAnswers) }, applicable},
+		{"answer lost", func(d *deployment, _ *world.Proc) { d.setStoreFault(kv.LostResponses) }, applicable},
 		{"answers late", func(d *deployment, _ *world.Proc) { d.setDefect(world.LateAnswers, d.engines()...) }, requestStepsOnly},
 		{"answers crossed", func(d *deployment, p *world.Proc) { d.setDefect(world.CrossedAnswers, d.backendOf(p)) }, requestStepsOnly},
 		{"answers cut", func(d *deployment, p *world.Proc) { d.setDefect(world.TruncatedAnswers, d.backendOf(p)) }, requestStepsOnly},
--- a/faults/once_test.go
+++ b/faults/once_test.go
@@ -23,7 +23,7 @@
 		d.onStep = func(d *deployment, step string, _ *world.Proc) {
 			if step == world.StepClaim && firstClaim {
 				firstClaim = false
-				d.w.SetStoreFault(kv.LostAnswers)
+				d.w.SetStoreFault(kv.LostResponses)
 			}
 		}
 		if _, err := d.sendOne(ctx, "a1", "once", 1); err != nil {
--- a/standin/kv/fake.go
+++ b/standin/kv/fake.go
@@ -28,8 +28,8 @@
 	NoFault Fault = iota
 	// Down makes calls fail without reaching the store.
 	Down
-	// LostAnswers applies writes and loses their responses.
-	LostAnswers
+	// LostResponses applies writes and loses their responses.
+	LostResponses
 	// LostRequests loses requests before they reach the store. The client gets
 	// the same error as for a lost response, since it cannot tell the two apart.
 	LostRequests
@@ -67,7 +67,7 @@
 		return nil, errors.Mark(errors.Wrapf(errFake, "%s: store is down", name), store.ErrUnavailable)
 	case LostRequests:
 		return nil, errors.Mark(errors.Wrapf(errFake, "%s: request was lost", name), store.ErrUnknown)
-	case LostAnswers:
+	case LostResponses:
 		return errors.Mark(errors.Wrapf(errFake, "%s: response was lost", name), store.ErrUnknown), nil
 	}
 	return nil, nil
--- a/standin/world/clients.go
+++ b/standin/world/clients.go
@@ -86,7 +86,7 @@
 		return z, errors.Wrap(store.ErrUnavailable, "store is down")
 	}
 	v, err := invoke(ctx, l.w, l.p, l.w.StoreProc, f)
-	if fault == kv.LostAnswers && err == nil && write {
+	if fault == kv.LostResponses && err == nil && write {
 		return z, errors.Wrap(store.ErrUnknown, "response of the store was lost")
 	}
 	var e *CallError
