--- a/control/control_test.go
+++ b/control/control_test.go
@@ -64,7 +64,7 @@
 		holders := map[string][]claim.Claim{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "asks") {
 			at := rapid.IntRange(0, 2).Draw(t, "node")
-			f[at].Break(rapid.SampledFrom([]kv.Fault{kv.NoFault, kv.NoFault, kv.Down, kv.LostResponses, kv.LostRequests}).Draw(t, "fault"))
+			f[at].SetFault(rapid.SampledFrom([]kv.Fault{kv.NoFault, kv.NoFault, kv.Down, kv.LostResponses, kv.LostRequests}).Draw(t, "fault"))
 			k := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")
 			c := claim.New("t/c", k, fmt.Sprint(i), n[at].Self.ID, time.Now().Add(time.Hour))
 			j := queuedClaim{claim: c, reply: make(chan claimResult, 1)}
@@ -72,7 +72,7 @@
 			if r := <-j.reply; r.err == nil && r.verdict == claim.Send {
 				holders[k] = append(holders[k], c)
 			}
-			f[at].Break(kv.NoFault)
+			f[at].SetFault(kv.NoFault)
 			if l := holders[k]; len(l) > 0 && rapid.IntRange(0, 3).Draw(t, "free") == 0 {
 				if n[at].Finish(t.Context(), l[0].WithFree()) == nil {
 					holders[k] = l[1:]
@@ -249,8 +249,8 @@
 		line := bill.Line{Team: "t", Version: version.New("m", "1")}
 		l := bill.NewLedger("e").With(bill.Record{Owner: "e", Seq: 1, Line: line, Add: bill.Amount{Requests: 1}})
 		n.Sync(Report{Incarnation: "e", Ledger: l, AloneUpto: 1})
-		f.Break(kv.Down)
-		time.AfterFunc(time.Minute, func() { f.Break(kv.NoFault) })
+		f.SetFault(kv.Down)
+		time.AfterFunc(time.Minute, func() { f.SetFault(kv.NoFault) })
 		n.Stop(t.Context())
 		m, err := n.Bills(t.Context(), "")
 		if err != nil || m[line].Requests != 1 {
--- a/standin/kv/fake.go
+++ b/standin/kv/fake.go
@@ -40,8 +40,8 @@
 	return &Fake{Memory: m, calls: map[string]int{}}
 }
 
-// Break sets the fault of all further calls. The zero Fault removes it.
-func (f *Fake) Break(x Fault) {
+// SetFault sets the fault of all further calls. The zero Fault removes it.
+func (f *Fake) SetFault(x Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fault = x
