--- a/standin/ordered/ordered.go
+++ b/standin/ordered/ordered.go
@@ -12,7 +12,7 @@
 
 // The names of the release in use before the order and of the ordered one.
 const (
-	Old = "v1"
+	OldVersion = "v1"
 	New = "v2"
 )
 
@@ -94,7 +94,7 @@
 func (r *Release) Settle() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := r.received[Old] + r.received[New]
+	all := r.received[OldVersion] + r.received[New]
 	if n := r.received[New]; r.kind != good && float64(n) > ExposedPart*float64(all)+ExposedSlack {
 		return []string{fmt.Sprintf("a %s release received %d of the %d requests during its roll-out, want at most %.0f%% plus %d", r.kind, n, all, 100*ExposedPart, ExposedSlack)}
 	}
@@ -105,5 +105,5 @@
 func (r *Release) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return fmt.Sprintf("%s: %d of %d requests", r.kind, r.received[New], r.received[Old]+r.received[New])
+	return fmt.Sprintf("%s: %d of %d requests", r.kind, r.received[New], r.received[OldVersion]+r.received[New])
 }
