--- a/standin/ordered/ordered.go
+++ b/standin/ordered/ordered.go
@@ -13,7 +13,7 @@
 // The names of the release in use before the order and of the ordered one.
 const (
 	OldVersion = "v1"
-	New = "v2"
+	NewVersion = "v2"
 )
 
 const (
@@ -81,7 +81,7 @@
 // Only the new release has faults.
 func (r *Release) Spoil(of string) bool {
 	r.mu.Lock()
-	faulty := of == New && r.rand.IntN(100) < badPercent
+	faulty := of == NewVersion && r.rand.IntN(100) < badPercent
 	r.mu.Unlock()
 	if faulty && r.kind == slow {
 		time.Sleep(slowDelay)
@@ -94,8 +94,8 @@
 func (r *Release) Settle() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := r.received[OldVersion] + r.received[New]
-	if n := r.received[New]; r.kind != good && float64(n) > ExposedPart*float64(all)+ExposedSlack {
+	all := r.received[OldVersion] + r.received[NewVersion]
+	if n := r.received[NewVersion]; r.kind != good && float64(n) > ExposedPart*float64(all)+ExposedSlack {
 		return []string{fmt.Sprintf("a %s release received %d of the %d requests during its roll-out, want at most %.0f%% plus %d", r.kind, n, all, 100*ExposedPart, ExposedSlack)}
 	}
 	return nil
@@ -105,5 +105,5 @@
 func (r *Release) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return fmt.Sprintf("%s: %d of %d requests", r.kind, r.received[New], r.received[OldVersion]+r.received[New])
+	return fmt.Sprintf("%s: %d of %d requests", r.kind, r.received[NewVersion], r.received[OldVersion]+r.received[NewVersion])
 }
