--- a/standin/ordered/ordered.go
+++ b/standin/ordered/ordered.go
@@ -59,8 +59,8 @@
 	return &Release{kind: kind(seed % uint64(kinds)), received: map[string]int{}, rand: rand.New(rand.NewPCG(seed, 99))}
 }
 
-// Begin records that the release is ordered now and that its roll-out takes length.
-func (r *Release) Begin(length time.Duration) {
+// StartRollout records that the release is ordered now and that its roll-out takes length.
+func (r *Release) StartRollout(length time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ends = time.Now().Add(length)
