--- a/standin/ordered/ordered.go
+++ b/standin/ordered/ordered.go
@@ -66,9 +66,9 @@
 	r.ends = time.Now().Add(length)
 }
 
-// Reached counts a request that a replica of the named release received. Requests
+// CountRequest counts a request that a replica of the named release received. Requests
 // after the roll-out are not counted.
-func (r *Release) Reached(of string) {
+func (r *Release) CountRequest(of string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if time.Now().Before(r.ends) {
