--- a/standin/ordered/ordered.go
+++ b/standin/ordered/ordered.go
@@ -76,10 +76,10 @@
 	}
 }
 
-// Spoil injects the fault of the next response of the named release: it sleeps if a
+// InjectFault injects the fault of the next response of the named release: it sleeps if a
 // slow release is to delay the response, and reports whether the response is to fail.
 // Only the new release has faults.
-func (r *Release) Spoil(of string) bool {
+func (r *Release) InjectFault(of string) bool {
 	r.mu.Lock()
 	faulty := of == NewVersion && r.rand.IntN(100) < badPercent
 	r.mu.Unlock()
