--- a/standin/ordered/ordered.go
+++ b/standin/ordered/ordered.go
@@ -89,9 +89,9 @@
 	return faulty && r.kind == failing
 }
 
-// Settle returns a violation if a bad release received more requests than ExposedPart
+// CheckExposure returns a violation if a bad release received more requests than ExposedPart
 // and ExposedSlack allow.
-func (r *Release) Settle() []string {
+func (r *Release) CheckExposure() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := r.received[OldVersion] + r.received[NewVersion]
