--- a/cmd/fieldvale-node/limit_test.go
+++ b/cmd/fieldvale-node/limit_test.go
@@ -112,7 +112,7 @@
 		}
 	}()
 	limited := got.Between(limitSet.Add(enforcementDelay), limitEnded)
-	peak := arrivals.Most(limited, limitWindow)
+	peak := arrivals.MaxInWindow(limited, limitWindow)
 	allowed := limitPerSecond * limitWindow.Seconds()
 	used := float64(len(limited)) / (limitPerSecond * limitEnded.Sub(limitSet.Add(enforcementDelay)).Seconds())
 	after := len(got.Between(time.Now().Add(-time.Second), time.Now()))
@@ -169,7 +169,7 @@
 	t.Logf("%d served, %d refused with %d different values of Retry-After", served, refused, len(retryAfter))
 	for i, a := range got {
 		at := a.Between(start.Add(enforcementDelay), time.Now())
-		if n := arrivals.Most(at, limitWindow); n > 8 {
+		if n := arrivals.MaxInWindow(at, limitWindow); n > 8 {
 			t.Errorf("r%d got %d requests in %s, want 8 at most", i, n, limitWindow)
 		}
 		if len(at) < 11 {
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -126,8 +126,8 @@
 						if entries > 1 {
 							most = allowedLimit
 						}
-						if n.limits[r] != "" && arrivals.Most(afterReport, 4*time.Second) > most {
-							t.Errorf("%s got %d requests in 4 s, want at most %d (reported limit %d, allowed %d)", r, arrivals.Most(afterReport, 4*time.Second), most, reportedLimit, allowedLimit)
+						if n.limits[r] != "" && arrivals.MaxInWindow(afterReport, 4*time.Second) > most {
+							t.Errorf("%s got %d requests in 4 s, want at most %d (reported limit %d, allowed %d)", r, arrivals.MaxInWindow(afterReport, 4*time.Second), most, reportedLimit, allowedLimit)
 						}
 						if n.limits[r] != "" && len(afterReport) < 18 {
 							t.Errorf("%s got %d requests in 19 s, want at least 18 of the 28 that its limit allows", r, len(afterReport))
--- a/quota/bound_test.go
+++ b/quota/bound_test.go
@@ -71,7 +71,7 @@
 				x.Fatalf("got NotBefore in %s, and %s later another one, want at most 4s between the two", d.NotBefore.Sub(now), e.NotBefore.Sub(d.NotBefore))
 			}
 		}
-		if n := arrivals.Most(granted, 4*time.Second); float64(n) > max(1, 4*limit+1e-6) {
+		if n := arrivals.MaxInWindow(granted, 4*time.Second); float64(n) > max(1, 4*limit+1e-6) {
 			x.Fatalf("got %d requests in four seconds, want at most %g", n, 4*limit)
 		}
 	})
@@ -109,7 +109,7 @@
 				granted = append(granted, now)
 			}
 		}
-		if n := arrivals.Most(append(before, granted...), 4*time.Second); n > most {
+		if n := arrivals.MaxInWindow(append(before, granted...), 4*time.Second); n > most {
 			t.Errorf("limit %g: got %d requests in four seconds while the owner changed, want at most %d", limit, n, most)
 		}
 	}
--- a/quota/demand_test.go
+++ b/quota/demand_test.go
@@ -119,7 +119,7 @@
 		}
 	}
 	for x, at := range got {
-		if m := arrivals.Most(at, 4*time.Second); m > 6 {
+		if m := arrivals.MaxInWindow(at, 4*time.Second); m > 6 {
 			t.Errorf("%s: got %d requests in four seconds, want at most 6", x, m)
 		}
 	}
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -346,7 +346,7 @@
 		}
 	}
 	limit := max(p.limit, 0.01)
-	x := result{maxCount: arrivals.Most(l, 4*time.Second), usedPart: float64(len(l)) / (limit * to.Sub(from).Seconds()), logs: p.logs}
+	x := result{maxCount: arrivals.MaxInWindow(l, 4*time.Second), usedPart: float64(len(l)) / (limit * to.Sub(from).Seconds()), logs: p.logs}
 	x.maxPart = float64(x.maxCount) / (4 * limit)
 	for _, t := range p.arrivals {
 		x.arrivals = append(x.arrivals, t.Sub(began))
@@ -521,7 +521,7 @@
 					l = append(l, noon.Add(a))
 				}
 			}
-			n, used := arrivals.Most(l, 4*time.Second), float64(len(l))/(limit*5)
+			n, used := arrivals.MaxInWindow(l, 4*time.Second), float64(len(l))/(limit*5)
 			t.Logf("%d instances, limit %g: %d requests in four seconds, %.2f used", size, limit, n, used)
 			if float64(n) > 4*limit || used < 0.5 {
 				t.Errorf("%d instances, limit %g: got %d requests in four seconds and %.2f used, want at most the limit and at least 0.5 used\n%s", size, limit, n, used, tail(x.logs, 20))
--- a/standin/arrivals/arrivals.go
+++ b/standin/arrivals/arrivals.go
@@ -35,9 +35,9 @@
 	return matched
 }
 
-// Most returns the largest number of arrival times that fall within any window of the given
+// MaxInWindow returns the largest number of arrival times that fall within any window of the given
 // length. The times must be in ascending order.
-func Most(at []time.Time, window time.Duration) int {
+func MaxInWindow(at []time.Time, window time.Duration) int {
 	most, first := 0, 0
 	for i, t := range at {
 		for t.Sub(at[first]) >= window {
--- a/standin/arrivals/arrivals_test.go
+++ b/standin/arrivals/arrivals_test.go
@@ -14,6 +14,6 @@
 		l.Add(noon.Add(time.Duration(s) * time.Second))
 	}
 	at := l.Between(noon.Add(time.Second), noon.Add(11*time.Second))
-	fmt.Println(len(at), arrivals.Most(at, 4*time.Second), arrivals.Most(at, 5*time.Second))
+	fmt.Println(len(at), arrivals.MaxInWindow(at, 4*time.Second), arrivals.MaxInWindow(at, 5*time.Second))
 	// Output: 5 2 3
 }
