--- a/standin/arrivals/arrivals_test.go
+++ b/standin/arrivals/arrivals_test.go
@@ -7,7 +7,7 @@
 	"fieldvale/standin/arrivals"
 )
 
-func ExampleMost() {
+func ExampleMaxInWindow() {
 	noon := time.Date(2026, 1, 16, 12, 0, 0, 0, time.UTC)
 	var l arrivals.Log
 	for _, s := range []int{0, 1, 2, 5, 8, 9, 11} {
