--- a/cmd/fieldvale-demo/client.go
+++ b/cmd/fieldvale-demo/client.go
@@ -110,7 +110,7 @@
 		opts = append(opts, option.WithHeader("X-Fieldvale-Session", token))
 	}
 	c.mu.Unlock()
-	api := openai.NewClient(option.WithBaseURL(url+"/v1/"), option.WithAPIKey(traffic.KeyOf(request.Customer)), option.WithMaxRetries(0))
+	api := openai.NewClient(option.WithBaseURL(url+"/v1/"), option.WithAPIKey(traffic.APIKey(request.Customer)), option.WithMaxRetries(0))
 	ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 	defer cancel()
 	params := openai.ChatCompletionNewParams{Model: "auto", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage(request.Text)}}
@@ -231,7 +231,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	httpRequest.Header.Set("Authorization", "Bearer "+traffic.KeyOf(request.Customer))
+	httpRequest.Header.Set("Authorization", "Bearer "+traffic.APIKey(request.Customer))
 	httpRequest.Header.Set("X-Request-Id", request.ID)
 	httpRequest.Header.Set("Content-Type", "text/plain")
 	if request.Kind == traffic.Once {
--- a/cmd/fieldvale-demo/run.go
+++ b/cmd/fieldvale-demo/run.go
@@ -359,7 +359,7 @@
 		fmt.Printf("%s  %s  http://%s\n", backend.ID, backend.Kind, backend.Addr)
 	}
 	fmt.Printf("platform  key-value http://%s  list http://%s  rating http://%s\n\n", s.platform["kv"], s.platform["list"], s.platform["rating"])
-	fmt.Printf("try:\n  curl -s %s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"auto\",\"messages\":[{\"role\":\"user\",\"content\":\"<1> hello\"}]}'\n", s.instances[0].url, traffic.KeyOf("inverness-loc"))
+	fmt.Printf("try:\n  curl -s %s/v1/chat/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"auto\",\"messages\":[{\"role\":\"user\",\"content\":\"<1> hello\"}]}'\n", s.instances[0].url, traffic.APIKey("inverness-loc"))
 	fmt.Printf("  FIELDVALE_ADMIN=%s FIELDVALE_KEY=%s %s/fieldvale status\n\nstop with ctrl-C; logs in %s\n", s.instances[0].admin, platformKey, c.Bin, s.dir)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
--- a/standin/traffic/traffic.go
+++ b/standin/traffic/traffic.go
@@ -37,8 +37,8 @@
 	Text    string
 }
 
-// KeyOf returns the API key of a customer in the example policies.
-func KeyOf(customer string) string { return "demo-key-" + customer }
+// APIKey returns the API key of a customer in the example policies.
+func APIKey(customer string) string { return "demo-key-" + customer }
 
 // customers lists the customers of the example policies by team. The first
 // largeCustomers of each team send most of the requests; the last one may use
