--- a/cmd/fieldvale-demo/client.go
+++ b/cmd/fieldvale-demo/client.go
@@ -234,7 +234,7 @@
 	httpRequest.Header.Set("Authorization", "Bearer "+traffic.APIKey(request.Customer))
 	httpRequest.Header.Set("X-Request-Id", request.ID)
 	httpRequest.Header.Set("Content-Type", "text/plain")
-	if request.Kind == traffic.Once {
+	if request.Kind == traffic.NonIdempotentCall {
 		httpRequest.Header.Set("Idempotency-Key", key)
 	}
 	response, err := c.http.Do(httpRequest)
--- a/standin/traffic/traffic.go
+++ b/standin/traffic/traffic.go
@@ -17,8 +17,8 @@
 	Chat Kind = iota
 	// ServiceCall is an idempotent call of a plain service.
 	ServiceCall
-	// Once is a call of a plain service that must not run twice.
-	Once
+	// NonIdempotentCall is a call of a plain service that must not run twice.
+	NonIdempotentCall
 )
 
 // Request is one request of a customer.
@@ -120,7 +120,7 @@
 	case n < 9:
 		q.Kind, q.Service, q.Call, q.Text = ServiceCall, "memory", "concordance", s.words(3)
 	default:
-		q.Kind, q.Service, q.Call, q.Text = Once, "memory", "write", s.words(12)
+		q.Kind, q.Service, q.Call, q.Text = NonIdempotentCall, "memory", "write", s.words(12)
 	}
 	return q
 }
@@ -138,7 +138,7 @@
 	case n < 8:
 		q.Kind, q.Service, q.Call, q.Text = ServiceCall, "orders", "status", s.words(2)
 	default:
-		q.Kind, q.Service, q.Call, q.Text = Once, "orders", "confirm", s.words(6)
+		q.Kind, q.Service, q.Call, q.Text = NonIdempotentCall, "orders", "confirm", s.words(6)
 	}
 	return q
 }
