--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -27,7 +27,7 @@
 
 func newEngine(t *testing.T) (*engine.Engine, *pool.Replica) {
 	e := engine.New(engine.Settings{ID: "e", Slots: 2, Queue: 2, Models: map[string]engine.Model{"small@1": {Quality: 0.9}}})
-	l, err := serve.On("127.0.0.1:0", e.Handle)
+	l, err := serve.Listen("127.0.0.1:0", e.Handle)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 		"another id":       `data: {"id":"id-2","model":"small@1","choices":[{"delta":{},"finish_reason":"stop"}]}` + "\n\ndata: [DONE]\n\n",
 		"invalid JSON":     "data: {\n\ndata: [DONE]\n\n",
 	} {
-		l, err := serve.On("127.0.0.1:0", respondWith(body))
+		l, err := serve.Listen("127.0.0.1:0", respondWith(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -127,7 +127,7 @@
 // and a service's own status 429 must reach the caller.
 func TestServiceCalls(t *testing.T) {
 	s := service.New(0, false)
-	l, err := serve.On("127.0.0.1:0", s.Handle)
+	l, err := serve.Listen("127.0.0.1:0", s.Handle)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,7 +184,7 @@
 		{"response to another request", "id-9", "2", "", 200, false},
 		{"not a number", "id-1", "many", "s unreadable", 200, false},
 	} {
-		l, err := serve.On("127.0.0.1:0", func(x *fasthttp.RequestCtx) {
+		l, err := serve.Listen("127.0.0.1:0", func(x *fasthttp.RequestCtx) {
 			x.Response.Header.Set("X-Request-Id", c.id)
 			if c.limit != "" {
 				x.Response.Header.Set(backend.HeaderLimit, c.limit)
@@ -244,7 +244,7 @@
 		{"unreadable", "id-1", "soon", "later", "s X-Leaving unreadable,s Retry-After unreadable,s false 0s true", 503, true},
 		{"response to another request", "id-9", "true", "", "", 200, false},
 	} {
-		l, err := serve.On("127.0.0.1:0", func(x *fasthttp.RequestCtx) {
+		l, err := serve.Listen("127.0.0.1:0", func(x *fasthttp.RequestCtx) {
 			x.Response.Header.Set("X-Request-Id", c.id)
 			if c.draining != "" {
 				x.Response.Header.Set(backend.HeaderDraining, c.draining)
--- a/adapter/caller/caller_test.go
+++ b/adapter/caller/caller_test.go
@@ -75,7 +75,7 @@
 
 // listen serves h on a local port until the test ends.
 func listen(t testing.TB, h fasthttp.RequestHandler) *serve.Listener {
-	l, err := serve.On("127.0.0.1:0", h)
+	l, err := serve.Listen("127.0.0.1:0", h)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/adapter/etcd/etcd_test.go
+++ b/adapter/etcd/etcd_test.go
@@ -18,7 +18,7 @@
 // newStore returns a client of a new stand-in for the key-value service.
 func newStore(t *testing.T) (*etcd.Client, *kv.Server) {
 	s := kv.NewServer()
-	l, err := serve.On("127.0.0.1:0", s.Handle)
+	l, err := serve.Listen("127.0.0.1:0", s.Handle)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fieldvale-standin/main.go
+++ b/cmd/fieldvale-standin/main.go
@@ -83,15 +83,15 @@
 
 // Execute implements flags.Commander.
 func (p *platformCommand) Execute([]string) error {
-	kvServer, err := serve.On(p.KV, kv.NewServer().Handle)
+	kvServer, err := serve.Listen(p.KV, kv.NewServer().Handle)
 	if err != nil {
 		return err
 	}
-	listServer, err := serve.On(p.List, list.New(p.Lag).Handle)
+	listServer, err := serve.Listen(p.List, list.New(p.Lag).Handle)
 	if err != nil {
 		return err
 	}
-	ratingServer, err := serve.On(p.Rating, rating.New(2*time.Millisecond).Handle)
+	ratingServer, err := serve.Listen(p.Rating, rating.New(2*time.Millisecond).Handle)
 	if err != nil {
 		return err
 	}
@@ -136,7 +136,7 @@
 func (b *backendsCommand) Execute([]string) error {
 	var instances []list.Instance
 	addInstance := func(instance list.Instance, handler fasthttp.RequestHandler) error {
-		server, err := serve.On("127.0.0.1:0", handler)
+		server, err := serve.Listen("127.0.0.1:0", handler)
 		if err != nil {
 			return err
 		}
--- a/measure/router.go
+++ b/measure/router.go
@@ -146,12 +146,12 @@
 // direct, through the entry, and through the entry with a rating of the answer.
 func Router(r *Report, seed uint64) error {
 	modelEngine := engine.New(engine.Settings{ID: "e", Slots: 256, Queue: 256, Models: map[string]engine.Model{"m@1": {Quality: 0.9}, "n@1": {Quality: 0.9}}})
-	engineServer, err := serve.On("127.0.0.1:0", modelEngine.Handle)
+	engineServer, err := serve.Listen("127.0.0.1:0", modelEngine.Handle)
 	if err != nil {
 		return err
 	}
 	defer engineServer.Close()
-	ratingServer, err := serve.On("127.0.0.1:0", rating.New(0).Handle)
+	ratingServer, err := serve.Listen("127.0.0.1:0", rating.New(0).Handle)
 	if err != nil {
 		return err
 	}
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -131,7 +131,7 @@
 
 // serveHandler serves h on a free port until the test ends, and returns its address.
 func serveHandler(t *testing.T, h fasthttp.RequestHandler) string {
-	l, err := serve.On("127.0.0.1:0", h)
+	l, err := serve.Listen("127.0.0.1:0", h)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/standin/serve/serve.go
+++ b/standin/serve/serve.go
@@ -18,8 +18,8 @@
 	l    net.Listener
 }
 
-// On serves the handler on addr; port 0 selects a free port.
-func On(addr string, h fasthttp.RequestHandler) (*Listener, error) {
+// Listen serves the handler on addr; port 0 selects a free port.
+func Listen(addr string, h fasthttp.RequestHandler) (*Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, errors.Wrapf(err, "serve: listen on %s", addr)
