--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -76,7 +76,7 @@
 	}
 	f := e.Faults.Get()
 	p := q.prompt()
-	if f.FailPart > 0 && failsFor(p, f.FailPart) {
+	if f.FailFraction > 0 && failsFor(p, f.FailFraction) {
 		c.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
 	}
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -29,9 +29,9 @@
 	Bad bool
 	// CutAfter truncates a stream after this many tokens; 0 disables it.
 	CutAfter int
-	// FailPart is the fraction of requests, from 0 to 1, that fail with
+	// FailFraction is the fraction of requests, from 0 to 1, that fail with
 	// status 500.
-	FailPart float64
+	FailFraction float64
 }
 
 // Injector holds a Set that can be replaced at run time. It is safe for concurrent
@@ -69,7 +69,7 @@
 		Limited:     a.GetBool("limited"),
 		Bad:         a.GetBool("bad"),
 		CutAfter:    cutAfter,
-		FailPart:    failPart,
+		FailFraction:    failPart,
 	})
 }
 
