--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -77,7 +77,7 @@
 		{"cut stream", fault.Set{CutAfter: 2}, "small", outcome.Unknown, "stream", true},
 		{"server error", fault.Set{FailFraction: 1}, "small", outcome.Unknown, "answer", false},
 		{"no response", fault.Set{Down: true}, "small", outcome.Unknown, "read", false},
-		{"lost response", fault.Set{DropAnswers: true}, "small", outcome.Unknown, "read", false},
+		{"lost response", fault.Set{DropResponses: true}, "small", outcome.Unknown, "read", false},
 		{"model not loaded", fault.Set{}, "large", outcome.NotRun, "refusal", false},
 		{"model not loaded, stream", fault.Set{}, "large", outcome.NotRun, "refusal", true},
 	} {
@@ -139,7 +139,7 @@
 	if err != nil || !strings.Contains(string(a.Body), "rye") || s.Runs()["confirm/k1"] != 1 {
 		t.Fatalf("got body %s, error %v and runs %v, want a body with rye, no error and one run of confirm/k1", a.Body, err, s.Runs())
 	}
-	s.Faults.Put(fault.Set{DropAnswers: true})
+	s.Faults.Put(fault.Set{DropResponses: true})
 	if _, err := c.Call(t.Context(), r, k); outcome.Of(err) != outcome.Unknown {
 		t.Errorf("lost response: got error %v, want outcome Unknown", err)
 	}
--- a/adapter/etcd/etcd_test.go
+++ b/adapter/etcd/etcd_test.go
@@ -80,7 +80,7 @@
 	}{
 		{"refused", fault.Set{Limited: true}, store.ErrUnavailable, false},
 		{"connection closed before the write", fault.Set{Down: true}, store.ErrUnknown, false},
-		{"connection closed after the write", fault.Set{DropAnswers: true}, store.ErrUnknown, true},
+		{"connection closed after the write", fault.Set{DropResponses: true}, store.ErrUnknown, true},
 	} {
 		t.Run(f.name, func(t *testing.T) {
 			c, s := newStore(t)
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -20,9 +20,9 @@
 	Down bool
 	// Slow delays the handling of each request.
 	Slow time.Duration
-	// DropAnswers handles the request and then closes the connection without
+	// DropResponses handles the request and then closes the connection without
 	// a response.
-	DropAnswers bool
+	DropResponses bool
 	// Limited rejects each request with status 429.
 	Limited bool
 	// Bad makes responses incorrect, in a way that each fake server defines.
@@ -65,7 +65,7 @@
 	i.Put(Set{
 		Down:        a.GetBool("down"),
 		Slow:        delay,
-		DropAnswers: a.GetBool("drop_answers"),
+		DropResponses: a.GetBool("drop_answers"),
 		Limited:     a.GetBool("limited"),
 		Bad:         a.GetBool("bad"),
 		CutAfter:    cutAfter,
@@ -93,7 +93,7 @@
 
 // After applies the faults that take effect once a request was handled.
 func (i *Injector) After(c *fasthttp.RequestCtx) {
-	if i.Get().DropAnswers {
+	if i.Get().DropResponses {
 		closeConnection(c)
 	}
 }
