--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -74,7 +74,7 @@
 	}{
 		{"response to another request", fault.Set{Bad: true}, "small", outcome.Unknown, "answer", false},
 		{"stream of another request", fault.Set{Bad: true}, "small", outcome.Unknown, "answer", true},
-		{"cut stream", fault.Set{CutAfter: 2}, "small", outcome.Unknown, "stream", true},
+		{"cut stream", fault.Set{TruncateAfter: 2}, "small", outcome.Unknown, "stream", true},
 		{"server error", fault.Set{FailFraction: 1}, "small", outcome.Unknown, "answer", false},
 		{"no response", fault.Set{Down: true}, "small", outcome.Unknown, "read", false},
 		{"lost response", fault.Set{DropResponses: true}, "small", outcome.Unknown, "read", false},
--- a/adapter/caller/caller_test.go
+++ b/adapter/caller/caller_test.go
@@ -197,7 +197,7 @@
 		t.Fatalf("complete stream: got end %q, want the end marker", whole[max(0, len(whole)-80):])
 	}
 	s := x.Faults.Get()
-	s.CutAfter = 3
+	s.TruncateAfter = 3
 	x.Faults.Put(s)
 	_, cut := post(t, addr, body, nil)
 	if strings.Contains(cut, "[DONE]") || !strings.Contains(cut, `"error"`) || !strings.Contains(cut, `"run":"unknown"`) {
--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -149,7 +149,7 @@
 func (e *Engine) stream(w *bufio.Writer, id, model string, t []string, skip int, f fault.Set) {
 	for i := skip; i < len(t); i++ {
 		time.Sleep(e.Models[model].PerToken)
-		if f.CutAfter > 0 && i >= f.CutAfter {
+		if f.TruncateAfter > 0 && i >= f.TruncateAfter {
 			return
 		}
 		if !writeChunk(w, id, model, map[string]any{"index": 0, "delta": map[string]string{"content": t[i]}}, nil) {
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -27,8 +27,8 @@
 	Limited bool
 	// Bad makes responses incorrect, in a way that each fake server defines.
 	Bad bool
-	// CutAfter truncates a stream after this many tokens; 0 disables it.
-	CutAfter int
+	// TruncateAfter truncates a stream after this many tokens; 0 disables it.
+	TruncateAfter int
 	// FailFraction is the fraction of requests, from 0 to 1, that fail with
 	// status 500.
 	FailFraction float64
@@ -68,7 +68,7 @@
 		DropResponses: a.GetBool("drop_answers"),
 		Limited:     a.GetBool("limited"),
 		Bad:         a.GetBool("bad"),
-		CutAfter:    cutAfter,
+		TruncateAfter:    cutAfter,
 		FailFraction:    failPart,
 	})
 }
