--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -191,7 +191,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.ChecksFence && q.Fence < e.highestToken {
+	if e.ChecksFencingToken && q.Fence < e.highestToken {
 		c.Error("fence is lower than one seen", fasthttp.StatusConflict)
 		return
 	}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -38,9 +38,9 @@
 	Queue int
 	// Models holds the versions by name; all are loaded at the start.
 	Models map[string]Model
-	// ChecksFence makes the engine reject orders with a fencing token below the
+	// ChecksFencingToken makes the engine reject orders with a fencing token below the
 	// highest one that it has received.
-	ChecksFence bool
+	ChecksFencingToken bool
 }
 
 // Run is one request that the engine started. AttemptID is its X-Request-Id.
