--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -26,7 +26,7 @@
 var small = version.New("small", "1")
 
 func newEngine(t *testing.T) (*engine.Engine, *pool.Replica) {
-	e := engine.New(engine.Settings{ID: "e", Slots: 2, Queue: 2, Models: map[string]engine.Model{"small@1": {Quality: 0.9}}})
+	e := engine.New(engine.Settings{ID: "e", Slots: 2, QueueSize: 2, Models: map[string]engine.Model{"small@1": {Quality: 0.9}}})
 	l, err := serve.Listen("127.0.0.1:0", e.Handle)
 	if err != nil {
 		t.Fatal(err)
--- a/adapter/caller/caller_test.go
+++ b/adapter/caller/caller_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(e)
 	}
 	m := map[string]engine.Model{"lingua-small@1": {Quality: 0.9}, "lingua-large@1": {Quality: 0.95}}
-	x := engine.New(engine.Settings{ID: "e", Slots: 4, Queue: 4, Models: m})
+	x := engine.New(engine.Settings{ID: "e", Slots: 4, QueueSize: 4, Models: m})
 	l := listen(t, x.Handle)
 	r := listen(t, rating.New(0).Handle)
 	v := entry.NewCurrentView()
--- a/measure/router.go
+++ b/measure/router.go
@@ -145,7 +145,7 @@
 // Router measures latency and throughput of calls to a stand-in of an engine:
 // direct, through the entry, and through the entry with a rating of the answer.
 func Router(r *Report, seed uint64) error {
-	modelEngine := engine.New(engine.Settings{ID: "e", Slots: 256, Queue: 256, Models: map[string]engine.Model{"m@1": {Quality: 0.9}, "n@1": {Quality: 0.9}}})
+	modelEngine := engine.New(engine.Settings{ID: "e", Slots: 256, QueueSize: 256, Models: map[string]engine.Model{"m@1": {Quality: 0.9}, "n@1": {Quality: 0.9}}})
 	engineServer, err := serve.Listen("127.0.0.1:0", modelEngine.Handle)
 	if err != nil {
 		return err
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -98,7 +98,7 @@
 // newTestInstance starts the fakes and returns an instance whose processes are not started.
 func newTestInstance(t *testing.T) *testInstance {
 	c := writeCertificate(t)
-	e := engine.New(engine.Settings{ID: "e", Slots: 4, Queue: 4, Models: map[string]engine.Model{"lingua-small@1": {Quality: 0.9, PerToken: 20 * time.Millisecond}}})
+	e := engine.New(engine.Settings{ID: "e", Slots: 4, QueueSize: 4, Models: map[string]engine.Model{"lingua-small@1": {Quality: 0.9, PerToken: 20 * time.Millisecond}}})
 	el, k, l := serveHandler(t, e.Handle), serveHandler(t, kv.NewServer().Handle), list.New(0)
 	ll := serveHandler(t, l.Handle)
 	i := control.DefaultTimes()
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -34,8 +34,8 @@
 	ID string
 	// Slots is the number of requests that run concurrently.
 	Slots int
-	// Queue is the number of requests that may wait for a slot.
-	Queue int
+	// QueueSize is the number of requests that may wait for a slot.
+	QueueSize int
 	// Models holds the versions by name; all are loaded at the start.
 	Models map[string]Model
 	// ChecksFencingToken makes the engine reject orders with a fencing token below the
@@ -150,7 +150,7 @@
 		return "leaving"
 	case !e.loaded[model]:
 		return "model not loaded"
-	case e.queued >= e.Queue:
+	case e.queued >= e.QueueSize:
 		return "queue is full"
 	}
 	e.queued++
