--- a/cmd/fieldvale-standin/main.go
+++ b/cmd/fieldvale-standin/main.go
@@ -106,14 +106,14 @@
 // MODEL@VERSION.
 var engineModels = map[string]map[string]engine.Model{
 	"shared-memory": {
-		"lingua-small@1": {Quality: 0.95, Spread: 0.45, PerToken: 500 * time.Microsecond},
-		"lingua-small@2": {Quality: 0.97, Spread: 0.45, PerToken: 500 * time.Microsecond},
-		"lingua-large@1": {Quality: 0.98, Spread: 0.1, PerToken: 1500 * time.Microsecond},
+		"lingua-small@1": {Quality: 0.95, QualityRange: 0.45, PerToken: 500 * time.Microsecond},
+		"lingua-small@2": {Quality: 0.97, QualityRange: 0.45, PerToken: 500 * time.Microsecond},
+		"lingua-large@1": {Quality: 0.98, QualityRange: 0.1, PerToken: 1500 * time.Microsecond},
 	},
 	"maizes-tilts": {
-		"dough-small@1": {Quality: 0.95, Spread: 0.35, PerToken: 500 * time.Microsecond},
-		"dough-large@1": {Quality: 0.98, Spread: 0.1, PerToken: 1500 * time.Microsecond},
-		"dough-large@2": {Quality: 0.98, Spread: 0.1, PerToken: 1500 * time.Microsecond},
+		"dough-small@1": {Quality: 0.95, QualityRange: 0.35, PerToken: 500 * time.Microsecond},
+		"dough-large@1": {Quality: 0.98, QualityRange: 0.1, PerToken: 1500 * time.Microsecond},
+		"dough-large@2": {Quality: 0.98, QualityRange: 0.1, PerToken: 1500 * time.Microsecond},
 	},
 }
 
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -20,9 +20,9 @@
 type Model struct {
 	// Quality is the quality of the answer to the easiest prompt.
 	Quality float64
-	// Spread is the difference between the qualities of the answers to the
+	// QualityRange is the difference between the qualities of the answers to the
 	// easiest and to the hardest prompt.
-	Spread float64
+	QualityRange float64
 	// PerToken is the time that one token of an answer takes.
 	PerToken time.Duration
 	// Bad gives all answers badQuality.
@@ -187,7 +187,7 @@
 		return badQuality
 	}
 	const grain = 1000
-	return m.Quality - m.Spread*float64(xxhash.Sum64String(prompt)%grain)/grain
+	return m.Quality - m.QualityRange*float64(xxhash.Sum64String(prompt)%grain)/grain
 }
 
 // badQuality is the quality of all answers of a bad version.
