--- a/cmd/fieldvale-standin/main.go
+++ b/cmd/fieldvale-standin/main.go
@@ -148,7 +148,7 @@
 		for n := range b.Engines {
 			id := fmt.Sprintf("engine-%s-%d", team, n+1)
 			modelEngine := engine.New(engine.Settings{ID: id, Slots: replicaSlots, QueueSize: engineQueue, Models: teamModels, ChecksFencingToken: n%2 == 0})
-			if err := addInstance(list.Instance{ID: id, Kind: "engine", Slots: replicaSlots, ChecksFence: n%2 == 0}, modelEngine.Handle); err != nil {
+			if err := addInstance(list.Instance{ID: id, Kind: "engine", Slots: replicaSlots, ChecksFencingToken: n%2 == 0}, modelEngine.Handle); err != nil {
 				return err
 			}
 		}
--- a/standin/list/list.go
+++ b/standin/list/list.go
@@ -21,7 +21,7 @@
 	Kind        string `json:"kind"`
 	Service     string `json:"service,omitempty"`
 	Slots       int    `json:"slots,omitempty"`
-	ChecksFence bool   `json:"checks_fence,omitempty"`
+	ChecksFencingToken bool   `json:"checks_fence,omitempty"`
 	Draining    bool   `json:"leaving,omitempty"`
 }
 
