--- a/adapter/exchange/events.go
+++ b/adapter/exchange/events.go
@@ -14,19 +14,19 @@
 // hundred bytes.
 const maxEventBytes = 1 << 20
 
-// Events splits the body of a stream of server-sent events into complete events.
-type Events struct {
+// EventReader splits the body of a stream of server-sent events into complete events.
+type EventReader struct {
 	r *bufio.Reader
 }
 
 // NewEvents returns a reader of the body's events.
-func NewEvents(body io.Reader) *Events {
-	return &Events{r: bufio.NewReaderSize(body, readBufferSize)}
+func NewEvents(body io.Reader) *EventReader {
+	return &EventReader{r: bufio.NewReaderSize(body, readBufferSize)}
 }
 
 // Next returns the next event with the empty line that ends it, and io.EOF after
 // the last event. It returns io.ErrUnexpectedEOF if the body ends within an event.
-func (e *Events) Next() (entry.Event, error) {
+func (e *EventReader) Next() (entry.Event, error) {
 	var v entry.Event
 	for {
 		l, err := e.r.ReadSlice('\n')
