--- a/adapter/exchange/events.go
+++ b/adapter/exchange/events.go
@@ -19,8 +19,8 @@
 	r *bufio.Reader
 }
 
-// NewEvents returns a reader of the body's events.
-func NewEvents(body io.Reader) *EventReader {
+// NewEventReader returns a reader of the body's events.
+func NewEventReader(body io.Reader) *EventReader {
 	return &EventReader{r: bufio.NewReaderSize(body, readBufferSize)}
 }
 
--- a/adapter/exchange/exchange_test.go
+++ b/adapter/exchange/exchange_test.go
@@ -177,7 +177,7 @@
 		{"cut between lines", "id: 1\n\nid: 2\n", "1", io.ErrUnexpectedEOF},
 		{"none", "", "", io.EOF},
 	} {
-		e := NewEvents(strings.NewReader(c.body))
+		e := NewEventReader(strings.NewReader(c.body))
 		var l []string
 		var v entry.Event
 		var err error
@@ -199,7 +199,7 @@
 	f.Add([]byte("id: 1\ndata: x\n\nid: 2\n\n"))
 	f.Add([]byte("\n\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		e := NewEvents(bytes.NewReader(b))
+		e := NewEventReader(bytes.NewReader(b))
 		var got []byte
 		for {
 			v, err := e.Next()
