--- a/adapter/exchange/exchange.go
+++ b/adapter/exchange/exchange.go
@@ -22,9 +22,9 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine reports whether a response with this header belongs to the request. A
+	// Matches reports whether a response with this header belongs to the request. A
 	// response for which it returns false is skipped. nil accepts any response.
-	Mine func(http.Header) bool
+	Matches func(http.Header) bool
 }
 
 // Response is a response whose body has not been read yet. The caller must call
@@ -128,7 +128,7 @@
 		if r.StatusCode < http.StatusOK {
 			continue
 		}
-		if q.Mine != nil && !q.Mine(r.Header) {
+		if q.Matches != nil && !q.Matches(r.Header) {
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				return err
 			}
--- a/adapter/exchange/exchange_test.go
+++ b/adapter/exchange/exchange_test.go
@@ -57,7 +57,7 @@
 func get(p *Pool, addr string, mine func(http.Header) bool) (string, error) {
 	x, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	r, err := p.Do(x, addr, &Request{Method: "GET", Target: "/", Host: "h", Mine: mine})
+	r, err := p.Do(x, addr, &Request{Method: "GET", Target: "/", Host: "h", Matches: mine})
 	if err != nil {
 		return "", err
 	}
