--- a/adapter/exchange/probe.go
+++ b/adapter/exchange/probe.go
@@ -7,10 +7,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Refuses reports whether the host is reachable and refuses TCP connections at the address,
+// RefusesConnections reports whether the host is reachable and refuses TCP connections at the address,
 // so that no server listens there. Concurrent calls for one address share one probe. A
 // connection that the probe opens goes to the pool for the next request.
-func (p *Pool) Refuses(ctx context.Context, addr string) bool {
+func (p *Pool) RefusesConnections(ctx context.Context, addr string) bool {
 	v, _, _ := p.probes.Do(addr, func() (any, error) {
 		c, err := p.getConn(ctx, addr)
 		if err != nil {
--- a/adapter/exchange/probe_test.go
+++ b/adapter/exchange/probe_test.go
@@ -15,10 +15,10 @@
 		t.Fatal(err)
 	}
 	p, addr := New(time.Now), l.Addr().String()
-	if p.Refuses(t.Context(), addr) {
+	if p.RefusesConnections(t.Context(), addr) {
 		t.Error("listening server: got true, want false")
 	}
-	if p.Refuses(t.Context(), addr) || p.Dialed() != 1 {
+	if p.RefusesConnections(t.Context(), addr) || p.Dialed() != 1 {
 		t.Errorf("second probe of a listening server: got %d connections opened, want false and 1 reused connection", p.Dialed())
 	}
 	if err := l.Close(); err != nil {
@@ -27,7 +27,7 @@
 	// The idle connection may outlive the listener. A new pool has none, so that the
 	// probe has to connect to the port.
 	p = New(time.Now)
-	if !p.Refuses(t.Context(), addr) {
+	if !p.RefusesConnections(t.Context(), addr) {
 		t.Error("server without a listener: got false, want true")
 	}
 }
