--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -13,8 +13,8 @@
 	DataCentre string
 	// Listen is the listen address for clients.
 	Listen string
-	// Ready is the listen address for the platform's readiness checks.
-	Ready string
+	// ReadyListen is the listen address for the platform's readiness checks.
+	ReadyListen string
 	// Metrics is the listen address for metrics.
 	Metrics string
 	// Peers is the listen address for datagrams from other instances.
@@ -188,7 +188,7 @@
 	n.ID = s.Need("id")
 	n.DataCentre = s.Need("data_centre")
 	n.Listen = readAddress(s, "listen")
-	n.Ready = readAddress(s, "ready_listen")
+	n.ReadyListen = readAddress(s, "ready_listen")
 	n.Metrics = readAddress(s, "metrics_listen")
 	n.Peers = readAddress(s, "peers_listen")
 	n.Store = readAddress(s, "store")
--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -225,7 +225,7 @@
 	if d.clients, err = socket.Open(n.settings.Listen); err != nil {
 		return d, err
 	}
-	if d.ready, err = socket.Open(n.settings.Ready); err != nil {
+	if d.ready, err = socket.Open(n.settings.ReadyListen); err != nil {
 		return d, err
 	}
 	if d.metrics, err = socket.Open(n.settings.Metrics); err != nil {
