--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -15,8 +15,8 @@
 	Listen string
 	// ReadyListen is the listen address for the platform's readiness checks.
 	ReadyListen string
-	// Metrics is the listen address for metrics.
-	Metrics string
+	// MetricsListen is the listen address for metrics.
+	MetricsListen string
 	// Peers is the listen address for datagrams from other instances.
 	Peers string
 	// Store is the address of the platform's store.
@@ -189,7 +189,7 @@
 	n.DataCentre = s.Need("data_centre")
 	n.Listen = readAddress(s, "listen")
 	n.ReadyListen = readAddress(s, "ready_listen")
-	n.Metrics = readAddress(s, "metrics_listen")
+	n.MetricsListen = readAddress(s, "metrics_listen")
 	n.Peers = readAddress(s, "peers_listen")
 	n.Store = readAddress(s, "store")
 	n.FirstStart = s.Bool("first_start", false)
--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -228,7 +228,7 @@
 	if d.ready, err = socket.Open(n.settings.ReadyListen); err != nil {
 		return d, err
 	}
-	if d.metrics, err = socket.Open(n.settings.Metrics); err != nil {
+	if d.metrics, err = socket.Open(n.settings.MetricsListen); err != nil {
 		return d, err
 	}
 	if d.peers, err = socket.Open(n.settings.Peers); err != nil {
--- a/cmd/fieldvale-node/store_test.go
+++ b/cmd/fieldvale-node/store_test.go
@@ -137,7 +137,7 @@
 // fetchMetrics returns the node's metrics in the text format.
 func (s *testEnv) fetchMetrics() string {
 	s.t.Helper()
-	r, err := http.Get("http://" + s.node.settings.Metrics + "/metrics")
+	r, err := http.Get("http://" + s.node.settings.MetricsListen + "/metrics")
 	if err != nil {
 		s.t.Fatal(err)
 	}
