--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -17,8 +17,8 @@
 	ReadyListen string
 	// MetricsListen is the listen address for metrics.
 	MetricsListen string
-	// Peers is the listen address for datagrams from other instances.
-	Peers string
+	// PeersListen is the listen address for datagrams from other instances.
+	PeersListen string
 	// Store is the address of the platform's store.
 	Store string
 	// FirstStart states that the whole fleet is being started for the first time.
@@ -190,7 +190,7 @@
 	n.Listen = readAddress(s, "listen")
 	n.ReadyListen = readAddress(s, "ready_listen")
 	n.MetricsListen = readAddress(s, "metrics_listen")
-	n.Peers = readAddress(s, "peers_listen")
+	n.PeersListen = readAddress(s, "peers_listen")
 	n.Store = readAddress(s, "store")
 	n.FirstStart = s.Bool("first_start", false)
 	n.ApplyWithin = s.Duration("apply_within", defaultMaxApplyDelay)
--- a/cmd/fieldvale-node/announce.go
+++ b/cmd/fieldvale-node/announce.go
@@ -34,7 +34,7 @@
 
 // self returns this instance as a member of the fleet, as it is announced to others.
 func (n *node) self() peer.Member {
-	return peer.Member{ID: n.settings.ID, Addr: n.settings.Peers, DataCentre: n.settings.DataCentre, LinkMbps: n.settings.LinkMbps}
+	return peer.Member{ID: n.settings.ID, Addr: n.settings.PeersListen, DataCentre: n.settings.DataCentre, LinkMbps: n.settings.LinkMbps}
 }
 
 // offerEarlierAnnouncement passes the announcement of an earlier run of this instance to
--- a/cmd/fieldvale-node/announce_test.go
+++ b/cmd/fieldvale-node/announce_test.go
@@ -17,7 +17,7 @@
 	s := newTestEnv(t)
 	s.startReplica("a", "v1")
 	s.start()
-	announced := func() bool { return strings.Contains(s.store.Announcement("n1"), s.node.settings.Peers) }
+	announced := func() bool { return strings.Contains(s.store.Announcement("n1"), s.node.settings.PeersListen) }
 	s.eventually("the node is announced", announced)
 	s.store.ExpireLeases()
 	s.eventually("the node is announced again", announced)
@@ -44,7 +44,7 @@
 	o := &testEnv{t: s.t, store: s.store, logs: s.logs, done: make(chan error, 1)}
 	o.startWith(func(n *settings.Node) { n.ID = "x0" })
 	for i := range roster.Enough {
-		s.store.PutInstance(fmt.Sprint("x", i), o.node.settings.Peers)
+		s.store.PutInstance(fmt.Sprint("x", i), o.node.settings.PeersListen)
 	}
 	leases := s.store.CallCount(sitetest.PathLease)
 	s.startWith(func(n *settings.Node) { n.FirstStart = true })
--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -209,7 +209,7 @@
 
 // claimDuty tries to acquire the duty in the store.
 func (c *dutyWorker) claimDuty(ctx context.Context, now time.Time) {
-	a, fence, err := c.node.store.ClaimDuty(ctx, c.node.settings.ID, c.node.settings.Peers, duty.TTL)
+	a, fence, err := c.node.store.ClaimDuty(ctx, c.node.settings.ID, c.node.settings.PeersListen, duty.TTL)
 	if err != nil || fence == 0 {
 		c.node.logEvent("duty_not_won", "error", err)
 		return
--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -231,10 +231,10 @@
 	if d.metrics, err = socket.Open(n.settings.MetricsListen); err != nil {
 		return d, err
 	}
-	if d.peers, err = socket.Open(n.settings.Peers); err != nil {
+	if d.peers, err = socket.Open(n.settings.PeersListen); err != nil {
 		return d, err
 	}
-	n.socket, err = datagram.Listen(n.settings.Peers)
+	n.socket, err = datagram.Listen(n.settings.PeersListen)
 	return d, err
 }
 
@@ -245,7 +245,7 @@
 	if err != nil {
 		return errors.Wrap(err, "node.run")
 	}
-	n.logEvent("started", "peers", n.settings.Peers, "listen", d.clients.Addr(), "ready", d.ready.Addr(), "metrics", d.metrics.Addr(), "store", n.settings.Store, "keys", keyExpiryRule(n.settings), "honour_for", n.settings.HonourFor)
+	n.logEvent("started", "peers", n.settings.PeersListen, "listen", d.clients.Addr(), "ready", d.ready.Addr(), "metrics", d.metrics.Addr(), "store", n.settings.Store, "keys", keyExpiryRule(n.settings), "honour_for", n.settings.HonourFor)
 	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g, runCtx := errgroup.WithContext(runCtx)
--- a/cmd/fieldvale-node/testenv_test.go
+++ b/cmd/fieldvale-node/testenv_test.go
@@ -122,7 +122,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	n := settings.Node{ID: "n1", DataCentre: "z", Listen: reservePort(s.t), ReadyListen: reservePort(s.t), MetricsListen: reservePort(s.t), Peers: reservePeersPort(s.t),
+	n := settings.Node{ID: "n1", DataCentre: "z", Listen: reservePort(s.t), ReadyListen: reservePort(s.t), MetricsListen: reservePort(s.t), PeersListen: reservePeersPort(s.t),
 		Store: s.store.Addr(), Level: "info", StopWithin: 4 * time.Second, ApplyWithin: 2 * time.Second, MemoryMB: 200, HonourFor: 5 * time.Second, RepeatPart: 0.9, RepeatBurst: 54, AcceptConfidence: 50}
 	change(&n)
 	s.node = newNodeWithClock(s.suspendableClock(), n, "", l)
