--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -19,8 +19,8 @@
 	MetricsListen string
 	// PeersListen is the listen address for datagrams from other instances.
 	PeersListen string
-	// Store is the address of the platform's store.
-	Store string
+	// StoreAddr is the address of the platform's store.
+	StoreAddr string
 	// FirstStart states that the whole fleet is being started for the first time.
 	FirstStart bool
 	// ApplyWithin bounds the time from a change in the store until the change must be in
@@ -191,7 +191,7 @@
 	n.ReadyListen = readAddress(s, "ready_listen")
 	n.MetricsListen = readAddress(s, "metrics_listen")
 	n.PeersListen = readAddress(s, "peers_listen")
-	n.Store = readAddress(s, "store")
+	n.StoreAddr = readAddress(s, "store")
 	n.FirstStart = s.Bool("first_start", false)
 	n.ApplyWithin = s.Duration("apply_within", defaultMaxApplyDelay)
 	n.StopWithin = s.Duration("stop_within", defaultNodeStopTimeout)
--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -129,7 +129,7 @@
 	}
 	n.lease = lease.New(time.Duration(confirmationFraction*float64(s.HonourFor)), s.ApplyWithin, keyExpiryRule(s), n.clock())
 	n.placer = placement.NewNode(s.ID, startID(), taggedTransport{n, tagPlacement}, n.clock, n.logEvent)
-	n.store = platform.NewStore(exchange.New(c.Now), s.Store, c.Now).WithCallObserver(n.registerStoreMetrics())
+	n.store = platform.NewStore(exchange.New(c.Now), s.StoreAddr, c.Now).WithCallObserver(n.registerStoreMetrics())
 	n.traffic = n.newTraffic()
 	n.pendingHeld = make(chan heldChange, pendingHeldLimit)
 	n.changeLog = relay.NewChangeLog()
@@ -245,7 +245,7 @@
 	if err != nil {
 		return errors.Wrap(err, "node.run")
 	}
-	n.logEvent("started", "peers", n.settings.PeersListen, "listen", d.clients.Addr(), "ready", d.ready.Addr(), "metrics", d.metrics.Addr(), "store", n.settings.Store, "keys", keyExpiryRule(n.settings), "honour_for", n.settings.HonourFor)
+	n.logEvent("started", "peers", n.settings.PeersListen, "listen", d.clients.Addr(), "ready", d.ready.Addr(), "metrics", d.metrics.Addr(), "store", n.settings.StoreAddr, "keys", keyExpiryRule(n.settings), "honour_for", n.settings.HonourFor)
 	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g, runCtx := errgroup.WithContext(runCtx)
