--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -23,9 +23,9 @@
 	StoreAddr string
 	// FirstStart states that the whole fleet is being started for the first time.
 	FirstStart bool
-	// ApplyWithin bounds the time from a change in the store until the change must be in
+	// MaxApplyDelay bounds the time from a change in the store until the change must be in
 	// force at this instance.
-	ApplyWithin time.Duration
+	MaxApplyDelay time.Duration
 	// Level is the least severe level that is logged.
 	Level string
 	// StopWithin bounds how long a planned stop takes.
@@ -193,7 +193,7 @@
 	n.PeersListen = readAddress(s, "peers_listen")
 	n.StoreAddr = readAddress(s, "store")
 	n.FirstStart = s.Bool("first_start", false)
-	n.ApplyWithin = s.Duration("apply_within", defaultMaxApplyDelay)
+	n.MaxApplyDelay = s.Duration("apply_within", defaultMaxApplyDelay)
 	n.StopWithin = s.Duration("stop_within", defaultNodeStopTimeout)
 	n.Level = readLevel(s)
 }
--- a/cmd/fieldvale-node/follow.go
+++ b/cmd/fieldvale-node/follow.go
@@ -79,5 +79,5 @@
 		d = n.dutyWorker
 	}
 	on := relay.Tee{ChangeLog: n.changeLog, Listener: platform.NewListener(n.state, n.quarantine, d, n.clock, n.logEvent), Event: n.logEvent}
-	return mirror.New(n.relay, platform.WatchPrefix, relay.TimingFor(n.settings.ApplyWithin).StoreWait, n.clock, on)
+	return mirror.New(n.relay, platform.WatchPrefix, relay.TimingFor(n.settings.MaxApplyDelay).StoreWait, n.clock, on)
 }
--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -127,7 +127,7 @@
 		settings: s, settingsPath: path, log: l, clock: c.Now, suspendClock: c, metrics: metrics.New(), view: entry.NewCurrentView(),
 		pendingRecords: make(chan state.Record), loggedTrials: map[string]entry.ReleaseTrial{}, earlierAnnouncement: make(chan store.Announced, 1), registerNow: make(chan struct{}, 1), pool: exchange.New(c.Now), stopping: make(chan struct{}),
 	}
-	n.lease = lease.New(time.Duration(confirmationFraction*float64(s.HonourFor)), s.ApplyWithin, keyExpiryRule(s), n.clock())
+	n.lease = lease.New(time.Duration(confirmationFraction*float64(s.HonourFor)), s.MaxApplyDelay, keyExpiryRule(s), n.clock())
 	n.placer = placement.NewNode(s.ID, startID(), taggedTransport{n, tagPlacement}, n.clock, n.logEvent)
 	n.store = platform.NewStore(exchange.New(c.Now), s.StoreAddr, c.Now).WithCallObserver(n.registerStoreMetrics())
 	n.traffic = n.newTraffic()
@@ -135,7 +135,7 @@
 	n.changeLog = relay.NewChangeLog()
 	n.relay = relay.NewNode(n.self(), startID(), relay.Ports{
 		ChangeLog: n.changeLog, Store: n.store, Net: taggedTransport{n, tagRelay}, Fetcher: countingFetcher{handover.NewClient(n.clock), n.traffic}, ListMembers: n.listMembers, Register: n.requestRegistration, Clock: n.clock, Event: n.logEvent,
-	}, relay.TimingFor(s.ApplyWithin))
+	}, relay.TimingFor(s.MaxApplyDelay))
 	n.quarantine = quarantine.NewNode(startID(), n.quarantineConfig())
 	n.registerQuarantineMetrics()
 	n.quota = quota.NewNode(startID(), n.quotaConfig())
--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -89,7 +89,7 @@
 		}
 		n.logQuarantined(f)
 		age, _ := n.lease.Age(n.clock())
-		if age >= n.settings.ApplyWithin {
+		if age >= n.settings.MaxApplyDelay {
 			n.staleAnswers.WithLabelValues("routed").Inc()
 		}
 		n.logEvent("routed", "request", q.ID, "content", f.Fingerprint, "route", q.Route.Name, "customer", q.Customer.Name, "session", q.Session, "config", q.Table.Version, "config_age", age,
@@ -131,7 +131,7 @@
 	return func(id, host, path string, status int, reason string) {
 		c.WithLabelValues(reason).Inc()
 		age, _ := n.lease.Age(n.clock())
-		if age >= n.settings.ApplyWithin && status < http.StatusInternalServerError {
+		if age >= n.settings.MaxApplyDelay && status < http.StatusInternalServerError {
 			n.staleAnswers.WithLabelValues("denied").Inc()
 		}
 		n.logEvent("refused", "request", id, "host", host, "path", path, "status", status, "reason", reason, "config", n.configVersion(), "config_age", age)
--- a/cmd/fieldvale-node/quota.go
+++ b/cmd/fieldvale-node/quota.go
@@ -10,7 +10,7 @@
 func (n *node) quotaConfig() quota.Config {
 	return quota.Config{
 		Self: n.settings.ID, Net: taggedTransport{n, tagQuota}, Clock: n.clock, FleetSize: n.relay.FleetSize, Followers: n.relay.Followers,
-		IsMembershipCurrent: n.isConfigConfirmed, MaxPropagationDelay: n.settings.ApplyWithin, Rand: rand.Float64, Log: n.logEvent,
+		IsMembershipCurrent: n.isConfigConfirmed, MaxPropagationDelay: n.settings.MaxApplyDelay, Rand: rand.Float64, Log: n.logEvent,
 	}
 }
 
