--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -28,8 +28,8 @@
 	MaxApplyDelay time.Duration
 	// Level is the least severe level that is logged.
 	Level string
-	// StopWithin bounds how long a planned stop takes.
-	StopWithin time.Duration
+	// StopTimeout bounds how long a planned stop takes.
+	StopTimeout time.Duration
 	// MemoryMB is the instance's memory in MB; 0 if unknown.
 	MemoryMB int64
 	// LinkMbps is the capacity of the instance's network link in Mbit/s; 0 if unknown.
@@ -194,6 +194,6 @@
 	n.StoreAddr = readAddress(s, "store")
 	n.FirstStart = s.Bool("first_start", false)
 	n.MaxApplyDelay = s.Duration("apply_within", defaultMaxApplyDelay)
-	n.StopWithin = s.Duration("stop_within", defaultNodeStopTimeout)
+	n.StopTimeout = s.Duration("stop_within", defaultNodeStopTimeout)
 	n.Level = readLevel(s)
 }
--- a/cmd/fieldvale-node/stop.go
+++ b/cmd/fieldvale-node/stop.go
@@ -43,10 +43,10 @@
 // waits for the requests in progress until the time for the stop is over.
 func (n *node) stop() error {
 	n.logEvent("stopping")
-	end := n.clock().Add(n.settings.StopWithin - exitMargin)
+	end := n.clock().Add(n.settings.StopTimeout - exitMargin)
 	close(n.stopping)
 	n.ingress.StartDraining()
-	time.Sleep(min(drainDelay, n.settings.StopWithin/2))
+	time.Sleep(min(drainDelay, n.settings.StopTimeout/2))
 	ctx, cancel := context.WithTimeout(context.Background(), end.Sub(n.clock()))
 	defer cancel()
 	if err := n.ingress.Shutdown(ctx); err != nil {
