--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -34,8 +34,8 @@
 	MemoryMB int64
 	// LinkMbps is the capacity of the instance's network link in Mbit/s; 0 if unknown.
 	LinkMbps float64
-	// HonourFor bounds how long an API key is accepted after it was revoked.
-	HonourFor time.Duration
+	// RevokedKeyTTL bounds how long an API key is accepted after it was revoked.
+	RevokedKeyTTL time.Duration
 	// KeysLenient lifts the bound on accepting revoked keys while the instance can't confirm
 	// its configuration.
 	KeysLenient bool
@@ -116,7 +116,7 @@
 // defaultNode returns the settings for sections that are missing in the file.
 func defaultNode() Node {
 	return Node{
-		Level: defaultLevel, MemoryMB: defaultMemoryMB, HonourFor: defaultRevokedKeyTTL,
+		Level: defaultLevel, MemoryMB: defaultMemoryMB, RevokedKeyTTL: defaultRevokedKeyTTL,
 		RepeatPart: defaultRetryFraction, RepeatBurst: defaultRetryBurst,
 		ExposedPart: defaultExposedFraction, ExposedSlack: defaultExposedSlack, ColdOverage: defaultColdLimitFactor, ColdSlack: defaultColdLimitSlack, DrainFor: defaultDrainPeriod, AcceptConfidence: defaultAcceptConfidence,
 	}
@@ -133,7 +133,7 @@
 		}
 		n.LinkMbps = s.Float64("link_mbps", 0)
 	case "keys":
-		n.HonourFor = s.Duration("honour_for", defaultRevokedKeyTTL)
+		n.RevokedKeyTTL = s.Duration("honour_for", defaultRevokedKeyTTL)
 		n.KeysLenient = !s.Bool("strict", true)
 	case "releases":
 		n.ExposedPart = s.Float64("exposed_part", defaultExposedFraction)
--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -127,7 +127,7 @@
 		settings: s, settingsPath: path, log: l, clock: c.Now, suspendClock: c, metrics: metrics.New(), view: entry.NewCurrentView(),
 		pendingRecords: make(chan state.Record), loggedTrials: map[string]entry.ReleaseTrial{}, earlierAnnouncement: make(chan store.Announced, 1), registerNow: make(chan struct{}, 1), pool: exchange.New(c.Now), stopping: make(chan struct{}),
 	}
-	n.lease = lease.New(time.Duration(confirmationFraction*float64(s.HonourFor)), s.MaxApplyDelay, keyExpiryRule(s), n.clock())
+	n.lease = lease.New(time.Duration(confirmationFraction*float64(s.RevokedKeyTTL)), s.MaxApplyDelay, keyExpiryRule(s), n.clock())
 	n.placer = placement.NewNode(s.ID, startID(), taggedTransport{n, tagPlacement}, n.clock, n.logEvent)
 	n.store = platform.NewStore(exchange.New(c.Now), s.StoreAddr, c.Now).WithCallObserver(n.registerStoreMetrics())
 	n.traffic = n.newTraffic()
@@ -245,7 +245,7 @@
 	if err != nil {
 		return errors.Wrap(err, "node.run")
 	}
-	n.logEvent("started", "peers", n.settings.PeersListen, "listen", d.clients.Addr(), "ready", d.ready.Addr(), "metrics", d.metrics.Addr(), "store", n.settings.StoreAddr, "keys", keyExpiryRule(n.settings), "honour_for", n.settings.HonourFor)
+	n.logEvent("started", "peers", n.settings.PeersListen, "listen", d.clients.Addr(), "ready", d.ready.Addr(), "metrics", d.metrics.Addr(), "store", n.settings.StoreAddr, "keys", keyExpiryRule(n.settings), "honour_for", n.settings.RevokedKeyTTL)
 	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g, runCtx := errgroup.WithContext(runCtx)
