--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -36,9 +36,9 @@
 	LinkMbps float64
 	// RevokedKeyTTL bounds how long an API key is accepted after it was revoked.
 	RevokedKeyTTL time.Duration
-	// KeysLenient lifts the bound on accepting revoked keys while the instance can't confirm
+	// LenientKeys lifts the bound on accepting revoked keys while the instance can't confirm
 	// its configuration.
-	KeysLenient bool
+	LenientKeys bool
 	// RepeatPart bounds the retries that the whole fleet sends to a service, as a fraction
 	// of the incoming requests.
 	RepeatPart float64
@@ -134,7 +134,7 @@
 		n.LinkMbps = s.Float64("link_mbps", 0)
 	case "keys":
 		n.RevokedKeyTTL = s.Duration("honour_for", defaultRevokedKeyTTL)
-		n.KeysLenient = !s.Bool("strict", true)
+		n.LenientKeys = !s.Bool("strict", true)
 	case "releases":
 		n.ExposedPart = s.Float64("exposed_part", defaultExposedFraction)
 		n.ExposedSlack = s.Float64("exposed_slack", defaultExposedSlack)
--- a/adapter/settings/settings_test.go
+++ b/adapter/settings/settings_test.go
@@ -112,8 +112,8 @@
 		if (len(e) == 0) != c.valid {
 			t.Errorf("%q: got errors %v, want valid %t", c.keys, e, c.valid)
 		}
-		if c.valid && n.KeysLenient != c.lenient {
-			t.Errorf("%q: got lenient %t, want %t", c.keys, n.KeysLenient, c.lenient)
+		if c.valid && n.LenientKeys != c.lenient {
+			t.Errorf("%q: got lenient %t, want %t", c.keys, n.LenientKeys, c.lenient)
 		}
 	}
 }
--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -160,7 +160,7 @@
 // keyExpiryRule returns the configured rule for API keys while the configuration can't be
 // confirmed.
 func keyExpiryRule(s settings.Node) lease.ExpiryRule {
-	if s.KeysLenient {
+	if s.LenientKeys {
 		return lease.Lenient
 	}
 	return lease.Strict
--- a/cmd/fieldvale-node/store_test.go
+++ b/cmd/fieldvale-node/store_test.go
@@ -71,7 +71,7 @@
 func TestLenientNodeHonoursKeysDuringStoreOutage(t *testing.T) {
 	s := newTestEnv(t)
 	s.startReplica("a", "v1")
-	s.startWith(func(n *settings.Node) { n.RevokedKeyTTL, n.KeysLenient = time.Second, true })
+	s.startWith(func(n *settings.Node) { n.RevokedKeyTTL, n.LenientKeys = time.Second, true })
 	s.store.Lock()
 	s.store.RefuseStatus = 503
 	s.store.Unlock()
