--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -39,9 +39,9 @@
 	// LenientKeys lifts the bound on accepting revoked keys while the instance can't confirm
 	// its configuration.
 	LenientKeys bool
-	// RepeatPart bounds the retries that the whole fleet sends to a service, as a fraction
+	// RetryFraction bounds the retries that the whole fleet sends to a service, as a fraction
 	// of the incoming requests.
-	RepeatPart float64
+	RetryFraction float64
 	// RepeatBurst is a number of retries that is allowed in addition.
 	RepeatBurst float64
 	// ExposedPart bounds the requests that a bad release may get, as a fraction of all
@@ -117,7 +117,7 @@
 func defaultNode() Node {
 	return Node{
 		Level: defaultLevel, MemoryMB: defaultMemoryMB, RevokedKeyTTL: defaultRevokedKeyTTL,
-		RepeatPart: defaultRetryFraction, RepeatBurst: defaultRetryBurst,
+		RetryFraction: defaultRetryFraction, RepeatBurst: defaultRetryBurst,
 		ExposedPart: defaultExposedFraction, ExposedSlack: defaultExposedSlack, ColdOverage: defaultColdLimitFactor, ColdSlack: defaultColdLimitSlack, DrainFor: defaultDrainPeriod, AcceptConfidence: defaultAcceptConfidence,
 	}
 }
@@ -149,7 +149,7 @@
 	case "regions":
 		n.Regions = s.ValueMap()
 	case "repeats":
-		n.RepeatPart = s.Float64("part", defaultRetryFraction)
+		n.RetryFraction = s.Float64("part", defaultRetryFraction)
 		n.RepeatBurst = s.Float64("burst", defaultRetryBurst)
 	}
 }
