--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -42,8 +42,8 @@
 	// RetryFraction bounds the retries that the whole fleet sends to a service, as a fraction
 	// of the incoming requests.
 	RetryFraction float64
-	// RepeatBurst is a number of retries that is allowed in addition.
-	RepeatBurst float64
+	// RetryBurst is a number of retries that is allowed in addition.
+	RetryBurst float64
 	// ExposedPart bounds the requests that a bad release may get, as a fraction of all
 	// requests during the planned duration of the release.
 	ExposedPart float64
@@ -117,7 +117,7 @@
 func defaultNode() Node {
 	return Node{
 		Level: defaultLevel, MemoryMB: defaultMemoryMB, RevokedKeyTTL: defaultRevokedKeyTTL,
-		RetryFraction: defaultRetryFraction, RepeatBurst: defaultRetryBurst,
+		RetryFraction: defaultRetryFraction, RetryBurst: defaultRetryBurst,
 		ExposedPart: defaultExposedFraction, ExposedSlack: defaultExposedSlack, ColdOverage: defaultColdLimitFactor, ColdSlack: defaultColdLimitSlack, DrainFor: defaultDrainPeriod, AcceptConfidence: defaultAcceptConfidence,
 	}
 }
@@ -150,7 +150,7 @@
 		n.Regions = s.ValueMap()
 	case "repeats":
 		n.RetryFraction = s.Float64("part", defaultRetryFraction)
-		n.RepeatBurst = s.Float64("burst", defaultRetryBurst)
+		n.RetryBurst = s.Float64("burst", defaultRetryBurst)
 	}
 }
 
--- a/cmd/fieldvale-node/testenv_test.go
+++ b/cmd/fieldvale-node/testenv_test.go
@@ -123,7 +123,7 @@
 		s.t.Fatal(err)
 	}
 	n := settings.Node{ID: "n1", DataCentre: "z", Listen: reservePort(s.t), ReadyListen: reservePort(s.t), MetricsListen: reservePort(s.t), PeersListen: reservePeersPort(s.t),
-		StoreAddr: s.store.Addr(), Level: "info", StopTimeout: 4 * time.Second, MaxApplyDelay: 2 * time.Second, MemoryMB: 200, RevokedKeyTTL: 5 * time.Second, RetryFraction: 0.9, RepeatBurst: 54, AcceptConfidence: 50}
+		StoreAddr: s.store.Addr(), Level: "info", StopTimeout: 4 * time.Second, MaxApplyDelay: 2 * time.Second, MemoryMB: 200, RevokedKeyTTL: 5 * time.Second, RetryFraction: 0.9, RetryBurst: 54, AcceptConfidence: 50}
 	change(&n)
 	s.node = newNodeWithClock(s.suspendableClock(), n, "", l)
 	var ctx context.Context
