--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -44,9 +44,9 @@
 	RetryFraction float64
 	// RetryBurst is a number of retries that is allowed in addition.
 	RetryBurst float64
-	// ExposedPart bounds the requests that a bad release may get, as a fraction of all
+	// ExposedFraction bounds the requests that a bad release may get, as a fraction of all
 	// requests during the planned duration of the release.
-	ExposedPart float64
+	ExposedFraction float64
 	// ExposedSlack is a number of requests that a bad release may get in addition.
 	ExposedSlack float64
 	// Cloud is the address of the platform's API that one instance at a time calls; empty
@@ -118,7 +118,7 @@
 	return Node{
 		Level: defaultLevel, MemoryMB: defaultMemoryMB, RevokedKeyTTL: defaultRevokedKeyTTL,
 		RetryFraction: defaultRetryFraction, RetryBurst: defaultRetryBurst,
-		ExposedPart: defaultExposedFraction, ExposedSlack: defaultExposedSlack, ColdOverage: defaultColdLimitFactor, ColdSlack: defaultColdLimitSlack, DrainFor: defaultDrainPeriod, AcceptConfidence: defaultAcceptConfidence,
+		ExposedFraction: defaultExposedFraction, ExposedSlack: defaultExposedSlack, ColdOverage: defaultColdLimitFactor, ColdSlack: defaultColdLimitSlack, DrainFor: defaultDrainPeriod, AcceptConfidence: defaultAcceptConfidence,
 	}
 }
 
@@ -136,7 +136,7 @@
 		n.RevokedKeyTTL = s.Duration("honour_for", defaultRevokedKeyTTL)
 		n.LenientKeys = !s.Bool("strict", true)
 	case "releases":
-		n.ExposedPart = s.Float64("exposed_part", defaultExposedFraction)
+		n.ExposedFraction = s.Float64("exposed_part", defaultExposedFraction)
 		n.ExposedSlack = s.Float64("exposed_slack", defaultExposedSlack)
 	case "replicas":
 		n.ColdOverage = s.Float64("cold_overage", defaultColdLimitFactor)
--- a/cmd/fieldvale-node/releases.go
+++ b/cmd/fieldvale-node/releases.go
@@ -46,7 +46,7 @@
 // requests a bad release gets, by the estimated request rate of the service.
 func (n *node) withTrialShare(c state.Record) state.Record {
 	if r := &c.Release; r.Phase > 0 && r.TrialShare == 0 {
-		b := rollout.ExposureLimit{Fraction: n.settings.ExposedPart, Slack: n.settings.ExposedSlack}
+		b := rollout.ExposureLimit{Fraction: n.settings.ExposedFraction, Slack: n.settings.ExposedSlack}
 		r.TrialShare = r.ComputeTrialShare(b, n.router.SendRate(*r, r.Elapsed))
 	}
 	return c
