--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -49,9 +49,9 @@
 	ExposedFraction float64
 	// ExposedSlack is a number of requests that a bad release may get in addition.
 	ExposedSlack float64
-	// Cloud is the address of the platform's API that one instance at a time calls; empty
+	// CloudAddr is the address of the platform's API that one instance at a time calls; empty
 	// if there is none.
-	Cloud string
+	CloudAddr string
 	// The duties that the fleet performs by this API: usage reports and autoscaling.
 	ReportsUsage, Scales bool
 	// The length of the time windows for which usage is reported, and how long after the end
@@ -172,7 +172,7 @@
 // not called if the address is empty.
 func (n *Node) readCloud(s *inifile.Section) {
 	if s.Value("address") != "" {
-		n.Cloud = readAddress(s, "address")
+		n.CloudAddr = readAddress(s, "address")
 	}
 	l := s.Values("duties")
 	n.ReportsUsage, n.Scales = slices.Contains(l, dutyUsage), slices.Contains(l, dutyScaling)
--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -73,11 +73,11 @@
 // newDutyWorker returns the duty worker of an instance; nil if the settings name no address
 // for the platform's calls.
 func newDutyWorker(n *node) *dutyWorker {
-	if n.settings.Cloud == "" {
+	if n.settings.CloudAddr == "" {
 		return nil
 	}
 	return &dutyWorker{
-		node: n, client: platform.NewDutyClient(exchange.New(n.clock), n.settings.Cloud, n.settings.ID), tenure: duty.New(n.settings.ID), tally: usage.NewTally(n.settings.UsageWindow), book: usage.NewBook(),
+		node: n, client: platform.NewDutyClient(exchange.New(n.clock), n.settings.CloudAddr, n.settings.ID), tenure: duty.New(n.settings.ID), tally: usage.NewTally(n.settings.UsageWindow), book: usage.NewBook(),
 		incarnation: startID(), reported: map[int64]bool{}, planners: map[string]*scaling.Planner{}, recorded: map[int64]usage.Counts{}, loads: map[string]instanceLoad{},
 	}
 }
--- a/cmd/fieldvale-node/dutyworker_test.go
+++ b/cmd/fieldvale-node/dutyworker_test.go
@@ -91,7 +91,7 @@
 	s.startReplica("a", "v1")
 	p := newPlatformAPI(t)
 	change := func(n *settings.Node) {
-		n.Cloud, n.ReportsUsage = p.Listener.Addr().String(), true
+		n.CloudAddr, n.ReportsUsage = p.Listener.Addr().String(), true
 		n.UsageWindow, n.UsageLate = time.Second, 8*time.Second
 	}
 	l := []*testEnv{s}
