--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -53,7 +53,7 @@
 	// if there is none.
 	CloudAddr string
 	// The duties that the fleet performs by this API: usage reports and autoscaling.
-	ReportsUsage, Scales bool
+	ReportsUsage, Autoscales bool
 	// The length of the time windows for which usage is reported, and how long after the end
 	// of its window a report is accepted.
 	UsageWindow, UsageLate time.Duration
@@ -175,7 +175,7 @@
 		n.CloudAddr = readAddress(s, "address")
 	}
 	l := s.Values("duties")
-	n.ReportsUsage, n.Scales = slices.Contains(l, dutyUsage), slices.Contains(l, dutyScaling)
+	n.ReportsUsage, n.Autoscales = slices.Contains(l, dutyUsage), slices.Contains(l, dutyScaling)
 	n.UsageWindow = time.Duration(s.Float64("usage_window_s", defaultUsageWindow.Seconds()) * float64(time.Second))
 	n.UsageLate = time.Duration(s.Float64("usage_late_s", defaultMaxUsageDelay.Seconds()) * float64(time.Second))
 	if n.UsageWindow < time.Second || n.UsageLate < time.Second {
--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -122,7 +122,7 @@
 	if c.node.settings.ReportsUsage {
 		c.reportUsage(ctx, fence)
 	}
-	if c.node.settings.Scales {
+	if c.node.settings.Autoscales {
 		c.scale(ctx, fence)
 	}
 }
