--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -56,7 +56,7 @@
 	ReportsUsage, Autoscales bool
 	// The length of the time windows for which usage is reported, and how long after the end
 	// of its window a report is accepted.
-	UsageWindow, UsageLate time.Duration
+	UsageWindow, MaxUsageDelay time.Duration
 	// Regions are the regions of the data centres, by the data centre's name.
 	Regions map[string]string
 	// ColdOverage bounds the requests per second that a cold replica gets from all
@@ -177,8 +177,8 @@
 	l := s.Values("duties")
 	n.ReportsUsage, n.Autoscales = slices.Contains(l, dutyUsage), slices.Contains(l, dutyScaling)
 	n.UsageWindow = time.Duration(s.Float64("usage_window_s", defaultUsageWindow.Seconds()) * float64(time.Second))
-	n.UsageLate = time.Duration(s.Float64("usage_late_s", defaultMaxUsageDelay.Seconds()) * float64(time.Second))
-	if n.UsageWindow < time.Second || n.UsageLate < time.Second {
+	n.MaxUsageDelay = time.Duration(s.Float64("usage_late_s", defaultMaxUsageDelay.Seconds()) * float64(time.Second))
+	if n.UsageWindow < time.Second || n.MaxUsageDelay < time.Second {
 		s.AddError("usage_window_s", "usage_window_s and usage_late_s must be at least one second")
 	}
 }
--- a/cmd/fieldvale-node/dutyworker_test.go
+++ b/cmd/fieldvale-node/dutyworker_test.go
@@ -92,7 +92,7 @@
 	p := newPlatformAPI(t)
 	change := func(n *settings.Node) {
 		n.CloudAddr, n.ReportsUsage = p.Listener.Addr().String(), true
-		n.UsageWindow, n.UsageLate = time.Second, 8*time.Second
+		n.UsageWindow, n.MaxUsageDelay = time.Second, 8*time.Second
 	}
 	l := []*testEnv{s}
 	for i, id := range []string{"n1", "n2", "n3"} {
