--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -59,9 +59,9 @@
 	UsageWindow, MaxUsageDelay time.Duration
 	// Regions are the regions of the data centres, by the data centre's name.
 	Regions map[string]string
-	// ColdOverage bounds the requests per second that a cold replica gets from all
+	// ColdLimitFactor bounds the requests per second that a cold replica gets from all
 	// instances, as a multiple of the rate that the replica advertises.
-	ColdOverage float64
+	ColdLimitFactor float64
 	// ColdSlack is a number of requests per second that a cold replica may get in addition.
 	ColdSlack float64
 	// DrainFor is how long a draining replica still serves requests after it has reported
@@ -118,7 +118,7 @@
 	return Node{
 		Level: defaultLevel, MemoryMB: defaultMemoryMB, RevokedKeyTTL: defaultRevokedKeyTTL,
 		RetryFraction: defaultRetryFraction, RetryBurst: defaultRetryBurst,
-		ExposedFraction: defaultExposedFraction, ExposedSlack: defaultExposedSlack, ColdOverage: defaultColdLimitFactor, ColdSlack: defaultColdLimitSlack, DrainFor: defaultDrainPeriod, AcceptConfidence: defaultAcceptConfidence,
+		ExposedFraction: defaultExposedFraction, ExposedSlack: defaultExposedSlack, ColdLimitFactor: defaultColdLimitFactor, ColdSlack: defaultColdLimitSlack, DrainFor: defaultDrainPeriod, AcceptConfidence: defaultAcceptConfidence,
 	}
 }
 
@@ -139,7 +139,7 @@
 		n.ExposedFraction = s.Float64("exposed_part", defaultExposedFraction)
 		n.ExposedSlack = s.Float64("exposed_slack", defaultExposedSlack)
 	case "replicas":
-		n.ColdOverage = s.Float64("cold_overage", defaultColdLimitFactor)
+		n.ColdLimitFactor = s.Float64("cold_overage", defaultColdLimitFactor)
 		n.ColdSlack = s.Float64("cold_slack", defaultColdLimitSlack)
 		n.DrainFor = s.Duration("drain_for", defaultDrainPeriod)
 	case "models":
