--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -62,8 +62,8 @@
 	// ColdLimitFactor bounds the requests per second that a cold replica gets from all
 	// instances, as a multiple of the rate that the replica advertises.
 	ColdLimitFactor float64
-	// ColdSlack is a number of requests per second that a cold replica may get in addition.
-	ColdSlack float64
+	// ColdLimitSlack is a number of requests per second that a cold replica may get in addition.
+	ColdLimitSlack float64
 	// DrainFor is how long a draining replica still serves requests after it has reported
 	// that it is draining.
 	DrainFor time.Duration
@@ -118,7 +118,7 @@
 	return Node{
 		Level: defaultLevel, MemoryMB: defaultMemoryMB, RevokedKeyTTL: defaultRevokedKeyTTL,
 		RetryFraction: defaultRetryFraction, RetryBurst: defaultRetryBurst,
-		ExposedFraction: defaultExposedFraction, ExposedSlack: defaultExposedSlack, ColdLimitFactor: defaultColdLimitFactor, ColdSlack: defaultColdLimitSlack, DrainFor: defaultDrainPeriod, AcceptConfidence: defaultAcceptConfidence,
+		ExposedFraction: defaultExposedFraction, ExposedSlack: defaultExposedSlack, ColdLimitFactor: defaultColdLimitFactor, ColdLimitSlack: defaultColdLimitSlack, DrainFor: defaultDrainPeriod, AcceptConfidence: defaultAcceptConfidence,
 	}
 }
 
@@ -140,7 +140,7 @@
 		n.ExposedSlack = s.Float64("exposed_slack", defaultExposedSlack)
 	case "replicas":
 		n.ColdLimitFactor = s.Float64("cold_overage", defaultColdLimitFactor)
-		n.ColdSlack = s.Float64("cold_slack", defaultColdLimitSlack)
+		n.ColdLimitSlack = s.Float64("cold_slack", defaultColdLimitSlack)
 		n.DrainFor = s.Duration("drain_for", defaultDrainPeriod)
 	case "models":
 		n.readModels(s)
