--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -64,9 +64,9 @@
 	ColdLimitFactor float64
 	// ColdLimitSlack is a number of requests per second that a cold replica may get in addition.
 	ColdLimitSlack float64
-	// DrainFor is how long a draining replica still serves requests after it has reported
+	// DrainPeriod is how long a draining replica still serves requests after it has reported
 	// that it is draining.
-	DrainFor time.Duration
+	DrainPeriod time.Duration
 	// AcceptConfidence is the confidence, from 0 to 100, that the smallest model must report
 	// in its answer for the answer to be returned to the caller.
 	AcceptConfidence float64
@@ -118,7 +118,7 @@
 	return Node{
 		Level: defaultLevel, MemoryMB: defaultMemoryMB, RevokedKeyTTL: defaultRevokedKeyTTL,
 		RetryFraction: defaultRetryFraction, RetryBurst: defaultRetryBurst,
-		ExposedFraction: defaultExposedFraction, ExposedSlack: defaultExposedSlack, ColdLimitFactor: defaultColdLimitFactor, ColdLimitSlack: defaultColdLimitSlack, DrainFor: defaultDrainPeriod, AcceptConfidence: defaultAcceptConfidence,
+		ExposedFraction: defaultExposedFraction, ExposedSlack: defaultExposedSlack, ColdLimitFactor: defaultColdLimitFactor, ColdLimitSlack: defaultColdLimitSlack, DrainPeriod: defaultDrainPeriod, AcceptConfidence: defaultAcceptConfidence,
 	}
 }
 
@@ -141,7 +141,7 @@
 	case "replicas":
 		n.ColdLimitFactor = s.Float64("cold_overage", defaultColdLimitFactor)
 		n.ColdLimitSlack = s.Float64("cold_slack", defaultColdLimitSlack)
-		n.DrainFor = s.Duration("drain_for", defaultDrainPeriod)
+		n.DrainPeriod = s.Duration("drain_for", defaultDrainPeriod)
 	case "models":
 		n.readModels(s)
 	case "cloud":
--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -140,7 +140,7 @@
 	n.registerQuarantineMetrics()
 	n.quota = quota.NewNode(startID(), n.quotaConfig())
 	n.registerQuotaMetrics()
-	n.notices = notice.NewTracker(n.clock, n.settings.DrainFor, n.logEvent)
+	n.notices = notice.NewTracker(n.clock, n.settings.DrainPeriod, n.logEvent)
 	n.registerNoticeMetrics()
 	n.state = state.New(n.view, n.lease, n.clock, n.logEvent, n.setMembers)
 	n.registerConfigMetrics()
