--- a/adapter/settings/entry.go
+++ b/adapter/settings/entry.go
@@ -12,8 +12,8 @@
 	DataCentre string
 	// Listen is the listen address for callers.
 	Listen string
-	// Metrics is the listen address for metrics.
-	Metrics string
+	// MetricsListen is the listen address for metrics.
+	MetricsListen string
 	// Control is the address of the control process on the same host.
 	Control  string
 	FleetKey string
@@ -74,7 +74,7 @@
 	e.ID = s.Need("id")
 	e.DataCentre = s.Need("data_centre")
 	e.Listen = readAddress(s, "listen")
-	e.Metrics = readAddress(s, "metrics_listen")
+	e.MetricsListen = readAddress(s, "metrics_listen")
 	e.Control = readAddress(s, "control")
 	e.FleetKey = readFleetKey(s)
 	e.Sync = s.Duration("sync", defaultSyncInterval)
--- a/process/entry.go
+++ b/process/entry.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		return errors.Wrap(err, "process.Entry")
 	}
-	m, err := socket.Open(e.settings.Metrics)
+	m, err := socket.Open(e.settings.MetricsListen)
 	if err != nil {
 		return errors.Wrap(err, "process.Entry")
 	}
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -115,7 +115,7 @@
 	}
 	r.control.PeerAddr = r.control.PeerListen
 	r.entry = settings.Entry{
-		ID: "i", DataCentre: "dc", Listen: reservePort(t), Metrics: reservePort(t), Control: r.control.LocalListen, FleetKey: r.control.FleetKey,
+		ID: "i", DataCentre: "dc", Listen: reservePort(t), MetricsListen: reservePort(t), Control: r.control.LocalListen, FleetKey: r.control.FleetKey,
 		Rating: "127.0.0.1:1", TLS: c, Sync: 50 * time.Millisecond, Drain: 50 * time.Millisecond, StopWithin: time.Minute,
 	}
 	l.Set([]list.Instance{{ID: "e", Addr: el, Kind: "engine", Slots: 4, DataCentre: "dc"}})
@@ -329,7 +329,7 @@
 func TestMetrics(t *testing.T) {
 	r := newTestInstance(t)
 	r.startAll()
-	for addr, want := range map[string]string{r.entry.Metrics: "fieldvale_requests_total", r.control.Metrics: "fieldvale_store_calls_total"} {
+	for addr, want := range map[string]string{r.entry.MetricsListen: "fieldvale_requests_total", r.control.Metrics: "fieldvale_store_calls_total"} {
 		if s, b := r.get("http://" + addr + "/metrics"); s != 200 || !strings.Contains(b, want) {
 			t.Errorf("the metrics lack %s, or their status is not 200: got status %d", want, s)
 		}
