--- a/adapter/settings/entry.go
+++ b/adapter/settings/entry.go
@@ -14,8 +14,8 @@
 	Listen string
 	// MetricsListen is the listen address for metrics.
 	MetricsListen string
-	// Control is the address of the control process on the same host.
-	Control  string
+	// ControlAddr is the address of the control process on the same host.
+	ControlAddr  string
 	FleetKey string
 	// Rating is the address of the platform's service that rates answers.
 	Rating string
@@ -75,7 +75,7 @@
 	e.DataCentre = s.Need("data_centre")
 	e.Listen = readAddress(s, "listen")
 	e.MetricsListen = readAddress(s, "metrics_listen")
-	e.Control = readAddress(s, "control")
+	e.ControlAddr = readAddress(s, "control")
 	e.FleetKey = readFleetKey(s)
 	e.Sync = s.Duration("sync", defaultSyncInterval)
 	e.Drain = s.Duration("drain", defaultDrainDelay)
--- a/process/entry.go
+++ b/process/entry.go
@@ -60,7 +60,7 @@
 func NewEntry(s settings.Entry, l log.Interface) *Entry {
 	e := &Entry{settings: s, log: l, incarnation: uuid.NewString(), view: entry.NewCurrentView(), metrics: metrics.New()}
 	h := httpconn.New()
-	k := rpc.NewLocal(s.Control, s.FleetKey)
+	k := rpc.NewLocal(s.ControlAddr, s.FleetKey)
 	e.biller = biller.New(rpc.NewPeers(s.FleetKey), e.view.Members, s.ID, e.incarnation)
 	e.biller.Log = func(event string, f ...any) { l.WithFields(logging.Fields(f...)).Info(event) }
 	e.quarantine = quarantine.NewNode(0, quarantine.Config{Self: s.ID, Clock: time.Now, Log: func(event string, f ...any) {
