--- a/adapter/settings/entry.go
+++ b/adapter/settings/entry.go
@@ -17,8 +17,8 @@
 	// ControlAddr is the address of the control process on the same host.
 	ControlAddr  string
 	FleetKey string
-	// Rating is the address of the platform's service that rates answers.
-	Rating string
+	// RatingAddr is the address of the platform's service that rates answers.
+	RatingAddr string
 	TLS    TLS
 	// Level is the least severe level that is logged.
 	Level string
@@ -55,7 +55,7 @@
 		case "tls":
 			e.TLS = readTLS(s)
 		case "platform":
-			e.Rating = readAddress(s, "rating")
+			e.RatingAddr = readAddress(s, "rating")
 		case "log":
 			e.Level = readLevel(s)
 		}
@@ -63,7 +63,7 @@
 	if !found {
 		f.AddMissingSection("entry")
 	}
-	if e.Rating == "" {
+	if e.RatingAddr == "" {
 		f.AddMissingSection("platform")
 	}
 	return e, f.Errors()
--- a/process/entry.go
+++ b/process/entry.go
@@ -75,7 +75,7 @@
 	})
 	e.router = entry.NewRouter(entry.Ports{
 		View: e.view, Engines: backend.NewEngines(h).WithLimits(e.quota).WithNotices(e.notices), Services: backend.NewServices(h).WithLimits(e.quota).WithNotices(e.notices), Claims: k,
-		Rater: platform.New(h, "", s.Rating), Biller: e.biller, Clock: time.Now, Self: s.ID,
+		Rater: platform.New(h, "", s.RatingAddr), Biller: e.biller, Clock: time.Now, Self: s.ID,
 		Rand: rand.NewPCG(rand.Uint64(), rand.Uint64()), Hooks: e.routerHooks(),
 		Quarantine: e.quarantine, Prober: backend.Prober{}, Quota: e.quota, Notices: e.notices,
 	})
