--- a/adapter/settings/entry.go
+++ b/adapter/settings/entry.go
@@ -24,9 +24,9 @@
 	Level string
 	// Sync is the interval between syncs with the control process.
 	Sync time.Duration
-	// Drain is how long a stopping entry still accepts requests after it reports that it
+	// DrainDelay is how long a stopping entry still accepts requests after it reports that it
 	// is not ready, so that the load balancer can stop sending requests.
-	Drain time.Duration
+	DrainDelay time.Duration
 	// StopWithin bounds how long a planned stop waits until running requests are done.
 	StopWithin time.Duration
 }
@@ -78,6 +78,6 @@
 	e.ControlAddr = readAddress(s, "control")
 	e.FleetKey = readFleetKey(s)
 	e.Sync = s.Duration("sync", defaultSyncInterval)
-	e.Drain = s.Duration("drain", defaultDrainDelay)
+	e.DrainDelay = s.Duration("drain", defaultDrainDelay)
 	e.StopWithin = s.Duration("stop_within", defaultStopTimeout)
 }
--- a/process/entry.go
+++ b/process/entry.go
@@ -202,7 +202,7 @@
 func (e *Entry) stop() error {
 	e.log.Info("stopping")
 	e.caller.SetReady(false)
-	time.Sleep(e.settings.Drain)
+	time.Sleep(e.settings.DrainDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), e.settings.StopWithin)
 	defer cancel()
 	if err := e.caller.Shutdown(ctx); err != nil {
