--- a/adapter/settings/entry.go
+++ b/adapter/settings/entry.go
@@ -27,8 +27,8 @@
 	// DrainDelay is how long a stopping entry still accepts requests after it reports that it
 	// is not ready, so that the load balancer can stop sending requests.
 	DrainDelay time.Duration
-	// StopWithin bounds how long a planned stop waits until running requests are done.
-	StopWithin time.Duration
+	// StopTimeout bounds how long a planned stop waits until running requests are done.
+	StopTimeout time.Duration
 }
 
 // Durations that are used if the file has none.
@@ -79,5 +79,5 @@
 	e.FleetKey = readFleetKey(s)
 	e.Sync = s.Duration("sync", defaultSyncInterval)
 	e.DrainDelay = s.Duration("drain", defaultDrainDelay)
-	e.StopWithin = s.Duration("stop_within", defaultStopTimeout)
+	e.StopTimeout = s.Duration("stop_within", defaultStopTimeout)
 }
--- a/process/entry.go
+++ b/process/entry.go
@@ -203,7 +203,7 @@
 	e.log.Info("stopping")
 	e.caller.SetReady(false)
 	time.Sleep(e.settings.DrainDelay)
-	ctx, cancel := context.WithTimeout(context.Background(), e.settings.StopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), e.settings.StopTimeout)
 	defer cancel()
 	if err := e.caller.Shutdown(ctx); err != nil {
 		return errors.Wrap(err, "process.Entry: shut down before all requests were answered")
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -116,7 +116,7 @@
 	r.control.PeerAddr = r.control.PeerListen
 	r.entry = settings.Entry{
 		ID: "i", DataCentre: "dc", Listen: reservePort(t), MetricsListen: reservePort(t), ControlAddr: r.control.LocalListen, FleetKey: r.control.FleetKey,
-		RatingAddr: "127.0.0.1:1", TLS: c, Sync: 50 * time.Millisecond, DrainDelay: 50 * time.Millisecond, StopWithin: time.Minute,
+		RatingAddr: "127.0.0.1:1", TLS: c, Sync: 50 * time.Millisecond, DrainDelay: 50 * time.Millisecond, StopTimeout: time.Minute,
 	}
 	l.Set([]list.Instance{{ID: "e", Addr: el, Kind: "engine", Slots: 4, DataCentre: "dc"}})
 	b, err := os.ReadFile(c.Cert)
