--- a/adapter/settings/control.go
+++ b/adapter/settings/control.go
@@ -22,8 +22,8 @@
 	LocalListen string
 	// AdminListen is the listen address of the administration API.
 	AdminListen string
-	// Metrics is the listen address for metrics.
-	Metrics  string
+	// MetricsListen is the listen address for metrics.
+	MetricsListen  string
 	FleetKey string
 	// Store is the address of the store.
 	Store string
@@ -86,7 +86,7 @@
 	c.PeerAddr = readAddress(s, "peer_addr")
 	c.LocalListen = readAddress(s, "local_listen")
 	c.AdminListen = readAddress(s, "admin_listen")
-	c.Metrics = readAddress(s, "metrics_listen")
+	c.MetricsListen = readAddress(s, "metrics_listen")
 	c.FleetKey = readFleetKey(s)
 	c.StopWithin = s.Duration("stop_within", defaultStopTimeout)
 }
--- a/process/control.go
+++ b/process/control.go
@@ -98,7 +98,7 @@
 			return err
 		}
 	}
-	m, err := socket.Open(c.settings.Metrics)
+	m, err := socket.Open(c.settings.MetricsListen)
 	if err != nil {
 		return errors.Wrap(err, "process.Control")
 	}
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -105,7 +105,7 @@
 	i.Load, i.List, i.Flush = 100*time.Millisecond, 100*time.Millisecond, 200*time.Millisecond
 	r := &testInstance{t: t, ca: c.Cert, engine: e, stops: map[string]context.CancelFunc{}, results: map[string]chan error{}}
 	r.control = settings.Control{
-		ID: "i", DataCentre: "dc", PeerListen: reservePort(t), LocalListen: reservePort(t), AdminListen: reservePort(t), Metrics: reservePort(t), FleetKey: "fleet-key-fleet-key",
+		ID: "i", DataCentre: "dc", PeerListen: reservePort(t), LocalListen: reservePort(t), AdminListen: reservePort(t), MetricsListen: reservePort(t), FleetKey: "fleet-key-fleet-key",
 		Store: k, List: ll, TLS: c, Times: i, Rates: rollout.DefaultRates(), StopWithin: time.Second,
 		Admins: []rpc.Admin{
 			{Name: "root", Role: rpc.Platform, KeyHash: catalog.HashKey("root")},
@@ -329,7 +329,7 @@
 func TestMetrics(t *testing.T) {
 	r := newTestInstance(t)
 	r.startAll()
-	for addr, want := range map[string]string{r.entry.MetricsListen: "fieldvale_requests_total", r.control.Metrics: "fieldvale_store_calls_total"} {
+	for addr, want := range map[string]string{r.entry.MetricsListen: "fieldvale_requests_total", r.control.MetricsListen: "fieldvale_store_calls_total"} {
 		if s, b := r.get("http://" + addr + "/metrics"); s != 200 || !strings.Contains(b, want) {
 			t.Errorf("the metrics lack %s, or their status is not 200: got status %d", want, s)
 		}
