--- a/adapter/settings/control.go
+++ b/adapter/settings/control.go
@@ -25,8 +25,8 @@
 	// MetricsListen is the listen address for metrics.
 	MetricsListen  string
 	FleetKey string
-	// Store is the address of the store.
-	Store string
+	// StoreAddr is the address of the store.
+	StoreAddr string
 	// List is the address of the platform's list of replicas and instances.
 	List string
 	TLS  TLS
@@ -57,7 +57,7 @@
 		case "tls":
 			c.TLS = readTLS(s)
 		case "platform":
-			c.Store = readAddress(s, "store")
+			c.StoreAddr = readAddress(s, "store")
 			c.List = readAddress(s, "list")
 		case "log":
 			c.Level = readLevel(s)
@@ -72,7 +72,7 @@
 	if !found {
 		f.AddMissingSection("control")
 	}
-	if c.Store == "" {
+	if c.StoreAddr == "" {
 		f.AddMissingSection("platform")
 	}
 	return c, f.Errors()
--- a/process/control.go
+++ b/process/control.go
@@ -35,7 +35,7 @@
 // NewControl returns a control process that is not running yet.
 func NewControl(s settings.Control, l log.Interface) *Control {
 	c := &Control{settings: s, log: l, metrics: metrics.New()}
-	k := etcd.New(s.Store)
+	k := etcd.New(s.StoreAddr)
 	n := c.metrics.Counter("store_calls_total", "Calls to the platform's store.", "method")
 	k.Count = func(method string) { n.WithLabelValues(method).Inc() }
 	c.node = control.New(control.Parts{
