--- a/adapter/settings/control.go
+++ b/adapter/settings/control.go
@@ -27,8 +27,8 @@
 	FleetKey string
 	// StoreAddr is the address of the store.
 	StoreAddr string
-	// List is the address of the platform's list of replicas and instances.
-	List string
+	// ListAddr is the address of the platform's list of replicas and instances.
+	ListAddr string
 	TLS  TLS
 	// Level is the least severe level that is logged.
 	Level  string
@@ -58,7 +58,7 @@
 			c.TLS = readTLS(s)
 		case "platform":
 			c.StoreAddr = readAddress(s, "store")
-			c.List = readAddress(s, "list")
+			c.ListAddr = readAddress(s, "list")
 		case "log":
 			c.Level = readLevel(s)
 		case "admin":
--- a/process/control.go
+++ b/process/control.go
@@ -43,7 +43,7 @@
 		Incarnation: uuid.NewString(),
 		Store:       k,
 		Peers:       rpc.NewPeers(s.FleetKey),
-		Platform:    platform.New(httpconn.New(), s.List, ""),
+		Platform:    platform.New(httpconn.New(), s.ListAddr, ""),
 		Clock:       time.Now,
 		Times:       s.Times,
 		Rates:       s.Rates,
