--- a/adapter/settings/control.go
+++ b/adapter/settings/control.go
@@ -35,9 +35,9 @@
 	Admins []rpc.Admin
 	Times  control.Times
 	Rates  rollout.Rates
-	// StopWithin bounds how long a planned stop waits to hand over bill records that
+	// StopTimeout bounds how long a planned stop waits to hand over bill records that
 	// neither the store nor another instance has.
-	StopWithin time.Duration
+	StopTimeout time.Duration
 }
 
 // LoadControl reads and checks the settings file of a fieldvale-control process. It returns all
@@ -88,7 +88,7 @@
 	c.AdminListen = readAddress(s, "admin_listen")
 	c.MetricsListen = readAddress(s, "metrics_listen")
 	c.FleetKey = readFleetKey(s)
-	c.StopWithin = s.Duration("stop_within", defaultStopTimeout)
+	c.StopTimeout = s.Duration("stop_within", defaultStopTimeout)
 }
 
 // sha256Length is the length of a SHA-256 sum, in bytes.
--- a/process/control.go
+++ b/process/control.go
@@ -155,7 +155,7 @@
 	for c.node.EntryStopping(entryStopDelay) {
 		time.Sleep(entryPollInterval)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), c.settings.StopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), c.settings.StopTimeout)
 	defer cancel()
 	c.node.Stop(ctx)
 }
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -106,7 +106,7 @@
 	r := &testInstance{t: t, ca: c.Cert, engine: e, stops: map[string]context.CancelFunc{}, results: map[string]chan error{}}
 	r.control = settings.Control{
 		ID: "i", DataCentre: "dc", PeerListen: reservePort(t), LocalListen: reservePort(t), AdminListen: reservePort(t), MetricsListen: reservePort(t), FleetKey: "fleet-key-fleet-key",
-		StoreAddr: k, ListAddr: ll, TLS: c, Times: i, Rates: rollout.DefaultRates(), StopWithin: time.Second,
+		StoreAddr: k, ListAddr: ll, TLS: c, Times: i, Rates: rollout.DefaultRates(), StopTimeout: time.Second,
 		Admins: []rpc.Admin{
 			{Name: "root", Role: rpc.Platform, KeyHash: catalog.HashKey("root")},
 			{Name: "op", Role: rpc.Operator, Team: "maizes-tilts", KeyHash: catalog.HashKey("op")},
