--- a/adapter/rpc/adminclient.go
+++ b/adapter/rpc/adminclient.go
@@ -11,9 +11,9 @@
 	"fieldvale/gen/fieldvale/v1/fieldvalev1connect"
 )
 
-// NewAdmin returns a client of the administration API at url. ca is the path of a PEM file
+// NewAdminClient returns a client of the administration API at url. ca is the path of a PEM file
 // with the only certificates to trust; if it is empty, the system's are used.
-func NewAdmin(url, key, ca string) (fieldvalev1connect.AdminClient, error) {
+func NewAdminClient(url, key, ca string) (fieldvalev1connect.AdminClient, error) {
 	t := &http.Transport{}
 	if ca != "" {
 		b, err := os.ReadFile(ca)
--- a/cmd/fieldvale/main.go
+++ b/cmd/fieldvale/main.go
@@ -152,7 +152,7 @@
 	if globalOptions.Admin == "" || globalOptions.Key == "" {
 		return nil, nil, nil, errors.New("give --admin and --key, or set FIELDVALE_ADMIN and FIELDVALE_KEY")
 	}
-	client, err := rpc.NewAdmin(globalOptions.Admin, globalOptions.Key, globalOptions.CA)
+	client, err := rpc.NewAdminClient(globalOptions.Admin, globalOptions.Key, globalOptions.CA)
 	if err != nil {
 		return nil, nil, nil, err
 	}
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -162,7 +162,7 @@
 
 // adminClient returns a client of the administration API with the key.
 func (r *testInstance) adminClient(key string) fieldvalev1connect.AdminClient {
-	c, err := rpc.NewAdmin("https://"+r.control.AdminListen, key, r.ca)
+	c, err := rpc.NewAdminClient("https://"+r.control.AdminListen, key, r.ca)
 	if err != nil {
 		r.t.Fatal(err)
 	}
