--- a/adapter/inifile/inifile.go
+++ b/adapter/inifile/inifile.go
@@ -91,8 +91,8 @@
 	return s.section.Key(key).String()
 }
 
-// Need returns the key's value. It adds an error if the value is missing or empty.
-func (s *Section) Need(key string) string {
+// Required returns the key's value. It adds an error if the value is missing or empty.
+func (s *Section) Required(key string) string {
 	t := s.Value(key)
 	if t == "" {
 		s.AddError(key, "is missing")
--- a/adapter/settings/control.go
+++ b/adapter/settings/control.go
@@ -80,8 +80,8 @@
 
 // readControl reads the control section.
 func (c *Control) readControl(s *inifile.Section) {
-	c.ID = s.Need("id")
-	c.DataCentre = s.Need("data_centre")
+	c.ID = s.Required("id")
+	c.DataCentre = s.Required("data_centre")
 	c.PeerListen = readAddress(s, "peer_listen")
 	c.PeerAddr = readAddress(s, "peer_addr")
 	c.LocalListen = readAddress(s, "local_listen")
@@ -96,7 +96,7 @@
 
 // readAdmin reads the section of one administration key.
 func readAdmin(s *inifile.Section) rpc.Admin {
-	a := rpc.Admin{Name: s.Name, Team: s.Value("team"), Role: rpc.Role(s.Need("role")), KeyHash: s.Need("key_sha256")}
+	a := rpc.Admin{Name: s.Name, Team: s.Value("team"), Role: rpc.Role(s.Required("role")), KeyHash: s.Required("key_sha256")}
 	switch a.Role {
 	case rpc.Platform:
 	case rpc.Viewer, rpc.Operator:
--- a/adapter/settings/entry.go
+++ b/adapter/settings/entry.go
@@ -71,8 +71,8 @@
 
 // readEntry reads the entry section.
 func (e *Entry) readEntry(s *inifile.Section) {
-	e.ID = s.Need("id")
-	e.DataCentre = s.Need("data_centre")
+	e.ID = s.Required("id")
+	e.DataCentre = s.Required("data_centre")
 	e.Listen = readAddress(s, "listen")
 	e.MetricsListen = readAddress(s, "metrics_listen")
 	e.ControlAddr = readAddress(s, "control")
--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -185,8 +185,8 @@
 
 // readNode reads the node section.
 func (n *Node) readNode(s *inifile.Section) {
-	n.ID = s.Need("id")
-	n.DataCentre = s.Need("data_centre")
+	n.ID = s.Required("id")
+	n.DataCentre = s.Required("data_centre")
 	n.Listen = readAddress(s, "listen")
 	n.ReadyListen = readAddress(s, "ready_listen")
 	n.MetricsListen = readAddress(s, "metrics_listen")
--- a/adapter/settings/settings.go
+++ b/adapter/settings/settings.go
@@ -47,7 +47,7 @@
 
 // readFleetKey reads the key by which the fleet's processes authenticate to each other.
 func readFleetKey(s *inifile.Section) string {
-	k := s.Need("fleet_key")
+	k := s.Required("fleet_key")
 	if k != "" && len(k) < minFleetKey {
 		s.AddError("fleet_key", "is shorter than %d bytes", minFleetKey)
 	}
@@ -56,7 +56,7 @@
 
 // readAddress reads a required address in the form IP:PORT. An empty IP is valid.
 func readAddress(s *inifile.Section, key string) string {
-	t := s.Need(key)
+	t := s.Required(key)
 	if t == "" {
 		return t
 	}
--- a/faults/mutate/main.go
+++ b/faults/mutate/main.go
@@ -34,7 +34,7 @@
 	var l []mutant
 	f := inifile.Parse(mutantsFile, string(b))
 	f.Each([]string{"mutant"}, func(s *inifile.Section) {
-		l = append(l, mutant{s.Name, s.Need("promise"), s.Need("file"), s.Need("from"), s.Need("to"), s.Need("package"), s.Need("run")})
+		l = append(l, mutant{s.Name, s.Required("promise"), s.Required("file"), s.Required("from"), s.Required("to"), s.Required("package"), s.Required("run")})
 	})
 	if e := f.Errors(); len(e) > 0 {
 		exit(e[0])
