--- a/adapter/logging/bounded.go
+++ b/adapter/logging/bounded.go
@@ -16,10 +16,10 @@
 	flushInterval = 50 * time.Millisecond
 )
 
-// Bounded is an io.Writer that never blocks its callers. It keeps lines in a bounded buffer, which
+// BoundedWriter is an io.Writer that never blocks its callers. It keeps lines in a bounded buffer, which
 // one goroutine writes out. Lines that don't fit into the buffer are dropped; their number is
 // logged.
-type Bounded struct {
+type BoundedWriter struct {
 	w       io.Writer
 	mu      sync.Mutex
 	buf     []byte
@@ -30,14 +30,14 @@
 }
 
 // NewBounded returns a bounded writer to w. The caller must call Close to write the last lines.
-func NewBounded(w io.Writer) *Bounded {
-	b := &Bounded{w: w, wake: make(chan struct{}, 1), done: make(chan struct{})}
+func NewBounded(w io.Writer) *BoundedWriter {
+	b := &BoundedWriter{w: w, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go b.run()
 	return b
 }
 
 // Write implements io.Writer.
-func (b *Bounded) Write(p []byte) (int, error) {
+func (b *BoundedWriter) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed || len(b.buf)+len(p) > maxBuffered {
@@ -54,7 +54,7 @@
 
 // Close writes the buffered lines and ends the goroutine. Later lines are dropped instead of
 // causing a panic, since requests that were interrupted by a stop may still write some.
-func (b *Bounded) Close() {
+func (b *BoundedWriter) Close() {
 	b.mu.Lock()
 	b.closed = true
 	b.mu.Unlock()
@@ -63,7 +63,7 @@
 }
 
 // run writes buffered lines until Close.
-func (b *Bounded) run() {
+func (b *BoundedWriter) run() {
 	defer close(b.done)
 	for range b.wake {
 		time.Sleep(flushInterval)
@@ -73,7 +73,7 @@
 }
 
 // flush writes the buffered lines and the number of dropped ones.
-func (b *Bounded) flush() {
+func (b *BoundedWriter) flush() {
 	b.mu.Lock()
 	p, n := b.buf, b.dropped
 	b.buf, b.dropped = nil, 0
