--- a/adapter/logging/bounded.go
+++ b/adapter/logging/bounded.go
@@ -29,8 +29,8 @@
 	done    chan struct{}
 }
 
-// NewBounded returns a bounded writer to w. The caller must call Close to write the last lines.
-func NewBounded(w io.Writer) *BoundedWriter {
+// NewBoundedWriter returns a bounded writer to w. The caller must call Close to write the last lines.
+func NewBoundedWriter(w io.Writer) *BoundedWriter {
 	b := &BoundedWriter{w: w, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go b.run()
 	return b
--- a/adapter/logging/bounded_test.go
+++ b/adapter/logging/bounded_test.go
@@ -24,7 +24,7 @@
 // beyond the buffer must be dropped and their number logged.
 func TestBoundedDropsLinesInsteadOfBlocking(t *testing.T) {
 	w := &blockedWriter{unblock: make(chan struct{})}
-	b := NewBounded(w)
+	b := NewBoundedWriter(w)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	const lines = 5000
 	for range lines {
--- a/cmd/fieldvale-node/main.go
+++ b/cmd/fieldvale-node/main.go
@@ -103,7 +103,7 @@
 
 // serve runs the instance until SIGTERM or SIGINT, and returns the exit code.
 func serve(s settings.Node, path string) int {
-	w := logging.NewBounded(os.Stdout)
+	w := logging.NewBoundedWriter(os.Stdout)
 	defer w.Close()
 	l, err := logging.New(w, s.Level, log.Fields{"instance": s.ID})
 	if err != nil {
