--- a/adapter/metrics/metrics.go
+++ b/adapter/metrics/metrics.go
@@ -39,8 +39,8 @@
 	return h
 }
 
-// Gauge registers a gauge whose value f returns at each scrape.
-func (r *Registry) Gauge(name, help string, f func() float64) {
+// GaugeFunc registers a gauge whose value f returns at each scrape.
+func (r *Registry) GaugeFunc(name, help string, f func() float64) {
 	r.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "fieldvale", Name: name, Help: help}, f))
 }
 
--- a/cmd/fieldvale-node/configmetrics.go
+++ b/cmd/fieldvale-node/configmetrics.go
@@ -4,8 +4,8 @@
 // the time since it was confirmed, and how many answers relied on an outdated one.
 func (n *node) registerConfigMetrics() {
 	n.staleAnswers = n.metrics.Counter("stale_answers_total", "Answers by a configuration that was not confirmed for as long as a change may take to be in force: routed, or denied (0 by design).", "act")
-	n.metrics.Gauge("config_version", "Version of the configuration in force; 0 for none.", func() float64 { return float64(n.configVersion()) })
-	n.metrics.Gauge("config_age_seconds", "Time since the last moment for which nothing newer than what is known is known to have existed; -1 before the first.", func() float64 {
+	n.metrics.GaugeFunc("config_version", "Version of the configuration in force; 0 for none.", func() float64 { return float64(n.configVersion()) })
+	n.metrics.GaugeFunc("config_age_seconds", "Time since the last moment for which nothing newer than what is known is known to have existed; -1 before the first.", func() float64 {
 		a, ok := n.lease.Age(n.clock())
 		if !ok {
 			return -1
--- a/cmd/fieldvale-node/quarantine.go
+++ b/cmd/fieldvale-node/quarantine.go
@@ -35,11 +35,11 @@
 
 // registerQuarantineMetrics registers the counts of suspect and of held request contents.
 func (n *node) registerQuarantineMetrics() {
-	n.metrics.Gauge("requests_suspect", "Contents that are sent on trial or not at all, as this instance knows.", func() float64 {
+	n.metrics.GaugeFunc("requests_suspect", "Contents that are sent on trial or not at all, as this instance knows.", func() float64 {
 		s, _ := n.quarantine.Counts()
 		return float64(s)
 	})
-	n.metrics.Gauge("requests_held", "Contents that get no replica, as this instance knows.", func() float64 {
+	n.metrics.GaugeFunc("requests_held", "Contents that get no replica, as this instance knows.", func() float64 {
 		_, h := n.quarantine.Counts()
 		return float64(h)
 	})
--- a/cmd/fieldvale-node/quota.go
+++ b/cmd/fieldvale-node/quota.go
@@ -17,7 +17,7 @@
 // registerQuotaMetrics registers how many replicas advertise a limit, the limits, and how
 // much of each is used.
 func (n *node) registerQuotaMetrics() {
-	n.metrics.Gauge("replicas_limited", "Replicas that name a limit, as this instance knows.", func() float64 { return float64(len(n.quota.LimitedReplicas())) })
+	n.metrics.GaugeFunc("replicas_limited", "Replicas that name a limit, as this instance knows.", func() float64 { return float64(len(n.quota.LimitedReplicas())) })
 	n.metrics.Gauges("replica_limit_per_second", "What each replica that names a limit takes from all instances together, in requests a second.", "replica", func() map[string]float64 {
 		m := map[string]float64{}
 		for r, b := range n.quota.LimitedReplicas() {
--- a/process/control.go
+++ b/process/control.go
@@ -57,13 +57,13 @@
 
 // registerGauges registers the metrics that are read from the state of the process.
 func (c *Control) registerGauges() {
-	c.metrics.Gauge("revision", "Revision of the configuration held.", func() float64 {
+	c.metrics.GaugeFunc("revision", "Revision of the configuration held.", func() float64 {
 		d, _ := c.node.Document()
 		return float64(d.Revision)
 	})
-	c.metrics.Gauge("members", "Live instances known.", func() float64 { return float64(len(c.node.Members())) })
-	c.metrics.Gauge("bill_records_held", "Bill records held for other instances.", func() float64 { return float64(c.node.Held()) })
-	c.metrics.Gauge("alarms", "Alarms of this instance; fieldvale status tells them in words.", func() float64 {
+	c.metrics.GaugeFunc("members", "Live instances known.", func() float64 { return float64(len(c.node.Members())) })
+	c.metrics.GaugeFunc("bill_records_held", "Bill records held for other instances.", func() float64 { return float64(c.node.Held()) })
+	c.metrics.GaugeFunc("alarms", "Alarms of this instance; fieldvale status tells them in words.", func() float64 {
 		for _, h := range c.node.Instances() {
 			if h.ID == c.settings.ID {
 				return float64(len(h.Alarms))
