--- a/adapter/metrics/metrics.go
+++ b/adapter/metrics/metrics.go
@@ -44,8 +44,8 @@
 	r.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "fieldvale", Name: name, Help: help}, f))
 }
 
-// Gauges registers a gauge with one label. f returns its values by label value at each scrape.
-func (r *Registry) Gauges(name, help, label string, f func() map[string]float64) {
+// GaugeVecFunc registers a gauge with one label. f returns its values by label value at each scrape.
+func (r *Registry) GaugeVecFunc(name, help, label string, f func() map[string]float64) {
 	d := prometheus.NewDesc("fieldvale_"+name, help, []string{label}, nil)
 	r.registry.MustRegister(gaugeCollector{d, f})
 }
--- a/cmd/fieldvale-node/quota.go
+++ b/cmd/fieldvale-node/quota.go
@@ -18,14 +18,14 @@
 // much of each is used.
 func (n *node) registerQuotaMetrics() {
 	n.metrics.GaugeFunc("replicas_limited", "Replicas that name a limit, as this instance knows.", func() float64 { return float64(len(n.quota.LimitedReplicas())) })
-	n.metrics.Gauges("replica_limit_per_second", "What each replica that names a limit takes from all instances together, in requests a second.", "replica", func() map[string]float64 {
+	n.metrics.GaugeVecFunc("replica_limit_per_second", "What each replica that names a limit takes from all instances together, in requests a second.", "replica", func() map[string]float64 {
 		m := map[string]float64{}
 		for r, b := range n.quota.LimitedReplicas() {
 			m[r] = b.PerSecond
 		}
 		return m
 	})
-	n.metrics.Gauges("replica_limit_used_per_second", "What each of them got in the last four seconds, at the instance that counts.", "replica", n.quota.UsedRates)
+	n.metrics.GaugeVecFunc("replica_limit_used_per_second", "What each of them got in the last four seconds, at the instance that counts.", "replica", n.quota.UsedRates)
 }
 
 // logUnknownHeader logs that an answer has a header of an unknown name.
