--- a/adapter/platform/platform.go
+++ b/adapter/platform/platform.go
@@ -17,8 +17,8 @@
 	"fieldvale/version"
 )
 
-// List is the platform's list of fieldvale instances and of backend servers.
-type List struct {
+// InstanceList is the platform's list of fieldvale instances and of backend servers.
+type InstanceList struct {
 	Members  []peer.Member
 	Replicas []pool.Replica
 }
@@ -54,14 +54,14 @@
 
 // Instances returns the list, which lags behind the actual state. It leaves out draining
 // instances of fieldvale.
-func (p *Platform) Instances(ctx context.Context) (List, error) {
+func (p *Platform) Instances(ctx context.Context) (InstanceList, error) {
 	var w struct {
 		Instances []wireInstance `json:"instances"`
 	}
 	if err := p.get(ctx, p.listAddr, "/v1/instances", &w); err != nil {
-		return List{}, errors.Wrap(err, "platform: list instances")
+		return InstanceList{}, errors.Wrap(err, "platform: list instances")
 	}
-	var l List
+	var l InstanceList
 	for _, i := range w.Instances {
 		if i.Kind == memberKind {
 			if !i.Leaving {
--- a/control/node.go
+++ b/control/node.go
@@ -35,7 +35,7 @@
 // Platform is a client for the platform: it returns the list of instances and
 // replicas and a replica's load, and orders a replica to unload a version.
 type Platform interface {
-	Instances(ctx context.Context) (platform.List, error)
+	Instances(ctx context.Context) (platform.InstanceList, error)
 	Load(ctx context.Context, r pool.Replica) (platform.Report, error)
 	Unload(ctx context.Context, r pool.Replica, v version.ID, fence uint64) error
 }
--- a/control/replicas.go
+++ b/control/replicas.go
@@ -42,7 +42,7 @@
 
 // updateReplicas replaces the node's replicas by those of the list that it uses,
 // keeping their last versions and load. It reports whether any replica is new.
-func (n *Node) updateReplicas(l platform.List) (added bool) {
+func (n *Node) updateReplicas(l platform.InstanceList) (added bool) {
 	t := n.Clock()
 	n.registered = l.Members
 	r := map[string]pool.Replica{}
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -69,7 +69,7 @@
 type fleet struct {
 	nodes  []*control.Node
 	stores []*kv.Fake
-	list   *platform.List
+	list   *platform.InstanceList
 	// drainingID is the id of the engine that reports that it is draining.
 	drainingID atomic.Pointer[string]
 	peerBytes  atomic.Int64
@@ -103,7 +103,7 @@
 	f *fleet
 }
 
-func (p fleetPlatform) Instances(context.Context) (platform.List, error) { return *p.f.list, nil }
+func (p fleetPlatform) Instances(context.Context) (platform.InstanceList, error) { return *p.f.list, nil }
 
 // Load returns the engine's load, marked as leaving if the engine is the one in
 // drainingID.
@@ -118,7 +118,7 @@
 // newFleet starts a fleet of n nodes with its engines.
 func newFleet(n int) (*fleet, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &fleet{list: &platform.List{}, stop: cancel}
+	f := &fleet{list: &platform.InstanceList{}, stop: cancel}
 	if err := f.startEngines(n); err != nil {
 		return nil, err
 	}
--- a/standin/world/clients.go
+++ b/standin/world/clients.go
@@ -186,8 +186,8 @@
 }
 
 // Instances implements control.Platform.
-func (l *platformClient) Instances(ctx context.Context) (platform.List, error) {
-	return invoke(ctx, l.w, l.p, l.w.ListProc, func(context.Context) (platform.List, error) { return l.w.visibleList(), nil })
+func (l *platformClient) Instances(ctx context.Context) (platform.InstanceList, error) {
+	return invoke(ctx, l.w, l.p, l.w.ListProc, func(context.Context) (platform.InstanceList, error) { return l.w.visibleList(), nil })
 }
 
 // Load implements control.Platform.
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -50,7 +50,7 @@
 // listVersion is one published version of the platform's list.
 type listVersion struct {
 	publishedAt time.Time
-	list        platform.List
+	list        platform.InstanceList
 }
 
 // Instance is one instance: its entry process and its control process.
@@ -290,7 +290,7 @@
 // PublishList publishes a version of the platform's list with all instances and
 // backend servers that run; readers see it after ListDelay.
 func (w *World) PublishList() {
-	var l platform.List
+	var l platform.InstanceList
 	for _, i := range w.Instances() {
 		if i.Control.Alive() {
 			l.Members = append(l.Members, peer.Member{ID: i.ID, Addr: i.ID, DataCentre: i.DataCentre})
@@ -308,10 +308,10 @@
 
 // visibleList returns the newest version that is at least ListDelay old. The first
 // version is visible at once.
-func (w *World) visibleList() platform.List {
+func (w *World) visibleList() platform.InstanceList {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var l platform.List
+	var l platform.InstanceList
 	for n, x := range w.listVersions {
 		if n == 0 || time.Since(x.publishedAt) >= w.ListDelay {
 			l = x.list
