--- a/adapter/platform/platform.go
+++ b/adapter/platform/platform.go
@@ -82,7 +82,7 @@
 	Running  int
 	Waiting  int
 	Slots    int
-	Leaving  bool
+	Draining  bool
 	Versions []version.ID
 }
 
@@ -98,7 +98,7 @@
 	if err := p.get(ctx, r.Addr, "/load", &w); err != nil {
 		return Report{}, errors.Wrapf(err, "platform: fetch the load of %s", r.ID)
 	}
-	o := Report{Running: w.Running, Waiting: w.Waiting, Slots: w.Slots, Leaving: w.Leaving}
+	o := Report{Running: w.Running, Waiting: w.Waiting, Slots: w.Slots, Draining: w.Leaving}
 	for _, t := range w.Versions {
 		v, err := version.Parse(t)
 		if err != nil {
--- a/control/replicas.go
+++ b/control/replicas.go
@@ -125,7 +125,7 @@
 		return
 	}
 	t := n.Clock()
-	if p.Leaving && !o.Draining {
+	if p.Draining && !o.Draining {
 		o = o.WithDraining()
 		n.publishDraining(r.ID, t)
 		n.triggerExchange()
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -110,7 +110,7 @@
 func (p fleetPlatform) Load(ctx context.Context, r pool.Replica) (platform.Report, error) {
 	o, err := p.Platform.Load(ctx, r)
 	if l := p.f.drainingID.Load(); l != nil && *l == r.ID {
-		o.Leaving = true
+		o.Draining = true
 	}
 	return o, err
 }
--- a/standin/world/backend.go
+++ b/standin/world/backend.go
@@ -180,7 +180,7 @@
 	if b.reportsDisabled {
 		return platform.Report{}, errors.Newf("world: load reports of %s are disabled", b.Proc.Name)
 	}
-	r := platform.Report{Running: b.running, Waiting: b.queued, Slots: b.Slots, Leaving: b.draining}
+	r := platform.Report{Running: b.running, Waiting: b.queued, Slots: b.Slots, Draining: b.draining}
 	for v := range b.loaded {
 		r.Versions = append(r.Versions, v)
 	}
