--- a/adapter/platform/platform.go
+++ b/adapter/platform/platform.go
@@ -77,8 +77,8 @@
 	return l, nil
 }
 
-// Report is a model engine's report of its load and state.
-type Report struct {
+// EngineReport is a model engine's report of its load and state.
+type EngineReport struct {
 	Running  int
 	Waiting  int
 	Slots    int
@@ -87,7 +87,7 @@
 }
 
 // Load fetches an engine's report.
-func (p *Platform) Load(ctx context.Context, r pool.Replica) (Report, error) {
+func (p *Platform) Load(ctx context.Context, r pool.Replica) (EngineReport, error) {
 	var w struct {
 		Running  int      `json:"running"`
 		Waiting  int      `json:"waiting"`
@@ -96,9 +96,9 @@
 		Versions []string `json:"versions"`
 	}
 	if err := p.get(ctx, r.Addr, "/load", &w); err != nil {
-		return Report{}, errors.Wrapf(err, "platform: fetch the load of %s", r.ID)
+		return EngineReport{}, errors.Wrapf(err, "platform: fetch the load of %s", r.ID)
 	}
-	o := Report{Running: w.Running, Waiting: w.Waiting, Slots: w.Slots, Draining: w.Leaving}
+	o := EngineReport{Running: w.Running, Waiting: w.Waiting, Slots: w.Slots, Draining: w.Leaving}
 	for _, t := range w.Versions {
 		v, err := version.Parse(t)
 		if err != nil {
--- a/control/node.go
+++ b/control/node.go
@@ -36,7 +36,7 @@
 // replicas and a replica's load, and orders a replica to unload a version.
 type Platform interface {
 	Instances(ctx context.Context) (platform.InstanceList, error)
-	Load(ctx context.Context, r pool.Replica) (platform.Report, error)
+	Load(ctx context.Context, r pool.Replica) (platform.EngineReport, error)
 	Unload(ctx context.Context, r pool.Replica, v version.ID, fence uint64) error
 }
 
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -107,7 +107,7 @@
 
 // Load returns the engine's load, marked as leaving if the engine is the one in
 // drainingID.
-func (p fleetPlatform) Load(ctx context.Context, r pool.Replica) (platform.Report, error) {
+func (p fleetPlatform) Load(ctx context.Context, r pool.Replica) (platform.EngineReport, error) {
 	o, err := p.Platform.Load(ctx, r)
 	if l := p.f.drainingID.Load(); l != nil && *l == r.ID {
 		o.Draining = true
--- a/standin/world/backend.go
+++ b/standin/world/backend.go
@@ -174,13 +174,13 @@
 }
 
 // loadReport returns the current load, unless reports are disabled.
-func (b *Backend) loadReport() (platform.Report, error) {
+func (b *Backend) loadReport() (platform.EngineReport, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.reportsDisabled {
-		return platform.Report{}, errors.Newf("world: load reports of %s are disabled", b.Proc.Name)
+		return platform.EngineReport{}, errors.Newf("world: load reports of %s are disabled", b.Proc.Name)
 	}
-	r := platform.Report{Running: b.running, Waiting: b.queued, Slots: b.Slots, Draining: b.draining}
+	r := platform.EngineReport{Running: b.running, Waiting: b.queued, Slots: b.Slots, Draining: b.draining}
 	for v := range b.loaded {
 		r.Versions = append(r.Versions, v)
 	}
--- a/standin/world/clients.go
+++ b/standin/world/clients.go
@@ -191,9 +191,9 @@
 }
 
 // Load implements control.Platform.
-func (l *platformClient) Load(ctx context.Context, r pool.Replica) (platform.Report, error) {
+func (l *platformClient) Load(ctx context.Context, r pool.Replica) (platform.EngineReport, error) {
 	b := l.w.Backend(r.ID)
-	return invoke(ctx, l.w, l.p, b.Proc, func(context.Context) (platform.Report, error) { return b.loadReport() })
+	return invoke(ctx, l.w, l.p, b.Proc, func(context.Context) (platform.EngineReport, error) { return b.loadReport() })
 }
 
 // Unload implements control.Platform.
