--- a/adapter/platform/platform.go
+++ b/adapter/platform/platform.go
@@ -23,19 +23,19 @@
 	Replicas []pool.Replica
 }
 
-// Platform is a client of the platform's services.
-type Platform struct {
+// Client is a client of the platform's services.
+type Client struct {
 	http *httpconn.Client
 	// listAddr and ratingAddr are the addresses of the list and of the rating service.
 	listAddr   string
 	ratingAddr string
 }
 
-var _ entry.Rater = (*Platform)(nil)
+var _ entry.Rater = (*Client)(nil)
 
 // New returns a client of the list and the rating service at the given addresses.
-func New(c *httpconn.Client, listAddr, ratingAddr string) *Platform {
-	return &Platform{http: c, listAddr: listAddr, ratingAddr: ratingAddr}
+func New(c *httpconn.Client, listAddr, ratingAddr string) *Client {
+	return &Client{http: c, listAddr: listAddr, ratingAddr: ratingAddr}
 }
 
 type wireInstance struct {
@@ -54,7 +54,7 @@
 
 // Instances returns the list, which lags behind the actual state. It leaves out draining
 // instances of fieldvale.
-func (p *Platform) Instances(ctx context.Context) (InstanceList, error) {
+func (p *Client) Instances(ctx context.Context) (InstanceList, error) {
 	var w struct {
 		Instances []wireInstance `json:"instances"`
 	}
@@ -87,7 +87,7 @@
 }
 
 // Load fetches an engine's report.
-func (p *Platform) Load(ctx context.Context, r pool.Replica) (EngineReport, error) {
+func (p *Client) Load(ctx context.Context, r pool.Replica) (EngineReport, error) {
 	var w struct {
 		Running  int      `json:"running"`
 		Waiting  int      `json:"waiting"`
@@ -112,7 +112,7 @@
 // Unload orders an engine to accept no more requests for a version. fence is the revision of
 // the configuration. It is a fencing token: an engine that checks it refuses an order with a
 // lower one than it has seen.
-func (p *Platform) Unload(ctx context.Context, r pool.Replica, v version.ID, fence uint64) error {
+func (p *Client) Unload(ctx context.Context, r pool.Replica, v version.ID, fence uint64) error {
 	b, err := json.Marshal(map[string]any{"order": "unload", "version": v.String(), "fence": fence})
 	if err != nil {
 		return errors.Wrap(err, "platform: encode an order")
@@ -121,7 +121,7 @@
 }
 
 // Rate implements entry.Rater by the platform's rating service.
-func (p *Platform) Rate(ctx context.Context, request, answer []byte) (float64, error) {
+func (p *Client) Rate(ctx context.Context, request, answer []byte) (float64, error) {
 	b, err := json.Marshal(map[string]string{"request": string(request), "answer": string(answer)})
 	if err != nil {
 		return 0, errors.Wrap(err, "platform: encode a rating request")
@@ -138,11 +138,11 @@
 	return *w.Rating, nil
 }
 
-func (p *Platform) get(ctx context.Context, addr, path string, out any) error {
+func (p *Client) get(ctx context.Context, addr, path string, out any) error {
 	return p.call(ctx, fasthttp.MethodGet, addr, path, nil, out)
 }
 
-func (p *Platform) post(ctx context.Context, addr, path string, b []byte, out any) error {
+func (p *Client) post(ctx context.Context, addr, path string, b []byte, out any) error {
 	return p.call(ctx, fasthttp.MethodPost, addr, path, b, out)
 }
 
@@ -150,7 +150,7 @@
 const callTimeout = 3 * time.Second
 
 // call sends a JSON request and decodes the response into out unless out is nil.
-func (p *Platform) call(ctx context.Context, method, addr, path string, b []byte, out any) error {
+func (p *Client) call(ctx context.Context, method, addr, path string, b []byte, out any) error {
 	x, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	q, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -99,7 +99,7 @@
 // fleetPlatform is the platform that a fleet's nodes use: it calls the engines with
 // the real code and reads the instance list from memory.
 type fleetPlatform struct {
-	*platform.Platform
+	*platform.Client
 	f *fleet
 }
 
@@ -108,7 +108,7 @@
 // Load returns the engine's load, marked as leaving if the engine is the one in
 // drainingID.
 func (p fleetPlatform) Load(ctx context.Context, r pool.Replica) (platform.EngineReport, error) {
-	o, err := p.Platform.Load(ctx, r)
+	o, err := p.Client.Load(ctx, r)
 	if l := p.f.drainingID.Load(); l != nil && *l == r.ID {
 		o.Draining = true
 	}
