--- a/adapter/etcd/etcd.go
+++ b/adapter/etcd/etcd.go
@@ -37,8 +37,8 @@
 	mu   sync.Mutex
 	// leases are the ids of granted leases by the Unix time at which their bucket ends.
 	leases map[int64]string
-	// Count is called with the URL path of each request; it may be nil.
-	Count func(path string)
+	// OnRequest is called with the URL path of each request; it may be nil.
+	OnRequest func(path string)
 }
 
 var _ store.Store = (*Client)(nil)
@@ -324,8 +324,8 @@
 }
 
 func (c *Client) count(path string) {
-	if c.Count != nil {
-		c.Count(path)
+	if c.OnRequest != nil {
+		c.OnRequest(path)
 	}
 }
 
--- a/process/control.go
+++ b/process/control.go
@@ -37,7 +37,7 @@
 	c := &Control{settings: s, log: l, metrics: metrics.New()}
 	k := etcd.New(s.StoreAddr)
 	n := c.metrics.Counter("store_calls_total", "Calls to the platform's store.", "method")
-	k.Count = func(method string) { n.WithLabelValues(method).Inc() }
+	k.OnRequest = func(method string) { n.WithLabelValues(method).Inc() }
 	c.node = control.New(control.Parts{
 		Self:        peer.Member{ID: s.ID, Addr: s.PeerAddr, DataCentre: s.DataCentre},
 		Incarnation: uuid.NewString(),
