--- a/adapter/codec/codec_test.go
+++ b/adapter/codec/codec_test.go
@@ -59,7 +59,7 @@
 	if x := cmp.Diff(d, g); err != nil || x != "" {
 		t.Errorf("document: got error %v, (-want +got):\n%s", err, x)
 	}
-	if r, err := codec.PeekRevision(b); err != nil || r != 9 {
+	if r, err := codec.DecodeRevision(b); err != nil || r != 9 {
 		t.Errorf("got revision %d and error %v, want 9 and no error", r, err)
 	}
 	c := claim.New("t/c", "k", "n", "i", noon).WithAnswer(200, []byte("yes"))
--- a/adapter/codec/document.go
+++ b/adapter/codec/document.go
@@ -96,9 +96,9 @@
 	return r
 }
 
-// PeekRevision decodes only the revision of an encoded document. It is cheaper than
+// DecodeRevision decodes only the revision of an encoded document. It is cheaper than
 // DecodeDocument for a reader that may not need the other fields.
-func PeekRevision(b []byte) (uint64, error) {
+func DecodeRevision(b []byte) (uint64, error) {
 	var w struct {
 		Revision uint64 `json:"revision"`
 	}
--- a/control/configuration.go
+++ b/control/configuration.go
@@ -45,7 +45,7 @@
 // one in force and it compiles. It reports whether it did. fromPeers says that
 // the document was received from a peer and not read from the store.
 func (n *Node) adopt(b []byte, fromPeers bool) (bool, error) {
-	if r, err := codec.PeekRevision(b); err != nil || r == n.revision() {
+	if r, err := codec.DecodeRevision(b); err != nil || r == n.revision() {
 		return false, err
 	}
 	d, err := codec.DecodeDocument(b)
@@ -153,7 +153,7 @@
 	n.mu.Unlock()
 	var r uint64
 	if p.Version != 0 {
-		o, err := codec.PeekRevision(p.Value)
+		o, err := codec.DecodeRevision(p.Value)
 		if err != nil {
 			n.log("config_unusable", "error", err)
 			return
