--- a/adapter/codec/codec_test.go
+++ b/adapter/codec/codec_test.go
@@ -68,7 +68,7 @@
 	if x := cmp.Diff(c, k); err != nil || x != "" {
 		t.Errorf("claim: got error %v, (-want +got):\n%s", err, x)
 	}
-	l := bill.NewLedger("o").With(bill.Record{Owner: "o", Seq: 2, Line: bill.Line{Team: "t", Customer: "c", Version: m1}, Add: bill.Amount{Requests: 1, Cost: 5}})
+	l := bill.NewLedger("o").With(bill.Record{Owner: "o", Seq: 2, Line: bill.Line{Team: "t", Customer: "c", Version: m1}, Amount: bill.Amount{Requests: 1, Cost: 5}})
 	b, _ = codec.EncodeLedger(l)
 	o, err := codec.DecodeLedger(b)
 	if x := cmp.Diff(l, o); err != nil || x != "" {
--- a/adapter/rpc/mapping.go
+++ b/adapter/rpc/mapping.go
@@ -103,7 +103,7 @@
 }
 
 func recordToWire(r bill.Record) *fieldvalev1.BillRecord {
-	return &fieldvalev1.BillRecord{RequestId: r.RequestID, Owner: r.Owner, Seq: r.Seq, Line: lineToWire(r.Line, r.Add)}
+	return &fieldvalev1.BillRecord{RequestId: r.RequestID, Owner: r.Owner, Seq: r.Seq, Line: lineToWire(r.Line, r.Amount)}
 }
 
 func recordsFromWire(w []*fieldvalev1.BillRecord) ([]bill.Record, error) {
@@ -113,7 +113,7 @@
 		if err != nil {
 			return nil, err
 		}
-		r[i] = bill.Record{RequestID: x.RequestId, Owner: x.Owner, Seq: x.Seq, Line: l, Add: a}
+		r[i] = bill.Record{RequestID: x.RequestId, Owner: x.Owner, Seq: x.Seq, Line: l, Amount: a}
 	}
 	return r, nil
 }
--- a/bill/bill.go
+++ b/bill/bill.go
@@ -51,8 +51,8 @@
 	Owner string
 	Seq   uint64
 	Line  Line
-	// Add is the amount to be added to the ledger's line.
-	Add Amount
+	// Amount is the amount to be added to the ledger's line.
+	Amount Amount
 }
 
 // Ledger holds the cumulative amounts of one entry incarnation. It is immutable.
@@ -90,7 +90,7 @@
 	if l.Sums == nil {
 		l.Sums = map[Line]Amount{}
 	}
-	l.Sums[r.Line] = l.Sums[r.Line].Plus(r.Add)
+	l.Sums[r.Line] = l.Sums[r.Line].Plus(r.Amount)
 	return l.markSettled(r.Seq)
 }
 
--- a/bill/bill_test.go
+++ b/bill/bill_test.go
@@ -20,7 +20,7 @@
 
 // record returns a record of one request with cost seq.
 func record(owner, id string, seq uint64) bill.Record {
-	return bill.Record{RequestID: id, Owner: owner, Seq: seq, Line: line, Add: bill.Amount{Requests: 1, Cost: seq}}
+	return bill.Record{RequestID: id, Owner: owner, Seq: seq, Line: line, Amount: bill.Amount{Requests: 1, Cost: seq}}
 }
 
 // Guards against records that are counted twice or not at all when they are settled
@@ -33,7 +33,7 @@
 		for i := 1; i <= n; i++ {
 			void[i] = rapid.IntRange(0, 4).Draw(t, "void") == 0
 			if !void[i] {
-				want = want.Plus(record("o", "", uint64(i)).Add)
+				want = want.Plus(record("o", "", uint64(i)).Amount)
 			}
 		}
 		order := rapid.Permutation(numbers(n)).Draw(t, "order")
--- a/biller/biller.go
+++ b/biller/biller.go
@@ -144,7 +144,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.seq++
-	return bill.Record{RequestID: id, Owner: b.ledger.Owner, Seq: b.seq, Line: l, Add: a}
+	return bill.Record{RequestID: id, Owner: b.ledger.Owner, Seq: b.seq, Line: l, Amount: a}
 }
 
 // offer sends the record to its holders, and to its spares in batches while no
--- a/biller/biller_test.go
+++ b/biller/biller_test.go
@@ -109,7 +109,7 @@
 					for _, x := range m {
 						all.records[x.ID] = bill.NewBook()
 					}
-					all.records[only.ID].Hold(bill.Record{RequestID: id, Owner: "i0/1", Seq: 1, Line: line, Add: bill.Amount{Requests: 1}}, time.Now())
+					all.records[only.ID].Hold(bill.Record{RequestID: id, Owner: "i0/1", Seq: 1, Line: line, Amount: bill.Amount{Requests: 1}}, time.Now())
 					self := m[1+i%(n-1)].ID
 					b := New(all, func() []peer.Member { return m }, self, self+"/1")
 					b.Bill(id, line, bill.Amount{Requests: 1})
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -247,7 +247,7 @@
 		n := newTestNode("n", f)
 		n.Peers = unreachablePeers{}
 		line := bill.Line{Team: "t", Version: version.New("m", "1")}
-		l := bill.NewLedger("e").With(bill.Record{Owner: "e", Seq: 1, Line: line, Add: bill.Amount{Requests: 1}})
+		l := bill.NewLedger("e").With(bill.Record{Owner: "e", Seq: 1, Line: line, Amount: bill.Amount{Requests: 1}})
 		n.Sync(Report{Incarnation: "e", Ledger: l, AloneUpto: 1})
 		f.SetFault(kv.Down)
 		time.AfterFunc(time.Minute, func() { f.SetFault(kv.NoFault) })
--- a/measure/bills.go
+++ b/measure/bills.go
@@ -29,7 +29,7 @@
 	for _, n := range ledgerLineCounts {
 		l := bill.NewLedger("owner")
 		for i := range n {
-			l = l.With(bill.Record{Owner: "owner", Seq: uint64(i + 1), Line: bill.Line{Team: "shared-memory", Customer: fmt.Sprint("customer-", i), Version: version.New("lingua-small", "1")}, Add: bill.Amount{Requests: 1000, TokensIn: 1e6, TokensOut: 1e6, Cost: 1e6}})
+			l = l.With(bill.Record{Owner: "owner", Seq: uint64(i + 1), Line: bill.Line{Team: "shared-memory", Customer: fmt.Sprint("customer-", i), Version: version.New("lingua-small", "1")}, Amount: bill.Amount{Requests: 1000, TokensIn: 1e6, TokensOut: 1e6, Cost: 1e6}})
 		}
 		b, err := codec.EncodeLedger(l)
 		if err != nil {
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -189,7 +189,7 @@
 			ticker := time.NewTicker(time.Second / billsPerSecond)
 			defer ticker.Stop()
 			for seq := uint64(1); ctx.Err() == nil; seq++ {
-				record := bill.Record{RequestID: fmt.Sprint(i, "/", seq), Owner: ledger.Owner, Seq: seq, Line: bill.Line{Team: "t", Customer: fmt.Sprint("c", seq%10), Version: version.New("m", "1")}, Add: bill.Amount{Requests: 1}}
+				record := bill.Record{RequestID: fmt.Sprint(i, "/", seq), Owner: ledger.Owner, Seq: seq, Line: bill.Line{Team: "t", Customer: fmt.Sprint("c", seq%10), Version: version.New("m", "1")}, Amount: bill.Amount{Requests: 1}}
 				holders, _ := peer.NearHolders(n.Self.ID, n.Self.DataCentre, f.list.Members)
 				if f.useCallerIDs.Load() {
 					holders, _ = peer.Holders(record.RequestID, f.list.Members)
