--- a/adapter/codec/records.go
+++ b/adapter/codec/records.go
@@ -102,7 +102,7 @@
 // EncodeLedger encodes a ledger as JSON in a fixed order, so that equal ledgers have equal
 // bytes.
 func EncodeLedger(l bill.Ledger) ([]byte, error) {
-	w := wireLedger{Owner: l.Owner, Upto: l.Upto, Changes: l.Changes}
+	w := wireLedger{Owner: l.Owner, Upto: l.SettledUpto, Changes: l.Changes}
 	for n := range l.Above {
 		w.Above = append(w.Above, n)
 	}
@@ -126,7 +126,7 @@
 	if err := json.Unmarshal(b, &w); err != nil {
 		return bill.Ledger{}, errors.Wrap(err, "codec: decode ledger")
 	}
-	l := bill.Ledger{Owner: w.Owner, Upto: w.Upto, Changes: w.Changes, Above: map[uint64]bool{}, Sums: map[bill.Line]bill.Amount{}}
+	l := bill.Ledger{Owner: w.Owner, SettledUpto: w.Upto, Changes: w.Changes, Above: map[uint64]bool{}, Sums: map[bill.Line]bill.Amount{}}
 	for _, n := range w.Above {
 		l.Above[n] = true
 	}
--- a/adapter/rpc/mapping.go
+++ b/adapter/rpc/mapping.go
@@ -74,7 +74,7 @@
 }
 
 func ledgerToWire(l bill.Ledger) *fieldvalev1.Ledger {
-	w := &fieldvalev1.Ledger{Owner: l.Owner, Upto: l.Upto, Changes: l.Changes}
+	w := &fieldvalev1.Ledger{Owner: l.Owner, Upto: l.SettledUpto, Changes: l.Changes}
 	for n := range l.Above {
 		w.Above = append(w.Above, n)
 	}
@@ -87,7 +87,7 @@
 
 func ledgerFromWire(w *fieldvalev1.Ledger) (bill.Ledger, error) {
 	l := bill.NewLedger(w.GetOwner())
-	l.Upto, l.Changes = w.GetUpto(), w.GetChanges()
+	l.SettledUpto, l.Changes = w.GetUpto(), w.GetChanges()
 	l.Above, l.Sums = map[uint64]bool{}, map[bill.Line]bill.Amount{}
 	for _, n := range w.GetAbove() {
 		l.Above[n] = true
--- a/bill/bill.go
+++ b/bill/bill.go
@@ -58,9 +58,9 @@
 // Ledger holds the cumulative amounts of one entry incarnation. It is immutable.
 type Ledger struct {
 	Owner string
-	// Upto is the number up to which all records are settled: counted, or found
+	// SettledUpto is the number up to which all records are settled: counted, or found
 	// to be duplicates.
-	Upto uint64
+	SettledUpto uint64
 	// Above holds the settled numbers beyond that.
 	Above map[uint64]bool
 	Sums  map[Line]Amount
@@ -77,7 +77,7 @@
 // IsSettled reports whether the record with that number is counted in l or was
 // found to be a duplicate.
 func (l Ledger) IsSettled(seq uint64) bool {
-	return seq <= l.Upto || l.Above[seq]
+	return seq <= l.SettledUpto || l.Above[seq]
 }
 
 // With returns l with the record counted. A record that is settled already is not
@@ -112,9 +112,9 @@
 		a = map[uint64]bool{}
 	}
 	a[seq] = true
-	for a[l.Upto+1] {
-		l.Upto++
-		delete(a, l.Upto)
+	for a[l.SettledUpto+1] {
+		l.SettledUpto++
+		delete(a, l.SettledUpto)
 	}
 	l.Above = a
 	return l
@@ -139,7 +139,7 @@
 
 // Covers reports whether all records that are settled in o are settled in l.
 func (l Ledger) Covers(o Ledger) bool {
-	for n := l.Upto + 1; n <= o.Upto; n++ {
+	for n := l.SettledUpto + 1; n <= o.SettledUpto; n++ {
 		if !l.Above[n] {
 			return false
 		}
--- a/bill/bill_test.go
+++ b/bill/bill_test.go
@@ -44,8 +44,8 @@
 			}
 			l = l.With(record("o", "", uint64(i)))
 		}
-		if l.Total() != want || l.Upto != uint64(n) || len(l.Above) != 0 {
-			t.Fatalf("got total %+v up to %d, want %+v up to %d", l.Total(), l.Upto, want, n)
+		if l.Total() != want || l.SettledUpto != uint64(n) || len(l.Above) != 0 {
+			t.Fatalf("got total %+v up to %d, want %+v up to %d", l.Total(), l.SettledUpto, want, n)
 		}
 	})
 }
@@ -100,7 +100,7 @@
 	if b.Len() > most || b.Dropped != 1000 {
 		t.Errorf("got %d held and %d dropped, want at most %d and 1000", b.Len(), b.Dropped, most)
 	}
-	b.MarkFlushed(bill.Ledger{Owner: "o", Upto: most + 1000})
+	b.MarkFlushed(bill.Ledger{Owner: "o", SettledUpto: most + 1000})
 	b.Expire(noon.Add(bill.DuplicateWindow))
 	if b.Len() != 0 {
 		t.Errorf("got %d held after the store has them all, want 0", b.Len())
--- a/control/bills.go
+++ b/control/bills.go
@@ -132,7 +132,7 @@
 	defer n.mu.Unlock()
 	if f, ok := n.ledgers[l.Owner]; ok {
 		f.storedChanges = max(f.storedChanges, l.Changes)
-		f.storedUpto = max(f.storedUpto, l.Upto)
+		f.storedUpto = max(f.storedUpto, l.SettledUpto)
 		f.verifyAt = n.Clock().Add(verifyEvery)
 	}
 	return nil
@@ -189,7 +189,7 @@
 			continue
 		}
 		n.ownersSeenAt[h.EntryIncarnation] = t
-		n.heldBills.MarkFlushed(bill.Ledger{Owner: h.EntryIncarnation, Upto: h.LedgerUpto})
+		n.heldBills.MarkFlushed(bill.Ledger{Owner: h.EntryIncarnation, SettledUpto: h.LedgerUpto})
 	}
 	r := map[string][]bill.HeldRecord{}
 	for o, l := range n.heldBills.Held() {
