--- a/adapter/codec/records.go
+++ b/adapter/codec/records.go
@@ -103,7 +103,7 @@
 // bytes.
 func EncodeLedger(l bill.Ledger) ([]byte, error) {
 	w := wireLedger{Owner: l.Owner, Upto: l.SettledUpto, Changes: l.Changes}
-	for n := range l.Above {
+	for n := range l.SettledAbove {
 		w.Above = append(w.Above, n)
 	}
 	slices.Sort(w.Above)
@@ -126,9 +126,9 @@
 	if err := json.Unmarshal(b, &w); err != nil {
 		return bill.Ledger{}, errors.Wrap(err, "codec: decode ledger")
 	}
-	l := bill.Ledger{Owner: w.Owner, SettledUpto: w.Upto, Changes: w.Changes, Above: map[uint64]bool{}, Sums: map[bill.Line]bill.Amount{}}
+	l := bill.Ledger{Owner: w.Owner, SettledUpto: w.Upto, Changes: w.Changes, SettledAbove: map[uint64]bool{}, Sums: map[bill.Line]bill.Amount{}}
 	for _, n := range w.Above {
-		l.Above[n] = true
+		l.SettledAbove[n] = true
 	}
 	for _, x := range w.Lines {
 		v, err := version.Parse(x.Version)
--- a/adapter/rpc/mapping.go
+++ b/adapter/rpc/mapping.go
@@ -75,7 +75,7 @@
 
 func ledgerToWire(l bill.Ledger) *fieldvalev1.Ledger {
 	w := &fieldvalev1.Ledger{Owner: l.Owner, Upto: l.SettledUpto, Changes: l.Changes}
-	for n := range l.Above {
+	for n := range l.SettledAbove {
 		w.Above = append(w.Above, n)
 	}
 	slices.Sort(w.Above)
@@ -88,9 +88,9 @@
 func ledgerFromWire(w *fieldvalev1.Ledger) (bill.Ledger, error) {
 	l := bill.NewLedger(w.GetOwner())
 	l.SettledUpto, l.Changes = w.GetUpto(), w.GetChanges()
-	l.Above, l.Sums = map[uint64]bool{}, map[bill.Line]bill.Amount{}
+	l.SettledAbove, l.Sums = map[uint64]bool{}, map[bill.Line]bill.Amount{}
 	for _, n := range w.GetAbove() {
-		l.Above[n] = true
+		l.SettledAbove[n] = true
 	}
 	for _, x := range w.GetLines() {
 		k, a, err := lineFromWire(x)
--- a/bill/bill.go
+++ b/bill/bill.go
@@ -61,8 +61,8 @@
 	// SettledUpto is the number up to which all records are settled: counted, or found
 	// to be duplicates.
 	SettledUpto uint64
-	// Above holds the settled numbers beyond that.
-	Above map[uint64]bool
+	// SettledAbove holds the settled numbers beyond that.
+	SettledAbove map[uint64]bool
 	Sums  map[Line]Amount
 	// Changes grows with each change by the owner and so orders the ledgers of
 	// one owner.
@@ -77,7 +77,7 @@
 // IsSettled reports whether the record with that number is counted in l or was
 // found to be a duplicate.
 func (l Ledger) IsSettled(seq uint64) bool {
-	return seq <= l.SettledUpto || l.Above[seq]
+	return seq <= l.SettledUpto || l.SettledAbove[seq]
 }
 
 // With returns l with the record counted. A record that is settled already is not
@@ -107,7 +107,7 @@
 // are settled advances over those that follow it without a gap.
 func (l Ledger) markSettled(seq uint64) Ledger {
 	l.Changes++
-	a := maps.Clone(l.Above)
+	a := maps.Clone(l.SettledAbove)
 	if a == nil {
 		a = map[uint64]bool{}
 	}
@@ -116,7 +116,7 @@
 		l.SettledUpto++
 		delete(a, l.SettledUpto)
 	}
-	l.Above = a
+	l.SettledAbove = a
 	return l
 }
 
@@ -140,11 +140,11 @@
 // Covers reports whether all records that are settled in o are settled in l.
 func (l Ledger) Covers(o Ledger) bool {
 	for n := l.SettledUpto + 1; n <= o.SettledUpto; n++ {
-		if !l.Above[n] {
+		if !l.SettledAbove[n] {
 			return false
 		}
 	}
-	for n := range o.Above {
+	for n := range o.SettledAbove {
 		if !l.IsSettled(n) {
 			return false
 		}
--- a/bill/bill_test.go
+++ b/bill/bill_test.go
@@ -44,7 +44,7 @@
 			}
 			l = l.With(record("o", "", uint64(i)))
 		}
-		if l.Total() != want || l.SettledUpto != uint64(n) || len(l.Above) != 0 {
+		if l.Total() != want || l.SettledUpto != uint64(n) || len(l.SettledAbove) != 0 {
 			t.Fatalf("got total %+v up to %d, want %+v up to %d", l.Total(), l.SettledUpto, want, n)
 		}
 	})
