--- a/adapter/rpc/peer.go
+++ b/adapter/rpc/peer.go
@@ -52,7 +52,7 @@
 	}
 	w := &fieldvalev1.HoldResponse{}
 	for _, v := range s.node.Hold(r, l) {
-		w.Words = append(w.Words, &fieldvalev1.HoldWord{Repeat: v.Repeat, Owner: v.Owner, Settled: v.Settled})
+		w.Words = append(w.Words, &fieldvalev1.HoldWord{Repeat: v.Duplicate, Owner: v.Owner, Settled: v.Settled})
 	}
 	return w, nil
 }
@@ -110,7 +110,7 @@
 	if len(w.Words) != 1 {
 		return bill.Word{}, errors.Newf("rpc: hold a bill record at instance %s: got %d results, want 1", m.ID, len(w.Words))
 	}
-	return bill.Word{Repeat: w.Words[0].Repeat, Owner: w.Words[0].Owner, Settled: w.Words[0].Settled}, nil
+	return bill.Word{Duplicate: w.Words[0].Repeat, Owner: w.Words[0].Owner, Settled: w.Words[0].Settled}, nil
 }
 
 // HandOver implements control.Peers.
--- a/bill/held.go
+++ b/bill/held.go
@@ -6,8 +6,8 @@
 
 // Word is a holder's response to a record that it was offered.
 type Word struct {
-	// Repeat reports that another record bills the request.
-	Repeat bool
+	// Duplicate reports that another record bills the request.
+	Duplicate bool
 	// Owner is the owner of that other record.
 	Owner string
 	// Settled reports that the other record was offered so long ago that all its
@@ -25,11 +25,11 @@
 func IsDuplicate(mine Record, w []Word) bool {
 	first, lower := false, false
 	for _, x := range w {
-		if x.Repeat && x.Settled {
+		if x.Duplicate && x.Settled {
 			return true
 		}
-		first = first || !x.Repeat
-		lower = lower || x.Repeat && x.Owner < mine.Owner
+		first = first || !x.Duplicate
+		lower = lower || x.Duplicate && x.Owner < mine.Owner
 	}
 	return lower || !first && len(w) > 0
 }
@@ -38,7 +38,7 @@
 // duplicate, for the log.
 func DuplicateOwners(w []Word) (l []string) {
 	for _, x := range w {
-		if x.Repeat {
+		if x.Duplicate {
 			l = append(l, x.Owner)
 		}
 	}
@@ -105,7 +105,7 @@
 		if !settled && r.Owner < h.record.Owner {
 			h.competing = &r
 		}
-		return Word{Repeat: true, Owner: h.record.Owner, Settled: settled}
+		return Word{Duplicate: true, Owner: h.record.Owner, Settled: settled}
 	}
 	b.evictOldest()
 	b.byID[k] = &heldEntry{record: r, concurrentUntil: now.Add(maxDeliveryDelay), expires: now.Add(DuplicateWindow)}
