--- a/adapter/rpc/peer.go
+++ b/adapter/rpc/peer.go
@@ -102,15 +102,15 @@
 }
 
 // Hold implements biller.Holder.
-func (p *Peers) Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.Word, error) {
+func (p *Peers) Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.HoldResult, error) {
 	w, err := p.client(m).Hold(ctx, &fieldvalev1.HoldRequest{Records: []*fieldvalev1.BillRecord{recordToWire(r)}})
 	if err != nil {
-		return bill.Word{}, errors.Wrapf(err, "rpc: hold a bill record at instance %s", m.ID)
+		return bill.HoldResult{}, errors.Wrapf(err, "rpc: hold a bill record at instance %s", m.ID)
 	}
 	if len(w.Words) != 1 {
-		return bill.Word{}, errors.Newf("rpc: hold a bill record at instance %s: got %d results, want 1", m.ID, len(w.Words))
+		return bill.HoldResult{}, errors.Newf("rpc: hold a bill record at instance %s: got %d results, want 1", m.ID, len(w.Words))
 	}
-	return bill.Word{Duplicate: w.Words[0].Repeat, Owner: w.Words[0].Owner, Settled: w.Words[0].Settled}, nil
+	return bill.HoldResult{Duplicate: w.Words[0].Repeat, Owner: w.Words[0].Owner, Settled: w.Words[0].Settled}, nil
 }
 
 // HandOver implements control.Peers.
--- a/bill/bill_test.go
+++ b/bill/bill_test.go
@@ -66,7 +66,7 @@
 		for firstAt1 := range 2 {
 			for firstAt2 := range 2 {
 				r := []bill.Record{record("a", "id", 1), record("b", "id", 1)}
-				w := [2][]bill.Word{}
+				w := [2][]bill.HoldResult{}
 				for n, first := range []int{firstAt1, firstAt2} {
 					if gap > 0 && n == 1 && firstAt1 != firstAt2 {
 						continue
@@ -127,7 +127,7 @@
 			books := []*bill.Book{bill.NewBook(), bill.NewBook()}
 			dead, alive := record(c.dead, "id", 1), record(c.alive, "id", 1)
 			books[0].Hold(dead, noon)
-			var w []bill.Word
+			var w []bill.HoldResult
 			for _, i := range c.reached {
 				w = append(w, books[i].Hold(alive, noon.Add(100*time.Millisecond)))
 			}
--- a/bill/held.go
+++ b/bill/held.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Word is a holder's response to a record that it was offered.
-type Word struct {
+// HoldResult is a holder's response to a record that it was offered.
+type HoldResult struct {
 	// Duplicate reports that another record bills the request.
 	Duplicate bool
 	// Owner is the owner of that other record.
@@ -22,7 +22,7 @@
 // of the holders that were reached. Two records of one request can reach the holders
 // at the same time, in a different order at each. Both owners then decide that the
 // record of the owner with the lower name is counted.
-func IsDuplicate(mine Record, w []Word) bool {
+func IsDuplicate(mine Record, w []HoldResult) bool {
 	first, lower := false, false
 	for _, x := range w {
 		if x.Duplicate && x.Settled {
@@ -36,7 +36,7 @@
 
 // DuplicateOwners returns the owners of the records of which the record is a
 // duplicate, for the log.
-func DuplicateOwners(w []Word) (l []string) {
+func DuplicateOwners(w []HoldResult) (l []string) {
 	for _, x := range w {
 		if x.Duplicate {
 			l = append(l, x.Owner)
@@ -95,22 +95,22 @@
 // Hold stores the record unless another record bills its request already, and
 // reports which was the case. The same record may be offered again and gets the
 // same response.
-func (b *Book) Hold(r Record, now time.Time) Word {
+func (b *Book) Hold(r Record, now time.Time) HoldResult {
 	k := requestKey{r.Line.Team, r.Line.Customer, r.RequestID}
 	if h, ok := b.byID[k]; ok {
 		if h.record.Owner == r.Owner && h.record.Seq == r.Seq {
-			return Word{}
+			return HoldResult{}
 		}
 		settled := !now.Before(h.concurrentUntil)
 		if !settled && r.Owner < h.record.Owner {
 			h.competing = &r
 		}
-		return Word{Duplicate: true, Owner: h.record.Owner, Settled: settled}
+		return HoldResult{Duplicate: true, Owner: h.record.Owner, Settled: settled}
 	}
 	b.evictOldest()
 	b.byID[k] = &heldEntry{record: r, concurrentUntil: now.Add(maxDeliveryDelay), expires: now.Add(DuplicateWindow)}
 	b.order = append(b.order, k)
-	return Word{}
+	return HoldResult{}
 }
 
 // Release deletes a record that its owner has found to be a duplicate.
--- a/biller/biller.go
+++ b/biller/biller.go
@@ -30,7 +30,7 @@
 
 // Holder is a client that stores and deletes bill records at the instance m.
 type Holder interface {
-	Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.Word, error)
+	Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.HoldResult, error)
 	Release(ctx context.Context, m peer.Member, r bill.Record) error
 }
 
@@ -215,9 +215,9 @@
 
 // holdAt sends the record to the holders in parallel and returns their results; n is
 // the number of other instances that responded.
-func (b *Biller) holdAt(x context.Context, h []peer.Member, r bill.Record) (w []bill.Word, n int) {
+func (b *Biller) holdAt(x context.Context, h []peer.Member, r bill.Record) (w []bill.HoldResult, n int) {
 	e := make([]error, len(h))
-	all := make([]bill.Word, len(h))
+	all := make([]bill.HoldResult, len(h))
 	var g sync.WaitGroup
 	for i := range h {
 		g.Go(func() { all[i], e[i] = b.holder.Hold(x, h[i], r) })
--- a/biller/biller_test.go
+++ b/biller/biller_test.go
@@ -20,7 +20,7 @@
 	failReleases int
 }
 
-func (h *lossyHolder) Hold(_ context.Context, _ peer.Member, r bill.Record) (bill.Word, error) {
+func (h *lossyHolder) Hold(_ context.Context, _ peer.Member, r bill.Record) (bill.HoldResult, error) {
 	return h.records.Hold(r, time.Now()), nil
 }
 
@@ -68,9 +68,9 @@
 
 var errNoResponse = errors.New("no response")
 
-func (b fleetHolder) Hold(_ context.Context, m peer.Member, r bill.Record) (bill.Word, error) {
+func (b fleetHolder) Hold(_ context.Context, m peer.Member, r bill.Record) (bill.HoldResult, error) {
 	if m.ID == b.dead {
-		return bill.Word{}, errNoResponse
+		return bill.HoldResult{}, errNoResponse
 	}
 	return b.records[m.ID].Hold(r, time.Now()), nil
 }
@@ -131,9 +131,9 @@
 // unreachableHolder is an unreachable holder whose calls fail after the given time.
 type unreachableHolder time.Duration
 
-func (h unreachableHolder) Hold(ctx context.Context, _ peer.Member, _ bill.Record) (bill.Word, error) {
+func (h unreachableHolder) Hold(ctx context.Context, _ peer.Member, _ bill.Record) (bill.HoldResult, error) {
 	time.Sleep(time.Duration(h))
-	return bill.Word{}, errNoResponse
+	return bill.HoldResult{}, errNoResponse
 }
 
 func (h unreachableHolder) Release(context.Context, peer.Member, bill.Record) error {
--- a/control/bills.go
+++ b/control/bills.go
@@ -32,11 +32,11 @@
 // Hold stores bill records r on behalf of other instances and returns one
 // result per record. It also deletes the records in release, which their owner
 // has found to be duplicates.
-func (n *Node) Hold(r []bill.Record, release []bill.Record) []bill.Word {
+func (n *Node) Hold(r []bill.Record, release []bill.Record) []bill.HoldResult {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.Clock()
-	v := make([]bill.Word, len(r))
+	v := make([]bill.HoldResult, len(r))
 	for i, x := range r {
 		v[i] = n.heldBills.Hold(x, t)
 	}
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -87,9 +87,9 @@
 	return nil
 }
 
-func (f *portsFake) Hold(context.Context, peer.Member, bill.Record) (bill.Word, error) {
+func (f *portsFake) Hold(context.Context, peer.Member, bill.Record) (bill.HoldResult, error) {
 	f.billsHeld++
-	return bill.Word{}, nil
+	return bill.HoldResult{}, nil
 }
 
 func (f *portsFake) Release(context.Context, peer.Member, bill.Record) error { return nil }
--- a/measure/router.go
+++ b/measure/router.go
@@ -128,8 +128,8 @@
 // instantHolder accepts every bill without a call to another instance.
 type instantHolder struct{}
 
-func (instantHolder) Hold(context.Context, peer.Member, bill.Record) (bill.Word, error) {
-	return bill.Word{}, nil
+func (instantHolder) Hold(context.Context, peer.Member, bill.Record) (bill.HoldResult, error) {
+	return bill.HoldResult{}, nil
 }
 
 func (instantHolder) Release(context.Context, peer.Member, bill.Record) error { return nil }
--- a/standin/world/clients.go
+++ b/standin/world/clients.go
@@ -254,9 +254,9 @@
 }
 
 // Hold implements entry.Holder.
-func (l *billClient) Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.Word, error) {
+func (l *billClient) Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.HoldResult, error) {
 	l.w.step(StepBill, l.p)
-	return peerCall(ctx, l.w, l.p, m.ID, func(n *control.Node) (bill.Word, error) {
+	return peerCall(ctx, l.w, l.p, m.ID, func(n *control.Node) (bill.HoldResult, error) {
 		return n.Hold([]bill.Record{r}, nil)[0], nil
 	})
 }
