--- a/bill/bill_test.go
+++ b/bill/bill_test.go
@@ -71,7 +71,7 @@
 					if gap > 0 && n == 1 && firstAt1 != firstAt2 {
 						continue
 					}
-					b := bill.NewBook()
+					b := bill.NewHeldRecords()
 					w[first] = append(w[first], b.Hold(r[first], noon))
 					w[1-first] = append(w[1-first], b.Hold(r[1-first], noon.Add(gap)))
 				}
@@ -92,7 +92,7 @@
 // Guards against held records that grow without limit while the store is unreachable for
 // hours, and against those that are kept after the store has them and their window ended.
 func TestHeldRecordsAreBoundedThroughHoursOfOutage(t *testing.T) {
-	b := bill.NewBook()
+	b := bill.NewHeldRecords()
 	const most = 150_000
 	for i := range uint64(most + 1000) {
 		b.Hold(record("o", string(rune(i))+"/"+time.Duration(i).String(), i), noon)
@@ -124,7 +124,7 @@
 		{"the dead owner is higher, only its holder is reached", "b", "a", []int{0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			books := []*bill.Book{bill.NewBook(), bill.NewBook()}
+			books := []*bill.Book{bill.NewHeldRecords(), bill.NewHeldRecords()}
 			dead, alive := record(c.dead, "id", 1), record(c.alive, "id", 1)
 			books[0].Hold(dead, noon)
 			var w []bill.HoldResult
--- a/bill/held.go
+++ b/bill/held.go
@@ -87,8 +87,8 @@
 	Dropped uint64
 }
 
-// NewBook returns an empty set of held records.
-func NewBook() *Book {
+// NewHeldRecords returns an empty set of held records.
+func NewHeldRecords() *Book {
 	return &Book{byID: map[requestKey]*heldEntry{}}
 }
 
--- a/biller/biller_test.go
+++ b/biller/biller_test.go
@@ -40,7 +40,7 @@
 func TestReleaseOfADuplicateIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		line := bill.Line{Team: "t", Customer: "c"}
-		h := &lossyHolder{records: bill.NewBook(), failReleases: 2}
+		h := &lossyHolder{records: bill.NewHeldRecords(), failReleases: 2}
 		h.records.Hold(bill.Record{RequestID: "q", Owner: "b/1", Seq: 1, Line: line}, time.Now())
 		b := New(h, func() []peer.Member { return []peer.Member{{ID: "a"}, {ID: "c"}} }, "a", "a/1")
 		b.Bill("q", line, bill.Amount{Requests: 1})
@@ -107,7 +107,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					all := fleetHolder{records: map[string]*bill.Book{}, dead: "i0"}
 					for _, x := range m {
-						all.records[x.ID] = bill.NewBook()
+						all.records[x.ID] = bill.NewHeldRecords()
 					}
 					all.records[only.ID].Hold(bill.Record{RequestID: id, Owner: "i0/1", Seq: 1, Line: line, Amount: bill.Amount{Requests: 1}}, time.Now())
 					self := m[1+i%(n-1)].ID
--- a/control/node.go
+++ b/control/node.go
@@ -176,7 +176,7 @@
 		replicas:       map[string]pool.Replica{},
 		local:          map[string]int{},
 		ledgers:        map[string]*flushState{},
-		heldBills:      bill.NewBook(),
+		heldBills:      bill.NewHeldRecords(),
 		ownersSeenAt:   map[string]time.Time{},
 		pooled:         map[version.ID]*rollout.PooledOutcomes{},
 		detectors:      map[version.ID]rollout.Detector{},
--- a/measure/bills.go
+++ b/measure/bills.go
@@ -42,7 +42,7 @@
 
 // newFilledBook returns a book that holds n records.
 func newFilledBook(n int) *bill.Book {
-	book := bill.NewBook()
+	book := bill.NewHeldRecords()
 	now := time.Now()
 	for i := range n {
 		book.Hold(bill.Record{RequestID: fmt.Sprintf("fieldvale-%036d", i), Owner: "owner", Seq: uint64(i), Line: bill.Line{Team: "t", Customer: "c", Version: version.New("m", "1")}}, now)
