--- a/bill/bill_test.go
+++ b/bill/bill_test.go
@@ -124,7 +124,7 @@
 		{"the dead owner is higher, only its holder is reached", "b", "a", []int{0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			books := []*bill.Book{bill.NewHeldRecords(), bill.NewHeldRecords()}
+			books := []*bill.HeldRecords{bill.NewHeldRecords(), bill.NewHeldRecords()}
 			dead, alive := record(c.dead, "id", 1), record(c.alive, "id", 1)
 			books[0].Hold(dead, noon)
 			var w []bill.HoldResult
--- a/bill/held.go
+++ b/bill/held.go
@@ -76,9 +76,9 @@
 	flushed bool
 }
 
-// Book holds the bill records that one instance keeps for others. It is not safe for
+// HeldRecords holds the bill records that one instance keeps for others. It is not safe for
 // concurrent use.
-type Book struct {
+type HeldRecords struct {
 	byID map[requestKey]*heldEntry
 	// order has the keys in the order in which they were added.
 	order []requestKey
@@ -88,14 +88,14 @@
 }
 
 // NewHeldRecords returns an empty set of held records.
-func NewHeldRecords() *Book {
-	return &Book{byID: map[requestKey]*heldEntry{}}
+func NewHeldRecords() *HeldRecords {
+	return &HeldRecords{byID: map[requestKey]*heldEntry{}}
 }
 
 // Hold stores the record unless another record bills its request already, and
 // reports which was the case. The same record may be offered again and gets the
 // same response.
-func (b *Book) Hold(r Record, now time.Time) HoldResult {
+func (b *HeldRecords) Hold(r Record, now time.Time) HoldResult {
 	k := requestKey{r.Line.Team, r.Line.Customer, r.RequestID}
 	if h, ok := b.byID[k]; ok {
 		if h.record.Owner == r.Owner && h.record.Seq == r.Seq {
@@ -114,7 +114,7 @@
 }
 
 // Release deletes a record that its owner has found to be a duplicate.
-func (b *Book) Release(r Record) {
+func (b *HeldRecords) Release(r Record) {
 	k := requestKey{r.Line.Team, r.Line.Customer, r.RequestID}
 	h, ok := b.byID[k]
 	if !ok {
@@ -130,7 +130,7 @@
 }
 
 // evictOldest makes room for one record by evicting the oldest ones.
-func (b *Book) evictOldest() {
+func (b *HeldRecords) evictOldest() {
 	for len(b.byID) >= maxHeld && len(b.order) > 0 {
 		k := b.order[0]
 		b.order = b.order[1:]
@@ -143,7 +143,7 @@
 }
 
 // MarkFlushed marks the records that are settled in l, a ledger that the store has.
-func (b *Book) MarkFlushed(l Ledger) {
+func (b *HeldRecords) MarkFlushed(l Ledger) {
 	for _, h := range b.byID {
 		if h.record.Owner == l.Owner && l.IsSettled(h.record.Seq) {
 			h.flushed = true
@@ -153,7 +153,7 @@
 
 // Expire deletes the records whose duplicate window has ended and that the store
 // has.
-func (b *Book) Expire(now time.Time) {
+func (b *HeldRecords) Expire(now time.Time) {
 	n := b.order[:0]
 	for _, k := range b.order {
 		h, ok := b.byID[k]
@@ -178,7 +178,7 @@
 }
 
 // Held returns the held records by owner.
-func (b *Book) Held() map[string][]HeldRecord {
+func (b *HeldRecords) Held() map[string][]HeldRecord {
 	r := map[string][]HeldRecord{}
 	for _, h := range b.byID {
 		r[h.record.Owner] = append(r[h.record.Owner], HeldRecord{Record: h.record, Duplicate: h.competing != nil})
@@ -187,7 +187,7 @@
 }
 
 // Unflushed returns the held records that the store doesn't have yet.
-func (b *Book) Unflushed() []Record {
+func (b *HeldRecords) Unflushed() []Record {
 	var r []Record
 	for _, h := range b.byID {
 		if !h.flushed {
@@ -198,4 +198,4 @@
 }
 
 // Len returns the number of records held.
-func (b *Book) Len() int { return len(b.byID) }
+func (b *HeldRecords) Len() int { return len(b.byID) }
--- a/biller/biller_test.go
+++ b/biller/biller_test.go
@@ -15,7 +15,7 @@
 
 // lossyHolder is a holder whose first releases fail, as if no response arrived.
 type lossyHolder struct {
-	records *bill.Book
+	records *bill.HeldRecords
 	// failReleases is how many more releases fail.
 	failReleases int
 }
@@ -62,7 +62,7 @@
 // fleetHolder keeps the records of several holders by instance. The dead instance
 // doesn't respond.
 type fleetHolder struct {
-	records map[string]*bill.Book
+	records map[string]*bill.HeldRecords
 	dead    string
 }
 
@@ -105,7 +105,7 @@
 					continue
 				}
 				synctest.Test(t, func(t *testing.T) {
-					all := fleetHolder{records: map[string]*bill.Book{}, dead: "i0"}
+					all := fleetHolder{records: map[string]*bill.HeldRecords{}, dead: "i0"}
 					for _, x := range m {
 						all.records[x.ID] = bill.NewHeldRecords()
 					}
--- a/control/node.go
+++ b/control/node.go
@@ -123,7 +123,7 @@
 
 	entry     entryState
 	ledgers   map[string]*flushState
-	heldBills *bill.Book
+	heldBills *bill.HeldRecords
 	// ownersSeenAt is when the entry incarnations that own held records were last
 	// named in a heartbeat.
 	ownersSeenAt map[string]time.Time
--- a/measure/bills.go
+++ b/measure/bills.go
@@ -41,7 +41,7 @@
 }
 
 // newFilledBook returns a book that holds n records.
-func newFilledBook(n int) *bill.Book {
+func newFilledBook(n int) *bill.HeldRecords {
 	book := bill.NewHeldRecords()
 	now := time.Now()
 	for i := range n {
