--- a/biller/biller.go
+++ b/biller/biller.go
@@ -60,8 +60,8 @@
 	seenPeer bool
 	// lastUnheldSeq is the number of the last record counted without a holder.
 	lastUnheldSeq uint64
-	// Alone is the number of bills that no other instance held in time.
-	Alone atomic.Uint64
+	// Unheld is the number of bills that no other instance held in time.
+	Unheld atomic.Uint64
 	// Repeats is the number of bills found to be duplicates.
 	Repeats atomic.Uint64
 	// Log is called for each record that no other instance held in time and for
@@ -128,7 +128,7 @@
 	if b.offer(context.Background(), r) {
 		return
 	}
-	b.Alone.Add(1)
+	b.Unheld.Add(1)
 	b.log("bill_pending", r)
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/process/entry.go
+++ b/process/entry.go
@@ -117,7 +117,7 @@
 // registerGauges registers the metrics that are read from the state of the process.
 func (e *Entry) registerGauges() {
 	e.metrics.GaugeFunc("revision", "Revision of the configuration in force.", func() float64 { return float64(e.syncer.revision()) })
-	e.metrics.GaugeFunc("bills_alone_total", "Bills that no other instance held in time.", func() float64 { return float64(e.biller.Alone.Load()) })
+	e.metrics.GaugeFunc("bills_alone_total", "Bills that no other instance held in time.", func() float64 { return float64(e.biller.Unheld.Load()) })
 	e.metrics.GaugeFunc("bills_pending", "Bills that no other instance has seen yet.", func() float64 { return float64(e.biller.Pending()) })
 	e.metrics.GaugeFunc("bills_repeated_total", "Bills left out because the request id was billed before.", func() float64 { return float64(e.biller.Repeats.Load()) })
 }
