--- a/biller/biller.go
+++ b/biller/biller.go
@@ -62,8 +62,8 @@
 	lastUnheldSeq uint64
 	// Unheld is the number of bills that no other instance held in time.
 	Unheld atomic.Uint64
-	// Repeats is the number of bills found to be duplicates.
-	Repeats atomic.Uint64
+	// Duplicates is the number of bills found to be duplicates.
+	Duplicates atomic.Uint64
 	// Log is called for each record that no other instance held in time and for
 	// each duplicate; it may be nil.
 	Log func(event string, fields ...any)
@@ -170,7 +170,7 @@
 		b.updateLedger(func(l bill.Ledger) bill.Ledger { return l.With(r) })
 		return true
 	}
-	b.Repeats.Add(1)
+	b.Duplicates.Add(1)
 	b.log("bill_repeat", r, "first", bill.DuplicateOwners(w))
 	b.updateLedger(func(l bill.Ledger) bill.Ledger { return l.WithDuplicate(r.Seq) })
 	b.release(ctx, h, r)
--- a/process/entry.go
+++ b/process/entry.go
@@ -119,7 +119,7 @@
 	e.metrics.GaugeFunc("revision", "Revision of the configuration in force.", func() float64 { return float64(e.syncer.revision()) })
 	e.metrics.GaugeFunc("bills_alone_total", "Bills that no other instance held in time.", func() float64 { return float64(e.biller.Unheld.Load()) })
 	e.metrics.GaugeFunc("bills_pending", "Bills that no other instance has seen yet.", func() float64 { return float64(e.biller.Pending()) })
-	e.metrics.GaugeFunc("bills_repeated_total", "Bills left out because the request id was billed before.", func() float64 { return float64(e.biller.Repeats.Load()) })
+	e.metrics.GaugeFunc("bills_repeated_total", "Bills left out because the request id was billed before.", func() float64 { return float64(e.biller.Duplicates.Load()) })
 }
 
 // Run serves until ctx ends and then shuts down gracefully: it accepts no more requests,
