--- a/biller/biller.go
+++ b/biller/biller.go
@@ -105,9 +105,9 @@
 	return b.ledger
 }
 
-// AloneUpto returns the number of the last counted record that no other instance
+// LastUnheldSeq returns the number of the last counted record that no other instance
 // holds. A planned stop must wait until the store has it.
-func (b *Biller) AloneUpto() uint64 {
+func (b *Biller) LastUnheldSeq() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.lastUnheldSeq
