--- a/biller/biller.go
+++ b/biller/biller.go
@@ -303,9 +303,9 @@
 	b.lastUnheldSeq = max(b.lastUnheldSeq, r.Seq)
 }
 
-// Settle settles the pending records before a planned stop: it offers them until
+// SettlePending settles the pending records before a planned stop: it offers them until
 // holders have them or ctx ends, and counts the rest without a holder.
-func (b *Biller) Settle(ctx context.Context) {
+func (b *Biller) SettlePending(ctx context.Context) {
 	for ctx.Err() == nil {
 		if b.offerPending(ctx) == 0 || !b.hasPeers() {
 			break
--- a/biller/biller_test.go
+++ b/biller/biller_test.go
@@ -155,7 +155,7 @@
 			b.Bill("q", bill.Line{Team: "t", Customer: "c"}, bill.Amount{Requests: 1})
 			end, cancel := context.WithTimeout(t.Context(), 8*time.Second)
 			defer cancel()
-			b.Settle(end)
+			b.SettlePending(end)
 			if end.Err() == nil {
 				t.Errorf("got an end before the deadline with %d requests counted, want offers until the deadline", b.Ledger().Total().Requests)
 			}
--- a/process/entry.go
+++ b/process/entry.go
@@ -208,7 +208,7 @@
 	if err := e.caller.Shutdown(ctx); err != nil {
 		return errors.Wrap(err, "process.Entry: shut down before all requests were answered")
 	}
-	e.biller.Settle(ctx)
+	e.biller.SettlePending(ctx)
 	e.syncer.Sync(ctx, true)
 	return nil
 }
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -248,7 +248,7 @@
 	for i.inflightRequests() > 0 {
 		time.Sleep(syncInterval)
 	}
-	i.Biller.Settle(ctx)
+	i.Biller.SettlePending(ctx)
 	time.Sleep(2 * syncInterval)
 	n, _ := i.currentNode()
 	n.Stop(ctx)
