--- a/adapter/caller/server.go
+++ b/adapter/caller/server.go
@@ -177,8 +177,8 @@
 // biller.MintedPrefix is not valid, since the prefix marks generated ids.
 func requestID(c *fasthttp.RequestCtx) string {
 	id := string(c.Request.Header.Peek(HeaderRequestID))
-	if id == "" || len(id) > maxIDLength || !printable(id) || strings.HasPrefix(id, biller.MintedPrefix) {
-		return biller.MintedPrefix + uuid.NewString()
+	if id == "" || len(id) > maxIDLength || !printable(id) || strings.HasPrefix(id, biller.GeneratedIDPrefix) {
+		return biller.GeneratedIDPrefix + uuid.NewString()
 	}
 	return id
 }
--- a/biller/biller.go
+++ b/biller/biller.go
@@ -181,7 +181,7 @@
 // that this entry generated can't be retried at another instance, so that the
 // instance's own partners may hold its bill.
 func (b *Biller) holders(r bill.Record, m []peer.Member) (hold, spare []peer.Member) {
-	if !strings.HasPrefix(r.RequestID, MintedPrefix) {
+	if !strings.HasPrefix(r.RequestID, GeneratedIDPrefix) {
 		return peer.Holders(r.RequestID, m)
 	}
 	d := ""
@@ -193,9 +193,9 @@
 	return peer.NearHolders(b.self, d, m)
 }
 
-// MintedPrefix is the prefix of the ids that entries generate for requests without
+// GeneratedIDPrefix is the prefix of the ids that entries generate for requests without
 // one.
-const MintedPrefix = "fieldvale-"
+const GeneratedIDPrefix = "fieldvale-"
 
 // recordPeers notes whether m has an instance other than this one.
 func (b *Biller) recordPeers(m []peer.Member) {
