--- a/adapter/rpc/peer.go
+++ b/adapter/rpc/peer.go
@@ -64,7 +64,7 @@
 
 var (
 	_ control.Peers = (*Peers)(nil)
-	_ biller.Holder = (*Peers)(nil)
+	_ biller.HolderClient = (*Peers)(nil)
 )
 
 // NewPeers returns a client that authenticates to peers by the fleet's shared key.
--- a/biller/biller.go
+++ b/biller/biller.go
@@ -28,8 +28,8 @@
 	maxPending = 100_000
 )
 
-// Holder is a client that stores and deletes bill records at the instance m.
-type Holder interface {
+// HolderClient is a client that stores and deletes bill records at the instance m.
+type HolderClient interface {
 	Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.HoldResult, error)
 	Release(ctx context.Context, m peer.Member, r bill.Record) error
 }
@@ -40,7 +40,7 @@
 // pending, because an isolated instance can't determine whether the caller has
 // retried the request at another one.
 type Biller struct {
-	holder Holder
+	holder HolderClient
 	// members returns the live instances of the fleet.
 	members func() []peer.Member
 	self    string
@@ -94,7 +94,7 @@
 }
 
 // New returns a biller for the entry incarnation on the instance self.
-func New(h Holder, members func() []peer.Member, self, incarnation string) *Biller {
+func New(h HolderClient, members func() []peer.Member, self, incarnation string) *Biller {
 	return &Biller{holder: h, members: members, self: self, offerSlot: make(chan struct{}, 1), ledger: bill.NewLedger(incarnation)}
 }
 
