--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// Away starts a grace period without an end, because the store is unreachable.
-func (s *Set) Away() { s.storeLost = true }
+// StoreLost starts a grace period without an end, because the store is unreachable.
+func (s *Set) StoreLost() { s.storeLost = true }
 
 // Back limits the grace period, because the store is reachable again.
 func (s *Set) Back(now time.Time) {
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -28,7 +28,7 @@
 	for _, id := range []string{"back", "gone", "leaving"} {
 		s.Put(pool.Replica{ID: id, Draining: id == "leaving"})
 	}
-	s.Away()
+	s.StoreLost()
 	s.Back(noon)
 	for _, id := range []string{"back", "gone", "leaving"} {
 		s.Remove(id, noon.Add(100*time.Millisecond))
--- a/state/state.go
+++ b/state/state.go
@@ -221,7 +221,7 @@
 		close(s.firstConfig.disconnected)
 	}
 	s.disconnected = true
-	s.replicas.Away()
+	s.replicas.StoreLost()
 	a, _ := s.lease.Age(s.clock())
 	s.log("store_lost", "error", err, "confirmed_ago", a)
 }
