--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -118,8 +118,8 @@
 // StoreLost starts a grace period without an end, because the store is unreachable.
 func (s *Set) StoreLost() { s.storeLost = true }
 
-// Back limits the grace period, because the store is reachable again.
-func (s *Set) Back(now time.Time) {
+// StoreRestored limits the grace period, because the store is reachable again.
+func (s *Set) StoreRestored(now time.Time) {
 	s.storeLost = false
 	s.graceUntil = now.Add(ReregisterWithin)
 }
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -29,7 +29,7 @@
 		s.Put(pool.Replica{ID: id, Draining: id == "leaving"})
 	}
 	s.StoreLost()
-	s.Back(noon)
+	s.StoreRestored(noon)
 	for _, id := range []string{"back", "gone", "leaving"} {
 		s.Remove(id, noon.Add(100*time.Millisecond))
 	}
--- a/state/state.go
+++ b/state/state.go
@@ -235,7 +235,7 @@
 	}
 	s.disconnected = false
 	now := s.clock()
-	s.replicas.Back(now)
+	s.replicas.StoreRestored(now)
 	a, _ := s.lease.Age(now)
 	s.log("store_back", "confirmed_ago", a)
 }
