--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -130,9 +130,9 @@
 	return s.storeLost || now.Before(s.graceUntil)
 }
 
-// Settle removes the replicas that are still missing after the grace period and
+// RemoveMissing removes the replicas that are still missing after the grace period and
 // returns their names.
-func (s *Set) Settle(now time.Time) []string {
+func (s *Set) RemoveMissing(now time.Time) []string {
 	if len(s.missing) == 0 || s.inGracePeriod(now) {
 		return nil
 	}
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -40,10 +40,10 @@
 		t.Error("got a draining replica kept after its entry disappeared, want it removed")
 	}
 	s.Put(pool.Replica{ID: "back"})
-	if l := s.Settle(noon.Add(time.Second)); len(l) != 0 {
+	if l := s.RemoveMissing(noon.Add(time.Second)); len(l) != 0 {
 		t.Errorf("got %v removed within the grace period, want none", l)
 	}
-	if l := s.Settle(noon.Add(discovery.ReregisterWithin)); len(l) != 1 || l[0] != "gone" {
+	if l := s.RemoveMissing(noon.Add(discovery.ReregisterWithin)); len(l) != 1 || l[0] != "gone" {
 		t.Errorf("got %v removed, want [gone]", l)
 	}
 	if !has(s, "back") || has(s, "gone") {
--- a/state/state.go
+++ b/state/state.go
@@ -160,7 +160,7 @@
 // dropMissing drops the replicas whose entries were not restored after the store was back,
 // and reports whether there were any.
 func (s *State) dropMissing(now time.Time) bool {
-	missing := s.replicas.Settle(now)
+	missing := s.replicas.RemoveMissing(now)
 	for _, id := range missing {
 		s.log("replica_gone", "replica", id, "reason", "its entry did not return with the store")
 	}
