--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -106,8 +106,8 @@
 	s.names = nil
 }
 
-// Retain calls Remove for all replicas except those with the given names.
-func (s *Set) Retain(names map[string]bool, now time.Time) {
+// RemoveAllExcept calls Remove for all replicas except those with the given names.
+func (s *Set) RemoveAllExcept(names map[string]bool, now time.Time) {
 	for name := range s.replicas {
 		if !names[name] {
 			s.Remove(name, now)
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -61,7 +61,7 @@
 	if has(s, "a") {
 		t.Error("got a replica kept whose entry disappeared, want it removed")
 	}
-	s.Retain(map[string]bool{}, noon)
+	s.RemoveAllExcept(map[string]bool{}, noon)
 	if has(s, "b") {
 		t.Error("got a replica kept that is not in the complete list, want it removed")
 	}
--- a/state/state.go
+++ b/state/state.go
@@ -86,7 +86,7 @@
 		s.log("replica_entry_gone", "replica", id)
 	}
 	if c.AllReplicas != nil {
-		s.replicas.Retain(c.AllReplicas, now)
+		s.replicas.RemoveAllExcept(c.AllReplicas, now)
 	}
 	s.dropMissing(now)
 }
