--- a/biller/biller.go
+++ b/biller/biller.go
@@ -190,7 +190,7 @@
 			d = x.DataCentre
 		}
 	}
-	return peer.NearHolders(b.self, d, m)
+	return peer.PartnerHolders(b.self, d, m)
 }
 
 // GeneratedIDPrefix is the prefix of the ids that entries generate for requests without
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -190,7 +190,7 @@
 			defer ticker.Stop()
 			for seq := uint64(1); ctx.Err() == nil; seq++ {
 				record := bill.Record{RequestID: fmt.Sprint(i, "/", seq), Owner: ledger.Owner, Seq: seq, Line: bill.Line{Team: "t", Customer: fmt.Sprint("c", seq%10), Version: version.New("m", "1")}, Amount: bill.Amount{Requests: 1}}
-				holders, _ := peer.NearHolders(n.Self.ID, n.Self.DataCentre, f.list.Members)
+				holders, _ := peer.PartnerHolders(n.Self.ID, n.Self.DataCentre, f.list.Members)
 				if f.useCallerIDs.Load() {
 					holders, _ = peer.Holders(record.RequestID, f.list.Members)
 				}
--- a/peer/member.go
+++ b/peer/member.go
@@ -111,12 +111,12 @@
 	return Rank("holders", m)[:maxHolders]
 }
 
-// NearHolders returns the holders and spares for the bill of a request whose id self
+// PartnerHolders returns the holders and spares for the bill of a request whose id self
 // generated. Callers don't have the id and can't retry the request under it at
 // another instance, so that self's own partners can hold the bill, to which it
 // has connections. The first holder is in another data centre than self if any
 // partner is.
-func NearHolders(self, dataCentre string, m []Member) (hold, spare []Member) {
+func PartnerHolders(self, dataCentre string, m []Member) (hold, spare []Member) {
 	p := Partners(self, m)
 	for i, x := range p {
 		if x.DataCentre != dataCentre {
