--- a/adapter/codec/codec_test.go
+++ b/adapter/codec/codec_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	return config.Document{
-		Revision: 9, Recent: []string{"a", "b"}, SessionKeys: []session.Key{{ID: "k", Secret: []byte{1}}},
+		Revision: 9, RecentChanges: []string{"a", "b"}, SessionKeys: []session.Key{{ID: "k", Secret: []byte{1}}},
 		Parts: map[string]config.Part{"shared-memory": {
 			Team: "shared-memory", Revision: 8, Source: s, Active: map[string]version.ID{"lingua-small": m2},
 			Withdrawn: []version.ID{m1}, Rollouts: []rollout.Rollout{r.WithNextStep()},
--- a/adapter/codec/document.go
+++ b/adapter/codec/document.go
@@ -52,7 +52,7 @@
 // EncodeDocument encodes a document as JSON. It returns an error if the result is larger than
 // a value of the store may be.
 func EncodeDocument(d config.Document) ([]byte, error) {
-	w := wireDocument{Revision: d.Revision, Recent: d.Recent, Parts: map[string]wirePart{}}
+	w := wireDocument{Revision: d.Revision, Recent: d.RecentChanges, Parts: map[string]wirePart{}}
 	for _, k := range d.SessionKeys {
 		w.Keys = append(w.Keys, wireKey{ID: k.ID, Secret: k.Secret})
 	}
@@ -112,7 +112,7 @@
 	if err := json.Unmarshal(b, &w); err != nil {
 		return config.Document{}, errors.Wrap(err, "codec: decode document")
 	}
-	d := config.Document{Revision: w.Revision, Recent: w.Recent, Parts: map[string]config.Part{}}
+	d := config.Document{Revision: w.Revision, RecentChanges: w.Recent, Parts: map[string]config.Part{}}
 	for _, k := range w.Keys {
 		d.SessionKeys = append(d.SessionKeys, session.Key{ID: k.ID, Secret: k.Secret})
 	}
--- a/config/document.go
+++ b/config/document.go
@@ -27,8 +27,8 @@
 // methods that change it return a new one.
 type Document struct {
 	Revision uint64
-	// Recent holds the ids of the last changes, the newest last.
-	Recent []string
+	// RecentChanges holds the ids of the last changes, the newest last.
+	RecentChanges []string
 	// SessionKeys are the keys of session tokens: the first signs, all verify.
 	SessionKeys []session.Key
 	// Parts holds the teams' parts by team name.
@@ -57,7 +57,7 @@
 
 // HasChange reports whether the change is among the document's recent ones.
 func (d Document) HasChange(changeID string) bool {
-	return slices.Contains(d.Recent, changeID)
+	return slices.Contains(d.RecentChanges, changeID)
 }
 
 // Part returns the team's part, or an empty one at revision 0 if the document has
@@ -89,8 +89,8 @@
 // withChange returns d at the next revision with the change id recorded.
 func (d Document) withChange(id string) Document {
 	d.Revision++
-	r := append(slices.Clone(d.Recent), id)
-	d.Recent = r[max(0, len(r)-maxRecentChanges):]
+	r := append(slices.Clone(d.RecentChanges), id)
+	d.RecentChanges = r[max(0, len(r)-maxRecentChanges):]
 	return d
 }
 
