--- a/adapter/codec/codec_test.go
+++ b/adapter/codec/codec_test.go
@@ -41,7 +41,7 @@
 	return config.Document{
 		Revision: 9, RecentChanges: []string{"a", "b"}, SessionKeys: []session.Key{{ID: "k", Secret: []byte{1}}},
 		Parts: map[string]config.Part{"shared-memory": {
-			Team: "shared-memory", Revision: 8, Source: s, Active: map[string]version.ID{"lingua-small": m2},
+			Team: "shared-memory", Revision: 8, Source: s, ActiveVersions: map[string]version.ID{"lingua-small": m2},
 			Withdrawn: []version.ID{m1}, Rollouts: []rollout.Rollout{r.WithNextStep()},
 		}},
 	}
--- a/adapter/codec/document.go
+++ b/adapter/codec/document.go
@@ -71,7 +71,7 @@
 
 func partToWire(p config.Part) wirePart {
 	w := wirePart{Revision: p.Revision, Files: p.Source.Files, Withdrawn: versionsToWire(p.Withdrawn), Active: map[string]string{}}
-	for m, v := range p.Active {
+	for m, v := range p.ActiveVersions {
 		w.Active[m] = v.String()
 	}
 	for _, r := range p.Rollouts {
@@ -131,13 +131,13 @@
 	if len(e) > 0 {
 		return config.Part{}, e[0]
 	}
-	p := config.Part{Team: team, Revision: w.Revision, Source: s, Active: map[string]version.ID{}}
+	p := config.Part{Team: team, Revision: w.Revision, Source: s, ActiveVersions: map[string]version.ID{}}
 	for m, t := range w.Active {
 		v, err := version.Parse(t)
 		if err != nil {
 			return p, err
 		}
-		p.Active[m] = v
+		p.ActiveVersions[m] = v
 	}
 	for _, t := range w.Withdrawn {
 		v, err := version.Parse(t)
--- a/config/document.go
+++ b/config/document.go
@@ -41,9 +41,9 @@
 	// Revision is the document revision at which this part last changed.
 	Revision uint64
 	Source   policy.Source
-	// Active holds, by model, the target version of the last completed
+	// ActiveVersions holds, by model, the target version of the last completed
 	// roll-out.
-	Active    map[string]version.ID
+	ActiveVersions    map[string]version.ID
 	Withdrawn []version.ID
 	Rollouts  []rollout.Rollout
 }
@@ -121,7 +121,7 @@
 // assigns elsewhere: the target of the last completed roll-out, else the
 // catalog's active version, else any version that is not withdrawn.
 func (p Part) ActiveVersion(model string) (version.ID, bool) {
-	if v, ok := p.Active[model]; ok {
+	if v, ok := p.ActiveVersions[model]; ok {
 		if _, ok := p.Source.Catalog.Version(v); ok && !p.IsWithdrawn(v) {
 			return v, true
 		}
@@ -153,11 +153,11 @@
 	}
 	p.Rollouts = n
 	if r.State == rollout.Done {
-		p.Active = maps.Clone(p.Active)
-		if p.Active == nil {
-			p.Active = map[string]version.ID{}
+		p.ActiveVersions = maps.Clone(p.ActiveVersions)
+		if p.ActiveVersions == nil {
+			p.ActiveVersions = map[string]version.ID{}
 		}
-		p.Active[r.To.Model] = r.To
+		p.ActiveVersions[r.To.Model] = r.To
 	}
 	return p
 }
