--- a/adapter/rpc/admin.go
+++ b/adapter/rpc/admin.go
@@ -136,12 +136,12 @@
 
 // changeFromWire converts and checks a request for a change.
 func (s adminServer) changeFromWire(a Admin, q *fieldvalev1.ChangeRequest) (config.Change, error) {
-	c := config.Change{ID: q.Id, Team: q.Team, Who: a.Name, Why: q.Why, At: time.Now(), Action: audit.Action(q.Action), Base: q.Base}
+	c := config.Change{ID: q.Id, Team: q.Team, Who: a.Name, Why: q.Why, At: time.Now(), Action: audit.Action(q.Action), BaseRevision: q.Base}
 	if q.Id == "" {
 		return c, errors.New("change has no id")
 	}
 	if q.AnyBase {
-		c.Base = config.AnyBase
+		c.BaseRevision = config.AnyBase
 	}
 	var err error
 	switch c.Action {
--- a/config/change.go
+++ b/config/change.go
@@ -30,9 +30,9 @@
 	// Key is a new signing key for session tokens. The accept action uses it only
 	// if the document has no key yet.
 	Key session.Key
-	// Base is the revision of the team's part that the submitted policy is based
+	// BaseRevision is the revision of the team's part that the submitted policy is based
 	// on.
-	Base    uint64
+	BaseRevision    uint64
 	Source  policy.Source
 	Version version.ID
 	Rollout rollout.Rollout
@@ -121,8 +121,8 @@
 // is based on another revision than the one in force, names another team, or
 // declares models or caller keys of another team.
 func (d Document) accept(p Part, c Change) (Document, string, string, error) {
-	if c.Base != AnyBase && c.Base != p.Revision {
-		return d, "", "", errors.Wrapf(ErrConflict, "the change is based on revision %d, but revision %d is in force", c.Base, p.Revision)
+	if c.BaseRevision != AnyBase && c.BaseRevision != p.Revision {
+		return d, "", "", errors.Wrapf(ErrConflict, "the change is based on revision %d, but revision %d is in force", c.BaseRevision, p.Revision)
 	}
 	if c.Source.Catalog.Team != c.Team {
 		return d, "", "", errors.Newf("the policy's catalog names team %q, want %q", c.Source.Catalog.Team, c.Team)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -42,7 +42,7 @@
 	c := Change{
 		ID: fmt.Sprint("id", rapid.IntRange(0, 40).Draw(t, "id")), Team: "t", Who: "op", At: now, Version: v,
 		Action: rapid.SampledFrom([]audit.Action{audit.Accept, audit.Withdraw, audit.Reinstate, audit.StartRoll, audit.StepRoll, audit.TripRoll, audit.HaltRoll, audit.RotateKeys}).Draw(t, "action"),
-		Base:   rapid.SampledFrom([]uint64{AnyBase, d.Part("t").Revision, 0, 1}).Draw(t, "base"),
+		BaseRevision:   rapid.SampledFrom([]uint64{AnyBase, d.Part("t").Revision, 0, 1}).Draw(t, "base"),
 		Source: source("t", "m"), Key: session.NewKey(),
 	}
 	c.Rollout, _ = rollout.New(version.New("m", "1"), v, []int{100, rollout.FullShare}, now, time.Second)
@@ -115,7 +115,7 @@
 // Guards against invalid changes that alter the document instead of returning an
 // error.
 func TestApplyRefusesInvalidChanges(t *testing.T) {
-	d, _, err := Document{}.Apply(Change{ID: "1", Team: "t", Action: audit.Accept, Base: AnyBase, Source: source("t", "m")})
+	d, _, err := Document{}.Apply(Change{ID: "1", Team: "t", Action: audit.Accept, BaseRevision: AnyBase, Source: source("t", "m")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,10 +125,10 @@
 		name   string
 		change Change
 	}{
-		{"a base other than the revision in force", Change{ID: "2", Team: "t", Action: audit.Accept, Base: 7, Source: source("t", "m")}},
-		{"another team's policy", Change{ID: "2", Team: "u", Action: audit.Accept, Base: AnyBase, Source: source("t", "m")}},
-		{"another team's model", Change{ID: "2", Team: "u", Action: audit.Accept, Base: AnyBase, Source: source("u", "m")}},
-		{"another team's caller key", Change{ID: "2", Team: "u", Action: audit.Accept, Base: AnyBase, Source: other}},
+		{"a base other than the revision in force", Change{ID: "2", Team: "t", Action: audit.Accept, BaseRevision: 7, Source: source("t", "m")}},
+		{"another team's policy", Change{ID: "2", Team: "u", Action: audit.Accept, BaseRevision: AnyBase, Source: source("t", "m")}},
+		{"another team's model", Change{ID: "2", Team: "u", Action: audit.Accept, BaseRevision: AnyBase, Source: source("u", "m")}},
+		{"another team's caller key", Change{ID: "2", Team: "u", Action: audit.Accept, BaseRevision: AnyBase, Source: other}},
 		{"withdrawing an undeclared version", Change{ID: "2", Team: "t", Action: audit.Withdraw, Version: version.New("m", "7")}},
 		{"reinstating a version that is not withdrawn", Change{ID: "2", Team: "t", Action: audit.Reinstate, Version: version.New("m", "1")}},
 		{"a step without a roll-out", Change{ID: "2", Team: "t", Action: audit.StepRoll}},
@@ -149,11 +149,11 @@
 func TestAcceptingThePolicyInForceChangesNothing(t *testing.T) {
 	s := source("t", "m")
 	s.Files = map[string]string{"policy.star": program}
-	d, _, err := Document{}.Apply(Change{ID: "1", Team: "t", Action: audit.Accept, Base: AnyBase, Source: s})
+	d, _, err := Document{}.Apply(Change{ID: "1", Team: "t", Action: audit.Accept, BaseRevision: AnyBase, Source: s})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, e, err := d.Apply(Change{ID: "2", Team: "t", Action: audit.Accept, Base: 1, Source: s})
+	n, e, err := d.Apply(Change{ID: "2", Team: "t", Action: audit.Accept, BaseRevision: 1, Source: s})
 	if err != nil || e != nil || n.Revision != d.Revision {
 		t.Errorf("got revision %d, entry %v, error %v; want revision %d, no entry and no error", n.Revision, e, err, d.Revision)
 	}
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -45,7 +45,7 @@
 	f := maps.Clone(files)
 	f[policyfile.ProgramFile] += "# " + id + "\n"
 	s, _ := policyfile.Parse(f)
-	return config.Change{ID: id, Team: "t", Who: "op", Action: audit.Accept, Base: base, Source: s}
+	return config.Change{ID: id, Team: "t", Who: "op", Action: audit.Accept, BaseRevision: base, Source: s}
 }
 
 // Guards against a request with an idempotency key that is sent twice. Nodes whose
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -115,7 +115,7 @@
 	for _, v := range versions {
 		c.Versions = append(c.Versions, catalog.Version{ID: v, CostOut: 1000})
 	}
-	d, _, err := config.Document{}.Apply(config.Change{ID: "1", Team: "t", Action: audit.Accept, Base: config.AnyBase, Source: policy.Source{Program: policyProgram, Catalog: c}})
+	d, _, err := config.Document{}.Apply(config.Change{ID: "1", Team: "t", Action: audit.Accept, BaseRevision: config.AnyBase, Source: policy.Source{Program: policyProgram, Catalog: c}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/faults/deployment_test.go
+++ b/faults/deployment_test.go
@@ -100,7 +100,7 @@
 	if len(e) > 0 {
 		panic(e[0])
 	}
-	return config.Change{ID: id, Team: "t", Who: "op", Why: note, Action: audit.Accept, Base: base, Source: s, Key: session.Key{ID: "k1", Secret: []byte("secret")}}
+	return config.Change{ID: id, Team: "t", Who: "op", Why: note, Action: audit.Accept, BaseRevision: base, Source: s, Key: session.Key{ID: "k1", Secret: []byte("secret")}}
 }
 
 // deployment is a small system under test with its clients, the requests that they
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -242,7 +242,7 @@
 		policyfile.CasesFile:   "",
 	}
 	source, _ := policyfile.Parse(files)
-	return config.Change{ID: fmt.Sprint("c", n), Team: "t", Who: "measure", Why: "measure", At: time.Now(), Action: audit.Accept, Base: config.AnyBase, Source: source, Key: session.NewKey()}
+	return config.Change{ID: fmt.Sprint("c", n), Team: "t", Who: "measure", Why: "measure", At: time.Now(), Action: audit.Accept, BaseRevision: config.AnyBase, Source: source, Key: session.NewKey()}
 }
 
 // futureRevision is the configuration revision that the simulated entries report. It
