--- a/config/active.go
+++ b/config/active.go
@@ -86,8 +86,8 @@
 // Revision returns the document's revision.
 func (a *Active) Revision() uint64 { return a.doc.Revision }
 
-// Ring returns the key ring that signs and verifies session tokens.
-func (a *Active) Ring() session.Ring { return a.sessionKeys }
+// SessionKeys returns the key ring that signs and verifies session tokens.
+func (a *Active) SessionKeys() session.Ring { return a.sessionKeys }
 
 // Caller returns the customer whose API key this is.
 func (a *Active) Caller(key string) (Caller, bool) {
--- a/faults/client_test.go
+++ b/faults/client_test.go
@@ -154,7 +154,7 @@
 	q := entry.Request{ID: s.id, Caller: c, Task: "chat", Size: policy.Small, Model: entry.AutoModel, Body: world.ChatBody(s.id), Deadline: time.Now().Add(requestTimeout)}
 	q.Session = session.New(thread, "", time.Now().Add(24*time.Hour))
 	if token != "" {
-		o, err := v.Active.Ring().Open(token, time.Now())
+		o, err := v.Active.SessionKeys().Open(token, time.Now())
 		if err != nil {
 			d.reportViolation("%s: session token was rejected: %v", s.id, err)
 		}
@@ -172,7 +172,7 @@
 	if d.sessionTokens[thread] != sent {
 		return
 	}
-	d.sessionTokens[thread] = i.View.Get().Active.Ring().Mint(r.Session)
+	d.sessionTokens[thread] = i.View.Get().Active.SessionKeys().Mint(r.Session)
 	if p, ok := r.Session.Pin("cheap"); ok {
 		l := d.sessionVersions[thread]
 		if len(l) == 0 || l[len(l)-1] != p {
