--- a/config/active.go
+++ b/config/active.go
@@ -124,10 +124,10 @@
 	return t.Decide(c.Customer.Name, task, z)
 }
 
-// MayRun reports whether new requests of the caller may be sent to the version:
+// IsAllowed reports whether new requests of the caller may be sent to the version:
 // the policy allows it and it is not withdrawn. It must be checked at each
 // dispatch, since a version can be withdrawn while a request waits.
-func (a *Active) MayRun(c Caller, v version.ID) bool {
+func (a *Active) IsAllowed(c Caller, v version.ID) bool {
 	t, ok := a.tables[c.Team]
 	return ok && !a.withdrawn[v] && t.Allows(c.Customer.Name, v)
 }
@@ -150,7 +150,7 @@
 // else any that the caller may use. A tripped version is not used as a pin or as
 // the target of a roll-out.
 func (a *Active) Pick(c Caller, model string, s session.Session, tripped func(version.ID) bool) (version.ID, bool) {
-	if v, ok := s.Pin(model); ok && a.MayRun(c, v) && !tripped(v) {
+	if v, ok := s.Pin(model); ok && a.IsAllowed(c, v) && !tripped(v) {
 		return v, true
 	}
 	p := a.doc.Part(c.Team)
@@ -160,11 +160,11 @@
 	}
 	r, hasRollout := p.Rollout(model)
 	if hasRollout && r.State == rollout.Running && r.From == v && !tripped(r.To) {
-		if n := r.VersionFor(s.ID); a.MayRun(c, n) {
+		if n := r.VersionFor(s.ID); a.IsAllowed(c, n) {
 			return n, true
 		}
 	}
-	if a.MayRun(c, v) {
+	if a.IsAllowed(c, v) {
 		return v, true
 	}
 	return a.anyAllowed(c, model)
@@ -174,7 +174,7 @@
 // use.
 func (a *Active) anyAllowed(c Caller, model string) (version.ID, bool) {
 	for _, v := range a.doc.Part(c.Team).Source.Catalog.Versions {
-		if v.ID.Model == model && a.MayRun(c, v.ID) {
+		if v.ID.Model == model && a.IsAllowed(c, v.ID) {
 			return v.ID, true
 		}
 	}
@@ -185,7 +185,7 @@
 func (a *Active) Models(c Caller) []version.ID {
 	var r []version.ID
 	for _, v := range a.doc.Part(c.Team).Source.Catalog.Versions {
-		if a.MayRun(c, v.ID) {
+		if a.IsAllowed(c, v.ID) {
 			r = append(r, v.ID)
 		}
 	}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -99,7 +99,7 @@
 	for n := range 20 {
 		s := session.New(fmt.Sprint(n), "c", time.Time{})
 		v, ok := a.Pick(c, "m", s, func(version.ID) bool { return false })
-		if ok && !a.MayRun(c, v) {
+		if ok && !a.IsAllowed(c, v) {
 			t.Fatalf("got version %s, want one that the caller may use", v)
 		}
 		if !ok {
--- a/entry/view.go
+++ b/entry/view.go
@@ -109,7 +109,7 @@
 
 // mayRun reports whether new requests of the caller may be sent to the version now.
 func (v *View) mayRun(c config.Caller, x version.ID) bool {
-	return v.Active.MayRun(c, x) && !v.IsTripped(x)
+	return v.Active.IsAllowed(c, x) && !v.IsTripped(x)
 }
 
 // CurrentView holds the view in force and replaces it atomically.
