--- a/config/active.go
+++ b/config/active.go
@@ -132,8 +132,8 @@
 	return ok && !a.withdrawn[v] && t.Allows(c.Customer.Name, v)
 }
 
-// Cost returns the version's declaration, which has the prices of a call.
-func (a *Active) Cost(v version.ID) catalog.Version { return a.declarations[v] }
+// Declaration returns the version's declaration, which has the prices of a call.
+func (a *Active) Declaration(v version.ID) catalog.Version { return a.declarations[v] }
 
 // Withdrawn lists the withdrawn versions of all teams.
 func (a *Active) Withdrawn() []version.ID {
--- a/entry/router.go
+++ b/entry/router.go
@@ -215,7 +215,7 @@
 	if !ok {
 		return 0
 	}
-	c := v.Active.Cost(x)
+	c := v.Active.Declaration(x)
 	return float64(c.CostIn + c.CostOut)
 }
 
@@ -411,7 +411,7 @@
 
 // price is the amount billed for one step's answer.
 func price(v *View, x version.ID, a Answer) bill.Amount {
-	c := v.Active.Cost(x).Cost(int64(a.TokensIn), int64(a.TokensOut))
+	c := v.Active.Declaration(x).Cost(int64(a.TokensIn), int64(a.TokensOut))
 	return bill.Amount{TokensIn: a.TokensIn, TokensOut: a.TokensOut, Cost: uint64(c)}
 }
 
