--- a/config/active.go
+++ b/config/active.go
@@ -144,12 +144,12 @@
 	return r
 }
 
-// Pick returns the version of the model for a caller's session: the version that
+// PickVersion returns the version of the model for a caller's session: the version that
 // the session is pinned to if the caller may still use it, else the version that
 // the share of a running roll-out assigns to the session, else the active one,
 // else any that the caller may use. A tripped version is not used as a pin or as
 // the target of a roll-out.
-func (a *Active) Pick(c Caller, model string, s session.Session, tripped func(version.ID) bool) (version.ID, bool) {
+func (a *Active) PickVersion(c Caller, model string, s session.Session, tripped func(version.ID) bool) (version.ID, bool) {
 	if v, ok := s.Pin(model); ok && a.IsAllowed(c, v) && !tripped(v) {
 		return v, true
 	}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -98,14 +98,14 @@
 	}
 	for n := range 20 {
 		s := session.New(fmt.Sprint(n), "c", time.Time{})
-		v, ok := a.Pick(c, "m", s, func(version.ID) bool { return false })
+		v, ok := a.PickVersion(c, "m", s, func(version.ID) bool { return false })
 		if ok && !a.IsAllowed(c, v) {
 			t.Fatalf("got version %s, want one that the caller may use", v)
 		}
 		if !ok {
 			continue
 		}
-		p, _ := a.Pick(c, "m", s.WithPin(v), func(version.ID) bool { return false })
+		p, _ := a.PickVersion(c, "m", s.WithPin(v), func(version.ID) bool { return false })
 		if p != v {
 			t.Fatalf("session pinned to %s: got version %s, want the pinned one", v, p)
 		}
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -17,7 +17,7 @@
 	for b.Loop() {
 		x := v.Get()
 		p := x.Active.Decide(q.Caller, q.Task, q.Size)
-		w, _ := x.Active.Pick(q.Caller, p[0].Model, session.Session{ID: "s"}, x.IsTripped)
+		w, _ := x.Active.PickVersion(q.Caller, p[0].Model, session.Session{ID: "s"}, x.IsTripped)
 		c := r.backends.take(x.byVersion[w], pool.Request{AffinityKey: "s"}, nil, now)
 		r.backends.done(c.ID, nil, now)
 	}
--- a/entry/router.go
+++ b/entry/router.go
@@ -228,7 +228,7 @@
 		}
 		return x, s, false, nil
 	}
-	x, ok := v.Active.Pick(q.Caller, model, s, v.IsTripped)
+	x, ok := v.Active.PickVersion(q.Caller, model, s, v.IsTripped)
 	if !ok {
 		return x, s, false, notRun(ModelNotAllowed, "no version of "+model+" may be used")
 	}
--- a/measure/router.go
+++ b/measure/router.go
@@ -93,7 +93,7 @@
 	currentSession := session.New("s", "c", time.Time{})
 	add("table and version (fieldvale)", func() {
 		steps := active.Decide(customer, "segment", policy.Small)
-		active.Pick(customer, steps[0].Model, currentSession, noneWithdrawn)
+		active.PickVersion(customer, steps[0].Model, currentSession, noneWithdrawn)
 	})
 	add("starlark on each request", newStarlarkCall())
 	add("expr on each request", newExprCall())
