--- a/adapter/caller/caller_test.go
+++ b/adapter/caller/caller_test.go
@@ -50,7 +50,7 @@
 	if b, err := codec.EncodeDocument(d); err != nil || len(b) == 0 {
 		t.Fatal(err)
 	}
-	a, e := config.Activate(d)
+	a, e := config.Compile(d)
 	if len(e) > 0 {
 		t.Fatal(e)
 	}
--- a/adapter/codec/codec_test.go
+++ b/adapter/codec/codec_test.go
@@ -103,7 +103,7 @@
 	f.Add([]byte(`{"parts":{"t":{"rollouts":[{"from":"a@1","to":"a@2","taken":7}]}}}`))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		if d, err := codec.DecodeDocument(b); err == nil {
-			config.Activate(d)
+			config.Compile(d)
 			d.DueSteps(noon)
 		}
 		_, _ = codec.DecodeClaim(b)
--- a/config/active.go
+++ b/config/active.go
@@ -28,9 +28,9 @@
 	Customer catalog.Customer
 }
 
-// Activate compiles the document and returns all faults found. A document whose
+// Compile compiles the document and returns all faults found. A document whose
 // policies were checked when operators submitted them has none.
-func Activate(d Document) (*Active, []error) {
+func Compile(d Document) (*Active, []error) {
 	a := &Active{
 		doc:          d,
 		sessionKeys:  session.NewRing(d.SessionKeys...),
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -88,7 +88,7 @@
 // checkPick checks that each picked version is one that the caller may use, and
 // that a pinned session keeps its version.
 func checkPick(t *rapid.T, d Document) {
-	a, e := Activate(d)
+	a, e := Compile(d)
 	if len(e) > 0 {
 		t.Fatal(e)
 	}
--- a/control/configuration.go
+++ b/control/configuration.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return false, errors.Wrap(err, "control.adopt")
 	}
-	if _, e := config.Activate(d); len(e) > 0 {
+	if _, e := config.Compile(d); len(e) > 0 {
 		return false, errors.Wrap(e[0], "control.adopt")
 	}
 	n.mu.Lock()
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, e := config.Activate(d)
+	a, e := config.Compile(d)
 	if len(e) > 0 {
 		t.Fatal(e)
 	}
@@ -264,7 +264,7 @@
 		var high uint64
 		for range rapid.IntRange(1, 20).Draw(t, "puts") {
 			d.Revision = uint64(rapid.IntRange(0, 9).Draw(t, "revision"))
-			a, _ := config.Activate(d)
+			a, _ := config.Compile(d)
 			c.Put(NewView(a, nil, nil, nil))
 			high = max(high, d.Revision)
 			if g := c.Get().Active.Revision(); g != high {
@@ -275,7 +275,7 @@
 }
 
 func TestIsReadyOnceEnginesHaveReported(t *testing.T) {
-	a, _ := config.Activate(config.Document{Revision: 1})
+	a, _ := config.Compile(config.Document{Revision: 1})
 	e := func(v ...version.ID) pool.Replica { return pool.Replica{Kind: pool.Engine, Versions: v} }
 	for _, c := range []struct {
 		name string
--- a/entry/tokentime_test.go
+++ b/entry/tokentime_test.go
@@ -47,7 +47,7 @@
 	if d, _, err = d.Apply(config.Change{ID: "start", Team: "t", Action: audit.StartRoll, Rollout: o, At: time.Now()}); err != nil {
 		t.Fatal(err)
 	}
-	a, e := config.Activate(d)
+	a, e := config.Compile(d)
 	if len(e) > 0 {
 		t.Fatal(e)
 	}
--- a/measure/router.go
+++ b/measure/router.go
@@ -63,7 +63,7 @@
 	if len(faults) > 0 {
 		return nil, faults[0]
 	}
-	active, faults := config.Activate(config.Document{Revision: 1, SessionKeys: []session.Key{session.NewKey()}, Parts: map[string]config.Part{"t": {Team: "t", Source: source}}})
+	active, faults := config.Compile(config.Document{Revision: 1, SessionKeys: []session.Key{session.NewKey()}, Parts: map[string]config.Part{"t": {Team: "t", Source: source}}})
 	if len(faults) > 0 {
 		return nil, faults[0]
 	}
--- a/process/syncer.go
+++ b/process/syncer.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a, x := config.Activate(d)
+	a, x := config.Compile(d)
 	if len(x) > 0 {
 		return nil, x[0]
 	}
