--- a/adapter/caller/server.go
+++ b/adapter/caller/server.go
@@ -151,7 +151,7 @@
 type call struct {
 	id       string
 	caller   config.Caller
-	active   *config.Active
+	active   *config.Compiled
 	started  time.Time
 	deadline time.Time
 }
--- a/config/active.go
+++ b/config/active.go
@@ -10,9 +10,9 @@
 	"fieldvale/version"
 )
 
-// Active is a compiled configuration document: its policies are compiled and its
+// Compiled is a compiled configuration document: its policies are compiled and its
 // caller keys indexed. It is immutable and shared by all requests of an entry.
-type Active struct {
+type Compiled struct {
 	doc          Document
 	sessionKeys  session.Ring
 	callers      map[string]Caller
@@ -30,8 +30,8 @@
 
 // Compile compiles the document and returns all faults found. A document whose
 // policies were checked when operators submitted them has none.
-func Compile(d Document) (*Active, []error) {
-	a := &Active{
+func Compile(d Document) (*Compiled, []error) {
+	a := &Compiled{
 		doc:          d,
 		sessionKeys:  session.NewRing(d.SessionKeys...),
 		callers:      map[string]Caller{},
@@ -49,7 +49,7 @@
 
 // addPart compiles the team's policy and indexes its customers, services and
 // versions.
-func (a *Active) addPart(p Part) []error {
+func (a *Compiled) addPart(p Part) []error {
 	t, e := policy.Compile(p.Source)
 	if len(e) > 0 {
 		return wrapErrors(e, p.Team)
@@ -81,29 +81,29 @@
 }
 
 // Document returns the document from which a was compiled.
-func (a *Active) Document() Document { return a.doc }
+func (a *Compiled) Document() Document { return a.doc }
 
 // Revision returns the document's revision.
-func (a *Active) Revision() uint64 { return a.doc.Revision }
+func (a *Compiled) Revision() uint64 { return a.doc.Revision }
 
 // SessionKeys returns the key ring that signs and verifies session tokens.
-func (a *Active) SessionKeys() session.Ring { return a.sessionKeys }
+func (a *Compiled) SessionKeys() session.Ring { return a.sessionKeys }
 
 // Caller returns the customer whose API key this is.
-func (a *Active) Caller(key string) (Caller, bool) {
+func (a *Compiled) Caller(key string) (Caller, bool) {
 	c, ok := a.callers[catalog.HashKey(key)]
 	return c, ok
 }
 
 // Service returns the team's plain service with that name.
-func (a *Active) Service(team, name string) (catalog.Service, bool) {
+func (a *Compiled) Service(team, name string) (catalog.Service, bool) {
 	s, ok := a.services[team+"/"+name]
 	return s, ok
 }
 
 // Task returns the team's declaration of the task, or the default task if the team
 // declares none of that name.
-func (a *Active) Task(team, name string) catalog.Task {
+func (a *Compiled) Task(team, name string) catalog.Task {
 	if t, ok := a.tables[team]; ok {
 		for _, k := range t.Catalog().Tasks {
 			if k.Name == name {
@@ -116,7 +116,7 @@
 
 // Decide returns the plan of the caller's team's policy for a request, or nil if
 // the team has no policy.
-func (a *Active) Decide(c Caller, task string, z policy.Size) policy.Plan {
+func (a *Compiled) Decide(c Caller, task string, z policy.Size) policy.Plan {
 	t, ok := a.tables[c.Team]
 	if !ok {
 		return nil
@@ -127,16 +127,16 @@
 // IsAllowed reports whether new requests of the caller may be sent to the version:
 // the policy allows it and it is not withdrawn. It must be checked at each
 // dispatch, since a version can be withdrawn while a request waits.
-func (a *Active) IsAllowed(c Caller, v version.ID) bool {
+func (a *Compiled) IsAllowed(c Caller, v version.ID) bool {
 	t, ok := a.tables[c.Team]
 	return ok && !a.withdrawn[v] && t.Allows(c.Customer.Name, v)
 }
 
 // Declaration returns the version's declaration, which has the prices of a call.
-func (a *Active) Declaration(v version.ID) catalog.Version { return a.declarations[v] }
+func (a *Compiled) Declaration(v version.ID) catalog.Version { return a.declarations[v] }
 
 // Withdrawn lists the withdrawn versions of all teams.
-func (a *Active) Withdrawn() []version.ID {
+func (a *Compiled) Withdrawn() []version.ID {
 	var r []version.ID
 	for _, t := range a.doc.Teams() {
 		r = append(r, a.doc.Parts[t].Withdrawn...)
@@ -149,7 +149,7 @@
 // the share of a running roll-out assigns to the session, else the active one,
 // else any that the caller may use. A tripped version is not used as a pin or as
 // the target of a roll-out.
-func (a *Active) PickVersion(c Caller, model string, s session.Session, tripped func(version.ID) bool) (version.ID, bool) {
+func (a *Compiled) PickVersion(c Caller, model string, s session.Session, tripped func(version.ID) bool) (version.ID, bool) {
 	if v, ok := s.Pin(model); ok && a.IsAllowed(c, v) && !tripped(v) {
 		return v, true
 	}
@@ -172,7 +172,7 @@
 
 // anyAllowed returns the first declared version of the model that the caller may
 // use.
-func (a *Active) anyAllowed(c Caller, model string) (version.ID, bool) {
+func (a *Compiled) anyAllowed(c Caller, model string) (version.ID, bool) {
 	for _, v := range a.doc.Part(c.Team).Source.Catalog.Versions {
 		if v.ID.Model == model && a.IsAllowed(c, v.ID) {
 			return v.ID, true
@@ -182,7 +182,7 @@
 }
 
 // Models lists the versions that the caller may use now.
-func (a *Active) Models(c Caller) []version.ID {
+func (a *Compiled) Models(c Caller) []version.ID {
 	var r []version.ID
 	for _, v := range a.doc.Part(c.Team).Source.Catalog.Versions {
 		if a.IsAllowed(c, v.ID) {
--- a/entry/view.go
+++ b/entry/view.go
@@ -18,7 +18,7 @@
 // View is an immutable snapshot of the configuration, replicas and members used for routing
 // decisions.
 type View struct {
-	Active   *config.Active
+	Active   *config.Compiled
 	Replicas []*pool.Replica
 	Members  []peer.Member
 	Tripped  map[version.ID]bool
@@ -33,7 +33,7 @@
 
 // NewView builds a view and its indexes. a may be nil, in which case no request can be served
 // yet.
-func NewView(a *config.Active, r []pool.Replica, m []peer.Member, tripped []version.ID) *View {
+func NewView(a *config.Compiled, r []pool.Replica, m []peer.Member, tripped []version.ID) *View {
 	l := make([]*pool.Replica, len(r))
 	for i := range r {
 		l[i] = &r[i]
@@ -42,7 +42,7 @@
 }
 
 // NewViewOf is like NewView for replicas that several views share.
-func NewViewOf(a *config.Active, r []*pool.Replica, m []peer.Member, tripped []version.ID) *View {
+func NewViewOf(a *config.Compiled, r []*pool.Replica, m []peer.Member, tripped []version.ID) *View {
 	v := &View{
 		Active:    a,
 		Replicas:  r,
@@ -74,7 +74,7 @@
 }
 
 // WithActive returns a copy of v with another configuration.
-func (v *View) WithActive(a *config.Active) *View {
+func (v *View) WithActive(a *config.Compiled) *View {
 	n := *v
 	n.Active = a
 	return &n
--- a/measure/router.go
+++ b/measure/router.go
@@ -58,7 +58,7 @@
 }
 
 // newActiveConfig compiles the policy and returns a configuration with it in force.
-func newActiveConfig() (*config.Active, error) {
+func newActiveConfig() (*config.Compiled, error) {
 	source, faults := policyfile.Parse(benchPolicyFiles())
 	if len(faults) > 0 {
 		return nil, faults[0]
--- a/process/syncer.go
+++ b/process/syncer.go
@@ -126,7 +126,7 @@
 
 // decodeAndActivate returns the configuration in an encoded document, or the first error that
 // prevents its use.
-func decodeAndActivate(b []byte) (*config.Active, error) {
+func decodeAndActivate(b []byte) (*config.Compiled, error) {
 	d, err := codec.DecodeDocument(b)
 	if err != nil {
 		return nil, err
