--- a/adapter/settings/control.go
+++ b/adapter/settings/control.go
@@ -117,7 +117,7 @@
 	d := control.DefaultTimes()
 	return control.Times{
 		Exchange:    s.Duration("exchange", d.Exchange),
-		Beat:        s.Duration("beat", d.Beat),
+		Heartbeat:        s.Duration("beat", d.Heartbeat),
 		BeatPerPeer: s.Duration("beat_per_peer", d.BeatPerPeer),
 		List:        s.Duration("list", d.List),
 		Load:        s.Duration("load", d.Load),
--- a/control/configuration.go
+++ b/control/configuration.go
@@ -75,7 +75,7 @@
 func (n *Node) watchStore(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !n.isWatcher() {
-			n.sleep(ctx, n.Times.Beat)
+			n.sleep(ctx, n.Times.Heartbeat)
 			continue
 		}
 		n.mu.Lock()
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -270,7 +270,7 @@
 			n.table.Put(peer.Item{Key: k, Version: 1, Expires: time.Now().Add(time.Hour)}, "", time.Now())
 		}
 		for range 120 {
-			time.Sleep(n.Times.Beat)
+			time.Sleep(n.Times.Heartbeat)
 			n.publishHeartbeatIfDue()
 			i, ok := n.table.Get(peer.Key{Kind: peer.Instance, Name: "n"}, time.Now())
 			if !ok || time.Until(i.Expires) < i.Expires.Sub(time.Unix(0, int64(i.Version)))/2 {
--- a/control/node.go
+++ b/control/node.go
@@ -44,8 +44,8 @@
 type Times struct {
 	// Exchange is the interval between rounds of exchanges with peers.
 	Exchange time.Duration
-	// Beat is the interval between heartbeats in a small fleet.
-	Beat time.Duration
+	// Heartbeat is the interval between heartbeats in a small fleet.
+	Heartbeat time.Duration
 	// BeatPerPeer is the least interval between heartbeats per item of the peer
 	// table, which stretches the interval in a large fleet.
 	BeatPerPeer time.Duration
@@ -71,7 +71,7 @@
 // DefaultTimes returns values for fleets of 7 to 350 instances.
 func DefaultTimes() Times {
 	return Times{
-		Exchange: 500 * time.Millisecond, Beat: 2 * time.Second, BeatPerPeer: 60 * time.Millisecond,
+		Exchange: 500 * time.Millisecond, Heartbeat: 2 * time.Second, BeatPerPeer: 60 * time.Millisecond,
 		List: 2 * time.Second, Load: 2 * time.Second, Poll: 30 * time.Second, Flush: 10 * time.Second,
 		Orphan: 15 * time.Second, Takeover: 2 * time.Second, Call: 2 * time.Second,
 	}
@@ -221,7 +221,7 @@
 		n.loopEvery(&n.Times.Poll, n.pollStore),
 		n.fetchDocuments,
 		n.exchangeRounds,
-		n.loopEvery(&n.Times.Beat, func(context.Context) { n.publishHeartbeatIfDue() }),
+		n.loopEvery(&n.Times.Heartbeat, func(context.Context) { n.publishHeartbeatIfDue() }),
 		n.loopEvery(&n.Times.List, n.readList),
 		n.loopEvery(&n.Times.Load, n.readLoads),
 		n.loopEvery(&n.Times.Load, n.orderUnloads),
