--- a/adapter/settings/control.go
+++ b/adapter/settings/control.go
@@ -118,7 +118,7 @@
 	return control.Times{
 		Exchange:    s.Duration("exchange", d.Exchange),
 		Heartbeat:        s.Duration("beat", d.Heartbeat),
-		BeatPerPeer: s.Duration("beat_per_peer", d.BeatPerPeer),
+		HeartbeatPerItem: s.Duration("beat_per_peer", d.HeartbeatPerItem),
 		List:        s.Duration("list", d.List),
 		Load:        s.Duration("load", d.Load),
 		Poll:        s.Duration("poll", d.Poll),
--- a/control/membership.go
+++ b/control/membership.go
@@ -54,7 +54,7 @@
 // items in the peer table, so that the heartbeats of all instances together cost
 // each instance the same at any fleet size.
 func (n *Node) heartbeatInterval() time.Duration {
-	return max(n.Times.Heartbeat, time.Duration(n.table.Len())*n.Times.BeatPerPeer)
+	return max(n.Times.Heartbeat, time.Duration(n.table.Len())*n.Times.HeartbeatPerItem)
 }
 
 // publishHeartbeatIfDue removes expired items and publishes a heartbeat if the
--- a/control/node.go
+++ b/control/node.go
@@ -46,9 +46,9 @@
 	Exchange time.Duration
 	// Heartbeat is the interval between heartbeats in a small fleet.
 	Heartbeat time.Duration
-	// BeatPerPeer is the least interval between heartbeats per item of the peer
+	// HeartbeatPerItem is the least interval between heartbeats per item of the peer
 	// table, which stretches the interval in a large fleet.
-	BeatPerPeer time.Duration
+	HeartbeatPerItem time.Duration
 	// List and Load are the intervals between reads of the platform's list and
 	// of the backend servers' load.
 	List time.Duration
@@ -71,7 +71,7 @@
 // DefaultTimes returns values for fleets of 7 to 350 instances.
 func DefaultTimes() Times {
 	return Times{
-		Exchange: 500 * time.Millisecond, Heartbeat: 2 * time.Second, BeatPerPeer: 60 * time.Millisecond,
+		Exchange: 500 * time.Millisecond, Heartbeat: 2 * time.Second, HeartbeatPerItem: 60 * time.Millisecond,
 		List: 2 * time.Second, Load: 2 * time.Second, Poll: 30 * time.Second, Flush: 10 * time.Second,
 		Orphan: 15 * time.Second, Takeover: 2 * time.Second, Call: 2 * time.Second,
 	}
