--- a/adapter/settings/control.go
+++ b/adapter/settings/control.go
@@ -123,7 +123,7 @@
 		Load:        s.Duration("load", d.Load),
 		Poll:        s.Duration("poll", d.Poll),
 		Flush:       s.Duration("flush", d.Flush),
-		Orphan:      s.Duration("orphan", d.Orphan),
+		OrphanDelay:      s.Duration("orphan", d.OrphanDelay),
 		Takeover:    s.Duration("takeover", d.Takeover),
 		Call:        s.Duration("call", d.Call),
 	}
--- a/control/bills.go
+++ b/control/bills.go
@@ -198,7 +198,7 @@
 			n.ownersSeenAt[o] = t
 			continue
 		}
-		if !t.Before(s.Add(n.Times.Orphan)) {
+		if !t.Before(s.Add(n.Times.OrphanDelay)) {
 			r[o] = l
 		}
 	}
--- a/control/node.go
+++ b/control/node.go
@@ -58,9 +58,9 @@
 	Poll time.Duration
 	// Flush is the interval between writes of a ledger.
 	Flush time.Duration
-	// Orphan is how long an entry must be missing before its holders add its
+	// OrphanDelay is how long an entry must be missing before its holders add its
 	// bills to the ledger in the store.
-	Orphan time.Duration
+	OrphanDelay time.Duration
 	// Takeover is the extra delay, per rank, before an instance takes over a duty
 	// from those that rank above it.
 	Takeover time.Duration
@@ -73,7 +73,7 @@
 	return Times{
 		Exchange: 500 * time.Millisecond, Heartbeat: 2 * time.Second, HeartbeatPerItem: 60 * time.Millisecond,
 		List: 2 * time.Second, Load: 2 * time.Second, Poll: 30 * time.Second, Flush: 10 * time.Second,
-		Orphan: 15 * time.Second, Takeover: 2 * time.Second, Call: 2 * time.Second,
+		OrphanDelay: 15 * time.Second, Takeover: 2 * time.Second, Call: 2 * time.Second,
 	}
 }
 
--- a/faults/deployment_test.go
+++ b/faults/deployment_test.go
@@ -141,7 +141,7 @@
 // times returns the default times with shorter intervals for bills and polling.
 func times() control.Times {
 	t := control.DefaultTimes()
-	t.Flush, t.Orphan, t.Poll = 2*time.Second, 8*time.Second, 5*time.Second
+	t.Flush, t.OrphanDelay, t.Poll = 2*time.Second, 8*time.Second, 5*time.Second
 	return t
 }
 
