--- a/adapter/settings/control.go
+++ b/adapter/settings/control.go
@@ -124,7 +124,7 @@
 		Poll:        s.Duration("poll", d.Poll),
 		Flush:       s.Duration("flush", d.Flush),
 		OrphanDelay:      s.Duration("orphan", d.OrphanDelay),
-		Takeover:    s.Duration("takeover", d.Takeover),
+		TakeoverDelay:    s.Duration("takeover", d.TakeoverDelay),
 		Call:        s.Duration("call", d.Call),
 	}
 }
--- a/control/node.go
+++ b/control/node.go
@@ -61,9 +61,9 @@
 	// OrphanDelay is how long an entry must be missing before its holders add its
 	// bills to the ledger in the store.
 	OrphanDelay time.Duration
-	// Takeover is the extra delay, per rank, before an instance takes over a duty
+	// TakeoverDelay is the extra delay, per rank, before an instance takes over a duty
 	// from those that rank above it.
-	Takeover time.Duration
+	TakeoverDelay time.Duration
 	// Call is the timeout of one call to the store, the platform or a peer.
 	Call time.Duration
 }
@@ -73,7 +73,7 @@
 	return Times{
 		Exchange: 500 * time.Millisecond, Heartbeat: 2 * time.Second, HeartbeatPerItem: 60 * time.Millisecond,
 		List: 2 * time.Second, Load: 2 * time.Second, Poll: 30 * time.Second, Flush: 10 * time.Second,
-		OrphanDelay: 15 * time.Second, Takeover: 2 * time.Second, Call: 2 * time.Second,
+		OrphanDelay: 15 * time.Second, TakeoverDelay: 2 * time.Second, Call: 2 * time.Second,
 	}
 }
 
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -32,7 +32,7 @@
 // which is later the lower the instance ranks for the duty.
 func (n *Node) turnAt(duty string, due time.Time) time.Time {
 	i := peer.Position(duty, n.Self.ID, n.Members())
-	return due.Add(time.Duration(max(0, i)) * n.Times.Takeover)
+	return due.Add(time.Duration(max(0, i)) * n.Times.TakeoverDelay)
 }
 
 // isTripped reports whether the version's roll-out has tripped.
