--- a/adapter/settings/control.go
+++ b/adapter/settings/control.go
@@ -125,7 +125,7 @@
 		Flush:       s.Duration("flush", d.Flush),
 		OrphanDelay:      s.Duration("orphan", d.OrphanDelay),
 		TakeoverDelay:    s.Duration("takeover", d.TakeoverDelay),
-		Call:        s.Duration("call", d.Call),
+		CallTimeout:        s.Duration("call", d.CallTimeout),
 	}
 }
 
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -35,7 +35,7 @@
 // newTestNode returns a node with the id and the store, and a short call timeout.
 func newTestNode(id string, s *kv.Fake) *Node {
 	t := DefaultTimes()
-	t.Call = 50 * time.Millisecond
+	t.CallTimeout = 50 * time.Millisecond
 	return New(Parts{Self: peer.Member{ID: id, DataCentre: "dc"}, Incarnation: id + "/1", Store: s, Clock: time.Now, Times: t})
 }
 
--- a/control/node.go
+++ b/control/node.go
@@ -64,8 +64,8 @@
 	// TakeoverDelay is the extra delay, per rank, before an instance takes over a duty
 	// from those that rank above it.
 	TakeoverDelay time.Duration
-	// Call is the timeout of one call to the store, the platform or a peer.
-	Call time.Duration
+	// CallTimeout is the timeout of one call to the store, the platform or a peer.
+	CallTimeout time.Duration
 }
 
 // DefaultTimes returns values for fleets of 7 to 350 instances.
@@ -73,7 +73,7 @@
 	return Times{
 		Exchange: 500 * time.Millisecond, Heartbeat: 2 * time.Second, HeartbeatPerItem: 60 * time.Millisecond,
 		List: 2 * time.Second, Load: 2 * time.Second, Poll: 30 * time.Second, Flush: 10 * time.Second,
-		OrphanDelay: 15 * time.Second, TakeoverDelay: 2 * time.Second, Call: 2 * time.Second,
+		OrphanDelay: 15 * time.Second, TakeoverDelay: 2 * time.Second, CallTimeout: 2 * time.Second,
 	}
 }
 
@@ -259,7 +259,7 @@
 
 // call returns a context with the timeout of one call.
 func (n *Node) call(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, n.Times.Call)
+	return context.WithTimeout(ctx, n.Times.CallTimeout)
 }
 
 // stopRetryDelay is the delay between flushes while a stopping node waits for the
