--- a/control/node.go
+++ b/control/node.go
@@ -22,8 +22,8 @@
 	"fieldvale/version"
 )
 
-// Peers is a client for other instances' control processes.
-type Peers interface {
+// PeerClient is a client for other instances' control processes.
+type PeerClient interface {
 	Exchange(ctx context.Context, m peer.Member, q peer.Message) (peer.Reply, error)
 	// Document returns the peer's encoded configuration, or nil if its revision
 	// is not higher than above.
@@ -82,7 +82,7 @@
 	Self        peer.Member
 	Incarnation string
 	Store       store.Store
-	Peers       Peers
+	Peers       PeerClient
 	Platform    Platform
 	Clock       func() time.Time
 	Times       Times
