--- a/control/node.go
+++ b/control/node.go
@@ -32,9 +32,9 @@
 	HandOver(ctx context.Context, m peer.Member, r []bill.Record) error
 }
 
-// Platform is a client for the platform: it returns the list of instances and
+// PlatformClient is a client for the platform: it returns the list of instances and
 // replicas and a replica's load, and orders a replica to unload a version.
-type Platform interface {
+type PlatformClient interface {
 	Instances(ctx context.Context) (platform.InstanceList, error)
 	Load(ctx context.Context, r pool.Replica) (platform.EngineReport, error)
 	Unload(ctx context.Context, r pool.Replica, v version.ID, fence uint64) error
@@ -83,7 +83,7 @@
 	Incarnation string
 	Store       store.Store
 	Peers       PeerClient
-	Platform    Platform
+	Platform    PlatformClient
 	Clock       func() time.Time
 	Times       Times
 	Rates       rollout.Rates
