--- a/control/control_test.go
+++ b/control/control_test.go
@@ -36,7 +36,7 @@
 func newTestNode(id string, s *kv.Fake) *Node {
 	t := DefaultTimes()
 	t.CallTimeout = 50 * time.Millisecond
-	return New(Parts{Self: peer.Member{ID: id, DataCentre: "dc"}, Incarnation: id + "/1", Store: s, Clock: time.Now, Times: t})
+	return New(Options{Self: peer.Member{ID: id, DataCentre: "dc"}, Incarnation: id + "/1", Store: s, Clock: time.Now, Times: t})
 }
 
 // accept returns a change that submits a policy of its own for team t, based on the
--- a/control/node.go
+++ b/control/node.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// Parts are the dependencies and settings of a node.
-type Parts struct {
+// Options are the dependencies and settings of a node.
+type Options struct {
 	Self        peer.Member
 	Incarnation string
 	Store       store.Store
@@ -94,7 +94,7 @@
 
 // Node is the control process of one instance. It is safe for concurrent use.
 type Node struct {
-	Parts
+	Options
 
 	mu sync.Mutex
 	// doc is the configuration document in force and encodedDoc its encoded form.
@@ -167,9 +167,9 @@
 
 // New returns a node without configuration, members or replicas, and with its
 // first heartbeat in the peer table.
-func New(p Parts) *Node {
+func New(p Options) *Node {
 	n := &Node{
-		Parts:          p,
+		Options:          p,
 		doc:            config.Document{},
 		table:          peer.NewTable(),
 		cursors:        map[string]peer.Cursor{},
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -134,7 +134,7 @@
 	}
 	for i, member := range f.list.Members {
 		fake := kv.NewFake(store)
-		node := control.New(control.Parts{
+		node := control.New(control.Options{
 			Self: member, Incarnation: member.ID + "/1", Store: fake, Peers: rpc.NewPeers(fleetKey),
 			Platform: fleetPlatform{platform.New(httpconn.New(), "", ""), f}, Clock: time.Now, Times: control.DefaultTimes(), Rates: rollout.DefaultRates(),
 		})
--- a/process/control.go
+++ b/process/control.go
@@ -38,7 +38,7 @@
 	k := etcd.New(s.StoreAddr)
 	n := c.metrics.Counter("store_calls_total", "Calls to the platform's store.", "method")
 	k.OnRequest = func(method string) { n.WithLabelValues(method).Inc() }
-	c.node = control.New(control.Parts{
+	c.node = control.New(control.Options{
 		Self:        peer.Member{ID: s.ID, Addr: s.PeerAddr, DataCentre: s.DataCentre},
 		Incarnation: uuid.NewString(),
 		Store:       k,
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -153,7 +153,7 @@
 // incarnation unique.
 func (w *World) startControl(i *Instance, n int) {
 	p := i.Control
-	i.Node = control.New(control.Parts{
+	i.Node = control.New(control.Options{
 		Self: peer.Member{ID: i.ID, Addr: i.ID, DataCentre: i.DataCentre}, Incarnation: fmt.Sprintf("%s/c%d", i.ID, n),
 		Store: &storeClient{w, p}, Peers: &peerClient{w, p}, Platform: &platformClient{w, p}, Clock: time.Now, Times: w.Times,
 		Rates: rollout.DefaultRates(), Log: func(event string, f ...any) { w.log(i.ID, event, f...) },
@@ -323,7 +323,7 @@
 // Billed returns the sums of all ledgers in the store, or nil if they cannot be
 // read.
 func (w *World) Billed(ctx context.Context) map[bill.Line]bill.Amount {
-	n := control.New(control.Parts{Self: peer.Member{ID: "reader"}, Store: kv.NewFake(w.Store), Clock: time.Now, Times: w.Times})
+	n := control.New(control.Options{Self: peer.Member{ID: "reader"}, Store: kv.NewFake(w.Store), Clock: time.Now, Times: w.Times})
 	m, err := n.Bills(ctx, "")
 	if err != nil {
 		return nil
