--- a/adapter/rpc/admin.go
+++ b/adapter/rpc/admin.go
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, changeError(err)
 	}
-	w := &fieldvalev1.ChangeResponse{Revision: r.Revision, RepeatedChange: r.Repeated}
+	w := &fieldvalev1.ChangeResponse{Revision: r.Revision, RepeatedChange: r.AlreadyApplied}
 	w.InForce, w.NotInForce = s.awaitInForce(ctx, r.Revision)
 	return w, nil
 }
--- a/control/change.go
+++ b/control/change.go
@@ -24,8 +24,8 @@
 // Changed is the result of a configuration change.
 type Changed struct {
 	Revision uint64
-	// Repeated reports that the configuration already had the change.
-	Repeated bool
+	// AlreadyApplied reports that the configuration already had the change.
+	AlreadyApplied bool
 }
 
 // Change validates a configuration change, writes it and its audit entry to the
@@ -85,7 +85,7 @@
 	}
 	if e == nil {
 		n.handleStoredDocument(ctx, p)
-		return Changed{Revision: d.Revision, Repeated: true}, true, nil
+		return Changed{Revision: d.Revision, AlreadyApplied: true}, true, nil
 	}
 	return n.commit(x, p, m, *e, c.Source.Files)
 }
--- a/faults/configuration_test.go
+++ b/faults/configuration_test.go
@@ -124,7 +124,7 @@
 		c := withdrawal(cheap1)
 		n := d.instance("a1").Node
 		r, err := n.Change(ctx, c)
-		if err != nil || !r.Repeated {
+		if err != nil || !r.AlreadyApplied {
 			t.Errorf("change: got %+v, %v; want Repeated, since the write took effect", r, err)
 		}
 		d.w.SetStoreFault(kv.NoFault)
