--- a/control/change.go
+++ b/control/change.go
@@ -21,8 +21,8 @@
 // configuration than the instances, which first write theirs back.
 var ErrStoreOlder = errors.New("the store holds an older configuration than the instances; it is being restored, try again")
 
-// Changed is the result of a configuration change.
-type Changed struct {
+// ChangeResult is the result of a configuration change.
+type ChangeResult struct {
 	Revision uint64
 	// AlreadyApplied reports that the configuration already had the change.
 	AlreadyApplied bool
@@ -31,10 +31,10 @@
 // Change validates a configuration change, writes it and its audit entry to the
 // store in one transaction, and puts the result in force on this instance before
 // it returns. It is safe to retry with the same change id, also after an error.
-func (n *Node) Change(ctx context.Context, c config.Change) (Changed, error) {
+func (n *Node) Change(ctx context.Context, c config.Change) (ChangeResult, error) {
 	if c.Action == audit.Accept {
 		if err := checkPolicy(c.Source); err != nil {
-			return Changed{}, err
+			return ChangeResult{}, err
 		}
 	}
 	var last error
@@ -51,7 +51,7 @@
 	if last == nil {
 		last = errors.New("concurrent changes were committed first in every attempt")
 	}
-	return Changed{}, errors.Wrapf(last, "control.Change: %s", c.Action)
+	return ChangeResult{}, errors.Wrapf(last, "control.Change: %s", c.Action)
 }
 
 // checkPolicy compiles the policy and runs its test cases.
@@ -68,7 +68,7 @@
 
 // tryChange makes one attempt to commit the change. done reports that the result
 // is final and must not be retried.
-func (n *Node) tryChange(ctx context.Context, c config.Change) (r Changed, done bool, err error) {
+func (n *Node) tryChange(ctx context.Context, c config.Change) (r ChangeResult, done bool, err error) {
 	x, cancel := n.call(ctx)
 	defer cancel()
 	p, err := n.Store.Get(x, configKey)
@@ -85,7 +85,7 @@
 	}
 	if e == nil {
 		n.handleStoredDocument(ctx, p)
-		return Changed{Revision: d.Revision, AlreadyApplied: true}, true, nil
+		return ChangeResult{Revision: d.Revision, AlreadyApplied: true}, true, nil
 	}
 	return n.commit(x, p, m, *e, c.Source.Files)
 }
@@ -114,23 +114,23 @@
 // commit writes the document with its audit entry. After a lost response the
 // caller retries: the next attempt finds the change's id in the stored document
 // if the write took effect.
-func (n *Node) commit(ctx context.Context, p store.Pair, d config.Document, e audit.Entry, files map[string]string) (Changed, bool, error) {
+func (n *Node) commit(ctx context.Context, p store.Pair, d config.Document, e audit.Entry, files map[string]string) (ChangeResult, bool, error) {
 	b, err := codec.EncodeDocument(d)
 	if err != nil {
-		return Changed{}, true, err
+		return ChangeResult{}, true, err
 	}
 	a, err := codec.EncodeAudit(e, files)
 	if err != nil {
-		return Changed{}, true, err
+		return ChangeResult{}, true, err
 	}
 	w := []store.Write{{Key: configKey, Value: b}, {Key: auditKey(d.Revision), Value: a}}
 	ok, err := n.Store.Commit(ctx, []store.Guard{{Key: configKey, Version: p.Version}}, w)
 	if err != nil || !ok {
-		return Changed{}, false, err
+		return ChangeResult{}, false, err
 	}
 	n.log("config_changed", "revision", d.Revision, "team", e.Team, "who", e.Who, "action", e.Action, "from", e.From, "to", e.To, "why", e.Why)
 	_, err = n.adopt(b, false)
-	return Changed{Revision: d.Revision}, true, err
+	return ChangeResult{Revision: d.Revision}, true, err
 }
 
 func auditKey(revision uint64) string {
--- a/faults/deployment_test.go
+++ b/faults/deployment_test.go
@@ -213,7 +213,7 @@
 			}
 			c.At = time.Now()
 			y, cancel := context.WithTimeout(ctx, operatorTimeout)
-			r, err := world.CallControl(y, d.w, i, func(x context.Context, n *control.Node) (control.Changed, error) { return n.Change(x, c) })
+			r, err := world.CallControl(y, d.w, i, func(x context.Context, n *control.Node) (control.ChangeResult, error) { return n.Change(x, c) })
 			cancel()
 			if err == nil {
 				d.mu.Lock()
