--- a/adapter/rpc/peer.go
+++ b/adapter/rpc/peer.go
@@ -51,7 +51,7 @@
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
 	w := &fieldvalev1.HoldResponse{}
-	for _, v := range s.node.Hold(r, l) {
+	for _, v := range s.node.HoldRecords(r, l) {
 		w.Words = append(w.Words, &fieldvalev1.HoldWord{Repeat: v.Duplicate, Owner: v.Owner, Settled: v.Settled})
 	}
 	return w, nil
--- a/control/bills.go
+++ b/control/bills.go
@@ -29,10 +29,10 @@
 // verifyEvery is the interval between checks of an unchanged ledger in the store.
 const verifyEvery = 10 * time.Minute
 
-// Hold stores bill records r on behalf of other instances and returns one
+// HoldRecords stores bill records r on behalf of other instances and returns one
 // result per record. It also deletes the records in release, which their owner
 // has found to be duplicates.
-func (n *Node) Hold(r []bill.Record, release []bill.Record) []bill.HoldResult {
+func (n *Node) HoldRecords(r []bill.Record, release []bill.Record) []bill.HoldResult {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.Clock()
--- a/standin/world/clients.go
+++ b/standin/world/clients.go
@@ -173,7 +173,7 @@
 // HandOver implements control.Peers.
 func (l *peerClient) HandOver(ctx context.Context, m peer.Member, r []bill.Record) error {
 	_, err := peerCall(ctx, l.w, l.p, m.ID, func(n *control.Node) (bool, error) {
-		n.Hold(r, nil)
+		n.HoldRecords(r, nil)
 		return true, nil
 	})
 	return err
@@ -257,14 +257,14 @@
 func (l *billClient) Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.HoldResult, error) {
 	l.w.step(StepBill, l.p)
 	return peerCall(ctx, l.w, l.p, m.ID, func(n *control.Node) (bill.HoldResult, error) {
-		return n.Hold([]bill.Record{r}, nil)[0], nil
+		return n.HoldRecords([]bill.Record{r}, nil)[0], nil
 	})
 }
 
 // Release implements entry.Holder.
 func (l *billClient) Release(ctx context.Context, m peer.Member, r bill.Record) error {
 	_, err := peerCall(ctx, l.w, l.p, m.ID, func(n *control.Node) (bool, error) {
-		n.Hold(nil, []bill.Record{r})
+		n.HoldRecords(nil, []bill.Record{r})
 		return true, nil
 	})
 	return err
