--- a/control/bills.go
+++ b/control/bills.go
@@ -277,8 +277,8 @@
 	return r, nil
 }
 
-// Held returns the number of bill records held for other instances.
-func (n *Node) Held() int {
+// HeldRecords returns the number of bill records held for other instances.
+func (n *Node) HeldRecords() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.heldBills.Len()
--- a/process/control.go
+++ b/process/control.go
@@ -62,7 +62,7 @@
 		return float64(d.Revision)
 	})
 	c.metrics.GaugeFunc("members", "Live instances known.", func() float64 { return float64(len(c.node.Members())) })
-	c.metrics.GaugeFunc("bill_records_held", "Bill records held for other instances.", func() float64 { return float64(c.node.Held()) })
+	c.metrics.GaugeFunc("bill_records_held", "Bill records held for other instances.", func() float64 { return float64(c.node.HeldRecords()) })
 	c.metrics.GaugeFunc("alarms", "Alarms of this instance; fieldvale status tells them in words.", func() float64 {
 		for _, h := range c.node.Instances() {
 			if h.ID == c.settings.ID {
