--- a/adapter/rpc/admin.go
+++ b/adapter/rpc/admin.go
@@ -301,7 +301,7 @@
 	if !a.mayRead(q.Team) {
 		return nil, permissionDenied(a, "read", q.Team)
 	}
-	m, err := s.node.Bills(ctx, q.Team)
+	m, err := s.node.BillTotals(ctx, q.Team)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
--- a/control/bills.go
+++ b/control/bills.go
@@ -253,9 +253,9 @@
 	return nil
 }
 
-// Bills returns the totals of all ledgers in the store, restricted to the team
+// BillTotals returns the totals of all ledgers in the store, restricted to the team
 // unless it is empty.
-func (n *Node) Bills(ctx context.Context, team string) (map[bill.Line]bill.Amount, error) {
+func (n *Node) BillTotals(ctx context.Context, team string) (map[bill.Line]bill.Amount, error) {
 	x, cancel := n.call(ctx)
 	defer cancel()
 	p, err := n.Store.List(x, billPrefix, 0)
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -252,7 +252,7 @@
 		f.SetFault(kv.Down)
 		time.AfterFunc(time.Minute, func() { f.SetFault(kv.NoFault) })
 		n.Stop(t.Context())
-		m, err := n.Bills(t.Context(), "")
+		m, err := n.BillTotals(t.Context(), "")
 		if err != nil || m[line].Requests != 1 {
 			t.Errorf("got totals %v, %v; want one request billed", m, err)
 		}
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -324,7 +324,7 @@
 // read.
 func (w *World) Billed(ctx context.Context) map[bill.Line]bill.Amount {
 	n := control.New(control.Options{Self: peer.Member{ID: "reader"}, Store: kv.NewFake(w.Store), Clock: time.Now, Times: w.Times})
-	m, err := n.Bills(ctx, "")
+	m, err := n.BillTotals(ctx, "")
 	if err != nil {
 		return nil
 	}
