--- a/adapter/rpc/local.go
+++ b/adapter/rpc/local.go
@@ -29,7 +29,7 @@
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
 	r := control.Report{
-		Incarnation: q.Incarnation, Revision: q.Revision, View: q.ViewVersion, Control: q.Control,
+		Incarnation: q.Incarnation, Revision: q.Revision, View: q.ViewVersion, ControlIncarnation: q.Control,
 		Ledger: l, AloneUpto: q.AloneUpto, Evidence: evidenceFromWire(q.Evidence), Running: map[string]int{}, Stopping: q.Stopping,
 	}
 	for _, x := range q.LocalLoads {
@@ -92,7 +92,7 @@
 // Sync sends the entry's report and returns the changes that the entry does not have yet.
 func (l *Local) Sync(ctx context.Context, r control.Report) (control.Update, error) {
 	q := &fieldvalev1.SyncRequest{
-		Incarnation: r.Incarnation, Revision: r.Revision, ViewVersion: r.View, Control: r.Control,
+		Incarnation: r.Incarnation, Revision: r.Revision, ViewVersion: r.View, Control: r.ControlIncarnation,
 		Ledger: ledgerToWire(r.Ledger), AloneUpto: r.AloneUpto, Evidence: evidenceToWire(r.Evidence), Stopping: r.Stopping,
 	}
 	for k, n := range r.Running {
--- a/control/sync.go
+++ b/control/sync.go
@@ -18,8 +18,8 @@
 	// View is the number of the last view that the entry received. Each control
 	// incarnation counts its own views.
 	View uint64
-	// Control is the control incarnation that sent that view.
-	Control string
+	// ControlIncarnation is the control incarnation that sent that view.
+	ControlIncarnation string
 	Ledger  bill.Ledger
 	// AloneUpto is the number of the entry's last counted bill record that no
 	// other instance holds.
@@ -77,7 +77,7 @@
 	if n.doc.Revision > r.Revision {
 		u.Document = n.encodedDoc
 	}
-	if r.Control == n.Incarnation && r.View == n.view {
+	if r.ControlIncarnation == n.Incarnation && r.View == n.view {
 		return u
 	}
 	u.Fresh = true
--- a/process/syncer.go
+++ b/process/syncer.go
@@ -70,7 +70,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	u, err := l.control.Sync(callCtx, control.Report{
-		Incarnation: l.incarnation, Revision: l.revision(), View: l.lastViewUpdate.View, Control: l.lastViewUpdate.Control,
+		Incarnation: l.incarnation, Revision: l.revision(), View: l.lastViewUpdate.View, ControlIncarnation: l.lastViewUpdate.Control,
 		Ledger: l.biller.Ledger(), AloneUpto: l.biller.LastUnheldSeq(), Evidence: l.router.Evidence(), Running: l.router.InFlight(), Stopping: stopping,
 	})
 	if err != nil {
