--- a/adapter/rpc/local.go
+++ b/adapter/rpc/local.go
@@ -30,7 +30,7 @@
 	}
 	r := control.Report{
 		Incarnation: q.Incarnation, Revision: q.Revision, View: q.ViewVersion, ControlIncarnation: q.Control,
-		Ledger: l, AloneUpto: q.AloneUpto, Evidence: evidenceFromWire(q.Evidence), Running: map[string]int{}, Stopping: q.Stopping,
+		Ledger: l, LastUnheldSeq: q.AloneUpto, Evidence: evidenceFromWire(q.Evidence), Running: map[string]int{}, Stopping: q.Stopping,
 	}
 	for _, x := range q.LocalLoads {
 		r.Running[x.Replica] = int(x.Running)
@@ -93,7 +93,7 @@
 func (l *Local) Sync(ctx context.Context, r control.Report) (control.Update, error) {
 	q := &fieldvalev1.SyncRequest{
 		Incarnation: r.Incarnation, Revision: r.Revision, ViewVersion: r.View, Control: r.ControlIncarnation,
-		Ledger: ledgerToWire(r.Ledger), AloneUpto: r.AloneUpto, Evidence: evidenceToWire(r.Evidence), Stopping: r.Stopping,
+		Ledger: ledgerToWire(r.Ledger), AloneUpto: r.LastUnheldSeq, Evidence: evidenceToWire(r.Evidence), Stopping: r.Stopping,
 	}
 	for k, n := range r.Running {
 		q.LocalLoads = append(q.LocalLoads, &fieldvalev1.LocalLoad{Replica: k, Running: int32(n)})
--- a/control/sync.go
+++ b/control/sync.go
@@ -21,9 +21,9 @@
 	// ControlIncarnation is the control incarnation that sent that view.
 	ControlIncarnation string
 	Ledger  bill.Ledger
-	// AloneUpto is the number of the entry's last counted bill record that no
+	// LastUnheldSeq is the number of the entry's last counted bill record that no
 	// other instance holds.
-	AloneUpto uint64
+	LastUnheldSeq uint64
 	Evidence  map[version.ID]rollout.Outcomes
 	// Running is the number of the entry's requests in flight by replica.
 	Running map[string]int
@@ -59,7 +59,7 @@
 	t := n.Clock()
 	changed := n.entry.incarnation != r.Incarnation || n.entry.revision != r.Revision
 	n.entry = entryState{incarnation: r.Incarnation, revision: r.Revision, reportedAt: t, stopping: r.Stopping}
-	n.updateLedger(r.Ledger, r.AloneUpto)
+	n.updateLedger(r.Ledger, r.LastUnheldSeq)
 	n.local = r.Running
 	for v, e := range r.Evidence {
 		n.publishEvidence(v, e, t)
