--- a/adapter/rpc/local.go
+++ b/adapter/rpc/local.go
@@ -30,10 +30,10 @@
 	}
 	r := control.Report{
 		Incarnation: q.Incarnation, Revision: q.Revision, View: q.ViewVersion, ControlIncarnation: q.Control,
-		Ledger: l, LastUnheldSeq: q.AloneUpto, Evidence: evidenceFromWire(q.Evidence), Running: map[string]int{}, Stopping: q.Stopping,
+		Ledger: l, LastUnheldSeq: q.AloneUpto, Evidence: evidenceFromWire(q.Evidence), InFlight: map[string]int{}, Stopping: q.Stopping,
 	}
 	for _, x := range q.LocalLoads {
-		r.Running[x.Replica] = int(x.Running)
+		r.InFlight[x.Replica] = int(x.Running)
 	}
 	return updateToWire(s.node.Sync(r)), nil
 }
@@ -95,7 +95,7 @@
 		Incarnation: r.Incarnation, Revision: r.Revision, ViewVersion: r.View, Control: r.ControlIncarnation,
 		Ledger: ledgerToWire(r.Ledger), AloneUpto: r.LastUnheldSeq, Evidence: evidenceToWire(r.Evidence), Stopping: r.Stopping,
 	}
-	for k, n := range r.Running {
+	for k, n := range r.InFlight {
 		q.LocalLoads = append(q.LocalLoads, &fieldvalev1.LocalLoad{Replica: k, Running: int32(n)})
 	}
 	w, err := l.c.Sync(ctx, q)
--- a/control/sync.go
+++ b/control/sync.go
@@ -25,8 +25,8 @@
 	// other instance holds.
 	LastUnheldSeq uint64
 	Evidence  map[version.ID]rollout.Outcomes
-	// Running is the number of the entry's requests in flight by replica.
-	Running map[string]int
+	// InFlight is the number of the entry's requests in flight by replica.
+	InFlight map[string]int
 	// Stopping reports that the entry takes no new requests and finishes those
 	// in flight.
 	Stopping bool
@@ -60,7 +60,7 @@
 	changed := n.entry.incarnation != r.Incarnation || n.entry.revision != r.Revision
 	n.entry = entryState{incarnation: r.Incarnation, revision: r.Revision, reportedAt: t, stopping: r.Stopping}
 	n.updateLedger(r.Ledger, r.LastUnheldSeq)
-	n.local = r.Running
+	n.local = r.InFlight
 	for v, e := range r.Evidence {
 		n.publishEvidence(v, e, t)
 	}
--- a/process/syncer.go
+++ b/process/syncer.go
@@ -71,7 +71,7 @@
 	defer cancel()
 	u, err := l.control.Sync(callCtx, control.Report{
 		Incarnation: l.incarnation, Revision: l.revision(), View: l.lastViewUpdate.View, ControlIncarnation: l.lastViewUpdate.Control,
-		Ledger: l.biller.Ledger(), LastUnheldSeq: l.biller.LastUnheldSeq(), Evidence: l.router.Evidence(), Running: l.router.InFlight(), Stopping: stopping,
+		Ledger: l.biller.Ledger(), LastUnheldSeq: l.biller.LastUnheldSeq(), Evidence: l.router.Evidence(), InFlight: l.router.InFlight(), Stopping: stopping,
 	})
 	if err != nil {
 		if !l.disconnected {
