--- a/adapter/rpc/local.go
+++ b/adapter/rpc/local.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	r := control.Report{
+	r := control.EntryReport{
 		Incarnation: q.Incarnation, Revision: q.Revision, View: q.ViewVersion, ControlIncarnation: q.Control,
 		Ledger: l, LastUnheldSeq: q.AloneUpto, Evidence: evidenceFromWire(q.Evidence), InFlight: map[string]int{}, Stopping: q.Stopping,
 	}
@@ -90,7 +90,7 @@
 }
 
 // Sync sends the entry's report and returns the changes that the entry does not have yet.
-func (l *Local) Sync(ctx context.Context, r control.Report) (control.Update, error) {
+func (l *Local) Sync(ctx context.Context, r control.EntryReport) (control.Update, error) {
 	q := &fieldvalev1.SyncRequest{
 		Incarnation: r.Incarnation, Revision: r.Revision, ViewVersion: r.View, Control: r.ControlIncarnation,
 		Ledger: ledgerToWire(r.Ledger), AloneUpto: r.LastUnheldSeq, Evidence: evidenceToWire(r.Evidence), Stopping: r.Stopping,
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -248,7 +248,7 @@
 		n.Peers = unreachablePeers{}
 		line := bill.Line{Team: "t", Version: version.New("m", "1")}
 		l := bill.NewLedger("e").With(bill.Record{Owner: "e", Seq: 1, Line: line, Amount: bill.Amount{Requests: 1}})
-		n.Sync(Report{Incarnation: "e", Ledger: l, LastUnheldSeq: 1})
+		n.Sync(EntryReport{Incarnation: "e", Ledger: l, LastUnheldSeq: 1})
 		f.SetFault(kv.Down)
 		time.AfterFunc(time.Minute, func() { f.SetFault(kv.NoFault) })
 		n.Stop(t.Context())
--- a/control/sync.go
+++ b/control/sync.go
@@ -10,9 +10,9 @@
 	"fieldvale/version"
 )
 
-// Report is the state that the entry on the same instance sends to its control
+// EntryReport is the state that the entry on the same instance sends to its control
 // process.
-type Report struct {
+type EntryReport struct {
 	Incarnation string
 	Revision    uint64
 	// View is the number of the last view that the entry received. Each control
@@ -53,7 +53,7 @@
 
 // Sync stores the entry's report and returns the changes that the entry lacks. A
 // new entry incarnation or revision is published in a heartbeat at once.
-func (n *Node) Sync(r Report) Update {
+func (n *Node) Sync(r EntryReport) Update {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.Clock()
@@ -72,7 +72,7 @@
 }
 
 // buildUpdate builds the response to the report.
-func (n *Node) buildUpdate(r Report) Update {
+func (n *Node) buildUpdate(r EntryReport) Update {
 	u := Update{Control: n.Incarnation, View: n.view, Settled: n.isReady()}
 	if n.doc.Revision > r.Revision {
 		u.Document = n.encodedDoc
--- a/process/syncer.go
+++ b/process/syncer.go
@@ -14,7 +14,7 @@
 
 // ControlClient calls the control process that runs beside an entry.
 type ControlClient interface {
-	Sync(ctx context.Context, r control.Report) (control.Update, error)
+	Sync(ctx context.Context, r control.EntryReport) (control.Update, error)
 }
 
 // Syncer exchanges state between an entry and its control process: it reports the entry's
@@ -69,7 +69,7 @@
 	defer l.mu.Unlock()
 	callCtx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
-	u, err := l.control.Sync(callCtx, control.Report{
+	u, err := l.control.Sync(callCtx, control.EntryReport{
 		Incarnation: l.incarnation, Revision: l.revision(), View: l.lastViewUpdate.View, ControlIncarnation: l.lastViewUpdate.Control,
 		Ledger: l.biller.Ledger(), LastUnheldSeq: l.biller.LastUnheldSeq(), Evidence: l.router.Evidence(), InFlight: l.router.InFlight(), Stopping: stopping,
 	})
--- a/standin/world/clients.go
+++ b/standin/world/clients.go
@@ -210,7 +210,7 @@
 }
 
 // Sync implements process.Controller.
-func (l *controlClient) Sync(ctx context.Context, r control.Report) (control.Update, error) {
+func (l *controlClient) Sync(ctx context.Context, r control.EntryReport) (control.Update, error) {
 	l.w.step(StepSync, l.i.Entry)
 	n, c := l.i.currentNode()
 	return invoke(ctx, l.w, l.i.Entry, c, func(context.Context) (control.Update, error) { return n.Sync(r), nil })
