--- a/adapter/rpc/local.go
+++ b/adapter/rpc/local.go
@@ -39,7 +39,7 @@
 }
 
 func updateToWire(u control.Update) *fieldvalev1.SyncResponse {
-	w := &fieldvalev1.SyncResponse{Control: u.Control, Document: u.Document, ViewVersion: u.View, Settled: u.Settled}
+	w := &fieldvalev1.SyncResponse{Control: u.ControlIncarnation, Document: u.Document, ViewVersion: u.View, Settled: u.Settled}
 	if !u.Fresh {
 		return w
 	}
@@ -106,7 +106,7 @@
 }
 
 func updateFromWire(w *fieldvalev1.SyncResponse) control.Update {
-	u := control.Update{Control: w.Control, Document: w.Document, View: w.ViewVersion, Fresh: w.View != nil, Settled: w.Settled}
+	u := control.Update{ControlIncarnation: w.Control, Document: w.Document, View: w.ViewVersion, Fresh: w.View != nil, Settled: w.Settled}
 	if !u.Fresh {
 		return u
 	}
--- a/control/sync.go
+++ b/control/sync.go
@@ -35,8 +35,8 @@
 // Update is the response to an entry's report. Parts that the entry already has
 // are left empty.
 type Update struct {
-	// Control is the incarnation of the control process.
-	Control string
+	// ControlIncarnation is the incarnation of the control process.
+	ControlIncarnation string
 	// Document is the encoded configuration if it is newer than the entry's.
 	Document []byte
 	View     uint64
@@ -73,7 +73,7 @@
 
 // buildUpdate builds the response to the report.
 func (n *Node) buildUpdate(r EntryReport) Update {
-	u := Update{Control: n.Incarnation, View: n.view, Settled: n.isReady()}
+	u := Update{ControlIncarnation: n.Incarnation, View: n.view, Settled: n.isReady()}
 	if n.doc.Revision > r.Revision {
 		u.Document = n.encodedDoc
 	}
--- a/process/syncer.go
+++ b/process/syncer.go
@@ -70,7 +70,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	u, err := l.control.Sync(callCtx, control.EntryReport{
-		Incarnation: l.incarnation, Revision: l.revision(), View: l.lastViewUpdate.View, ControlIncarnation: l.lastViewUpdate.Control,
+		Incarnation: l.incarnation, Revision: l.revision(), View: l.lastViewUpdate.View, ControlIncarnation: l.lastViewUpdate.ControlIncarnation,
 		Ledger: l.biller.Ledger(), LastUnheldSeq: l.biller.LastUnheldSeq(), Evidence: l.router.Evidence(), InFlight: l.router.InFlight(), Stopping: stopping,
 	})
 	if err != nil {
