--- a/adapter/rpc/local.go
+++ b/adapter/rpc/local.go
@@ -40,7 +40,7 @@
 
 func updateToWire(u control.Update) *fieldvalev1.SyncResponse {
 	w := &fieldvalev1.SyncResponse{Control: u.ControlIncarnation, Document: u.Document, ViewVersion: u.View, Settled: u.Settled}
-	if !u.Fresh {
+	if !u.HasView {
 		return w
 	}
 	w.View = &fieldvalev1.View{Tripped: versionStrings(u.Tripped), StoreOk: u.StoreOK}
@@ -106,8 +106,8 @@
 }
 
 func updateFromWire(w *fieldvalev1.SyncResponse) control.Update {
-	u := control.Update{ControlIncarnation: w.Control, Document: w.Document, View: w.ViewVersion, Fresh: w.View != nil, Settled: w.Settled}
-	if !u.Fresh {
+	u := control.Update{ControlIncarnation: w.Control, Document: w.Document, View: w.ViewVersion, HasView: w.View != nil, Settled: w.Settled}
+	if !u.HasView {
 		return u
 	}
 	u.StoreOK = w.View.StoreOk
--- a/control/sync.go
+++ b/control/sync.go
@@ -40,8 +40,8 @@
 	// Document is the encoded configuration if it is newer than the entry's.
 	Document []byte
 	View     uint64
-	// Fresh reports that Replicas, Members, Tripped and StoreOK are set.
-	Fresh    bool
+	// HasView reports that Replicas, Members, Tripped and StoreOK are set.
+	HasView    bool
 	Replicas []pool.Replica
 	Members  []peer.Member
 	Tripped  []version.ID
@@ -80,7 +80,7 @@
 	if r.ControlIncarnation == n.Incarnation && r.View == n.view {
 		return u
 	}
-	u.Fresh = true
+	u.HasView = true
 	u.Replicas = n.sortedReplicas()
 	u.Members = n.members()
 	u.StoreOK = n.storeOK(n.Clock())
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -202,7 +202,7 @@
 				ledger = ledger.With(record)
 				if seq%2 == 0 {
 					received := n.Sync(control.EntryReport{Incarnation: ledger.Owner, Revision: futureRevision, View: update.View, ControlIncarnation: update.ControlIncarnation, Ledger: ledger})
-					if received.Fresh {
+					if received.HasView {
 						update = received
 					}
 				}
--- a/process/syncer.go
+++ b/process/syncer.go
@@ -116,7 +116,7 @@
 			l.log("config_in_force", "revision", a.Revision())
 		}
 	}
-	if !u.Fresh {
+	if !u.HasView {
 		l.view.Put(l.view.Get().WithActive(a))
 		return
 	}
