--- a/adapter/rpc/local.go
+++ b/adapter/rpc/local.go
@@ -39,7 +39,7 @@
 }
 
 func updateToWire(u control.Update) *fieldvalev1.SyncResponse {
-	w := &fieldvalev1.SyncResponse{Control: u.ControlIncarnation, Document: u.Document, ViewVersion: u.View, Settled: u.Settled}
+	w := &fieldvalev1.SyncResponse{Control: u.ControlIncarnation, Document: u.Document, ViewVersion: u.View, Settled: u.Ready}
 	if !u.HasView {
 		return w
 	}
@@ -106,7 +106,7 @@
 }
 
 func updateFromWire(w *fieldvalev1.SyncResponse) control.Update {
-	u := control.Update{ControlIncarnation: w.Control, Document: w.Document, View: w.ViewVersion, HasView: w.View != nil, Settled: w.Settled}
+	u := control.Update{ControlIncarnation: w.Control, Document: w.Document, View: w.ViewVersion, HasView: w.View != nil, Ready: w.Settled}
 	if !u.HasView {
 		return u
 	}
--- a/control/sync.go
+++ b/control/sync.go
@@ -46,9 +46,9 @@
 	Members  []peer.Member
 	Tripped  []version.ID
 	StoreOK  bool
-	// Settled reports that the control process has finished its start-up, so that
+	// Ready reports that the control process has finished its start-up, so that
 	// the entry may report ready.
-	Settled bool
+	Ready bool
 }
 
 // Sync stores the entry's report and returns the changes that the entry lacks. A
@@ -73,7 +73,7 @@
 
 // buildUpdate builds the response to the report.
 func (n *Node) buildUpdate(r EntryReport) Update {
-	u := Update{ControlIncarnation: n.Incarnation, View: n.view, Settled: n.isReady()}
+	u := Update{ControlIncarnation: n.Incarnation, View: n.view, Ready: n.isReady()}
 	if n.doc.Revision > r.Revision {
 		u.Document = n.encodedDoc
 	}
--- a/process/syncer.go
+++ b/process/syncer.go
@@ -84,7 +84,7 @@
 		l.disconnected = false
 		l.log("control_back")
 	}
-	l.controlSettled = l.controlSettled || u.Settled
+	l.controlSettled = l.controlSettled || u.Ready
 	l.applyUpdate(u)
 	return true
 }
