--- a/adapter/rpc/local.go
+++ b/adapter/rpc/local.go
@@ -38,7 +38,7 @@
 	return updateToWire(s.node.Sync(r)), nil
 }
 
-func updateToWire(u control.Update) *fieldvalev1.SyncResponse {
+func updateToWire(u control.EntryUpdate) *fieldvalev1.SyncResponse {
 	w := &fieldvalev1.SyncResponse{Control: u.ControlIncarnation, Document: u.Document, ViewVersion: u.View, Settled: u.Ready}
 	if !u.HasView {
 		return w
@@ -90,7 +90,7 @@
 }
 
 // Sync sends the entry's report and returns the changes that the entry does not have yet.
-func (l *Local) Sync(ctx context.Context, r control.EntryReport) (control.Update, error) {
+func (l *Local) Sync(ctx context.Context, r control.EntryReport) (control.EntryUpdate, error) {
 	q := &fieldvalev1.SyncRequest{
 		Incarnation: r.Incarnation, Revision: r.Revision, ViewVersion: r.View, Control: r.ControlIncarnation,
 		Ledger: ledgerToWire(r.Ledger), AloneUpto: r.LastUnheldSeq, Evidence: evidenceToWire(r.Evidence), Stopping: r.Stopping,
@@ -100,13 +100,13 @@
 	}
 	w, err := l.c.Sync(ctx, q)
 	if err != nil {
-		return control.Update{}, errors.Wrap(err, "rpc: sync with the control process")
+		return control.EntryUpdate{}, errors.Wrap(err, "rpc: sync with the control process")
 	}
 	return updateFromWire(w), nil
 }
 
-func updateFromWire(w *fieldvalev1.SyncResponse) control.Update {
-	u := control.Update{ControlIncarnation: w.Control, Document: w.Document, View: w.ViewVersion, HasView: w.View != nil, Ready: w.Settled}
+func updateFromWire(w *fieldvalev1.SyncResponse) control.EntryUpdate {
+	u := control.EntryUpdate{ControlIncarnation: w.Control, Document: w.Document, View: w.ViewVersion, HasView: w.View != nil, Ready: w.Settled}
 	if !u.HasView {
 		return u
 	}
--- a/control/sync.go
+++ b/control/sync.go
@@ -32,9 +32,9 @@
 	Stopping bool
 }
 
-// Update is the response to an entry's report. Parts that the entry already has
+// EntryUpdate is the response to an entry's report. Parts that the entry already has
 // are left empty.
-type Update struct {
+type EntryUpdate struct {
 	// ControlIncarnation is the incarnation of the control process.
 	ControlIncarnation string
 	// Document is the encoded configuration if it is newer than the entry's.
@@ -53,7 +53,7 @@
 
 // Sync stores the entry's report and returns the changes that the entry lacks. A
 // new entry incarnation or revision is published in a heartbeat at once.
-func (n *Node) Sync(r EntryReport) Update {
+func (n *Node) Sync(r EntryReport) EntryUpdate {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.Clock()
@@ -72,8 +72,8 @@
 }
 
 // buildUpdate builds the response to the report.
-func (n *Node) buildUpdate(r EntryReport) Update {
-	u := Update{ControlIncarnation: n.Incarnation, View: n.view, Ready: n.isReady()}
+func (n *Node) buildUpdate(r EntryReport) EntryUpdate {
+	u := EntryUpdate{ControlIncarnation: n.Incarnation, View: n.view, Ready: n.isReady()}
 	if n.doc.Revision > r.Revision {
 		u.Document = n.encodedDoc
 	}
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -185,7 +185,7 @@
 	for i, n := range f.nodes {
 		group.Go(func() {
 			ledger := bill.NewLedger(fmt.Sprint("e", i))
-			update := control.Update{}
+			update := control.EntryUpdate{}
 			ticker := time.NewTicker(time.Second / billsPerSecond)
 			defer ticker.Stop()
 			for seq := uint64(1); ctx.Err() == nil; seq++ {
--- a/process/syncer.go
+++ b/process/syncer.go
@@ -14,7 +14,7 @@
 
 // ControlClient calls the control process that runs beside an entry.
 type ControlClient interface {
-	Sync(ctx context.Context, r control.EntryReport) (control.Update, error)
+	Sync(ctx context.Context, r control.EntryReport) (control.EntryUpdate, error)
 }
 
 // Syncer exchanges state between an entry and its control process: it reports the entry's
@@ -30,7 +30,7 @@
 
 	mu sync.Mutex
 	// lastViewUpdate is the last update that included replicas and members.
-	lastViewUpdate control.Update
+	lastViewUpdate control.EntryUpdate
 	// disconnected is set while exchanges fail, so that the loss is logged once.
 	disconnected bool
 	// controlSettled is set once the control process has reported that it is settled. It is
@@ -106,7 +106,7 @@
 
 // applyUpdate puts the update in force. A configuration that can't be used is logged, and the
 // one before it stays in force.
-func (l *Syncer) applyUpdate(u control.Update) {
+func (l *Syncer) applyUpdate(u control.EntryUpdate) {
 	a := l.view.Get().Active
 	if len(u.Document) > 0 {
 		if n, err := decodeAndActivate(u.Document); err != nil {
--- a/standin/world/clients.go
+++ b/standin/world/clients.go
@@ -210,10 +210,10 @@
 }
 
 // Sync implements process.Controller.
-func (l *controlClient) Sync(ctx context.Context, r control.EntryReport) (control.Update, error) {
+func (l *controlClient) Sync(ctx context.Context, r control.EntryReport) (control.EntryUpdate, error) {
 	l.w.step(StepSync, l.i.Entry)
 	n, c := l.i.currentNode()
-	return invoke(ctx, l.w, l.i.Entry, c, func(context.Context) (control.Update, error) { return n.Sync(r), nil })
+	return invoke(ctx, l.w, l.i.Entry, c, func(context.Context) (control.EntryUpdate, error) { return n.Sync(r), nil })
 }
 
 // claimClient is an entry's client for claims, which its control makes.
