--- a/control/sync.go
+++ b/control/sync.go
@@ -90,9 +90,9 @@
 	return u
 }
 
-// EntryStopping reports whether the entry's last report says that it is stopping
+// IsEntryStopping reports whether the entry's last report says that it is stopping
 // and was received less than within ago.
-func (n *Node) EntryStopping(within time.Duration) bool {
+func (n *Node) IsEntryStopping(within time.Duration) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.entry.stopping && n.Clock().Before(n.entry.reportedAt.Add(within))
--- a/process/control.go
+++ b/process/control.go
@@ -152,7 +152,7 @@
 func (c *Control) stop() {
 	c.log.Info("stopping")
 	time.Sleep(entryStopDelay)
-	for c.node.EntryStopping(entryStopDelay) {
+	for c.node.IsEntryStopping(entryStopDelay) {
 		time.Sleep(entryPollInterval)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.settings.StopTimeout)
