--- a/adapter/rpc/admin.go
+++ b/adapter/rpc/admin.go
@@ -259,7 +259,7 @@
 	for _, h := range s.node.Instances() {
 		w.Instances = append(w.Instances, &fieldvalev1.InstanceStatus{
 			Id: h.ID, DataCentre: h.DataCentre, Revision: h.Revision, EntryRevision: h.EntryRevision,
-			StoreOk: h.StoreOK, EntryOk: h.EntryOK, HeardMillisAgo: time.Since(h.At).Milliseconds(),
+			StoreOk: h.StoreOK, EntryOk: h.EntryOK, HeardMillisAgo: time.Since(h.SentAt).Milliseconds(),
 			Alarms: h.Alarms, Stopping: h.Stopping,
 		})
 		for _, a := range h.Alarms {
--- a/control/membership.go
+++ b/control/membership.go
@@ -126,8 +126,8 @@
 type InstanceHeartbeat struct {
 	ID string
 	peer.Heartbeat
-	// At is when the heartbeat was sent, by the sender's clock.
-	At time.Time
+	// SentAt is when the heartbeat was sent, by the sender's clock.
+	SentAt time.Time
 }
 
 // Instances returns the last heartbeats of all live instances, this one included.
@@ -146,7 +146,7 @@
 			n.log("bad_heartbeat", "peer", i.Key.Name, "error", err)
 			continue
 		}
-		r = append(r, InstanceHeartbeat{ID: i.Key.Name, Heartbeat: h, At: time.Unix(0, int64(i.Version))})
+		r = append(r, InstanceHeartbeat{ID: i.Key.Name, Heartbeat: h, SentAt: time.Unix(0, int64(i.Version))})
 	}
 	return r
 }
