--- a/admission/admission.go
+++ b/admission/admission.go
@@ -106,10 +106,10 @@
 	return float64(l.inFlightByCustomer[customer]) >= l.limit*float64(share)/float64(t)
 }
 
-// Done frees the slot of an accepted request. seconds is the response time in
+// Release frees the slot of an accepted request. seconds is the response time in
 // seconds, 0 without a response; overload reports that the response was late or
 // that the backend server rejected the request.
-func (l *Limiter) Done(customer string, seconds float64, overload bool, now time.Time) {
+func (l *Limiter) Release(customer string, seconds float64, overload bool, now time.Time) {
 	l.inFlight--
 	if l.inFlightByCustomer[customer]--; l.inFlightByCustomer[customer] <= 0 {
 		delete(l.inFlightByCustomer, customer)
--- a/entry/router.go
+++ b/entry/router.go
@@ -263,7 +263,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.limiter(name).Done(c.Customer.Name, t, n.After(deadline) || isOverload(err), n)
+	r.limiter(name).Release(c.Customer.Name, t, n.After(deadline) || isOverload(err), n)
 }
 
 // isOverload reports whether the error shows an overloaded backend server: status 429 or an
--- a/measure/overload.go
+++ b/measure/overload.go
@@ -212,7 +212,7 @@
 // release reports the end of an admitted request to the limiter.
 func (o *overloadSimulation) release(q *overloadRequest, took float64, overload bool) {
 	if o.rule.limits {
-		o.limiters[q.router].Done(q.customer, took, overload, o.wallTime())
+		o.limiters[q.router].Release(q.customer, took, overload, o.wallTime())
 	}
 }
 
