--- a/admission/breaker.go
+++ b/admission/breaker.go
@@ -47,10 +47,10 @@
 	return b.probeAt.IsZero() || !now.Before(b.probeAt)
 }
 
-// Tried records that a request was sent. While the breaker is open, it postpones
+// RecordAttempt records that a request was sent. While the breaker is open, it postpones
 // the next probe by another open period, so that a single request probes the
 // server and others are held back until its result.
-func (b *Breaker) Tried(now time.Time) {
+func (b *Breaker) RecordAttempt(now time.Time) {
 	if !b.probeAt.IsZero() {
 		b.probeAt = now.Add(b.openPeriod)
 	}
--- a/admission/breaker_test.go
+++ b/admission/breaker_test.go
@@ -20,7 +20,7 @@
 		if !b.Allows(noon) {
 			return i
 		}
-		b.Tried(noon)
+		b.RecordAttempt(noon)
 		if r.Float64() < rate {
 			b.Failed(noon, usualRate)
 		} else {
--- a/entry/backends.go
+++ b/entry/backends.go
@@ -89,7 +89,7 @@
 	c := b.scratch[i].Replica
 	s := b.stateOf(c.ID)
 	s.running++
-	s.breaker.Tried(now)
+	s.breaker.RecordAttempt(now)
 	return c
 }
 
--- a/entry/candidates.go
+++ b/entry/candidates.go
@@ -50,7 +50,7 @@
 	s.service = r.Service
 	s.running++
 	s.pendingMs += costMs
-	s.breaker.Tried(now)
+	s.breaker.RecordAttempt(now)
 }
 
 // candidates returns the replicas that may be chosen now. Breakers are ignored if they would
