--- a/admission/breaker.go
+++ b/admission/breaker.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// Succeeded records a success and closes the breaker.
-func (b *Breaker) Succeeded() {
+// RecordSuccess records a success and closes the breaker.
+func (b *Breaker) RecordSuccess() {
 	b.consecutiveFailures = 0
 	b.probeAt = time.Time{}
 	b.recordOutcome(0)
--- a/admission/breaker_test.go
+++ b/admission/breaker_test.go
@@ -24,7 +24,7 @@
 		if r.Float64() < rate {
 			b.Failed(noon, usualRate)
 		} else {
-			b.Succeeded()
+			b.RecordSuccess()
 		}
 	}
 	return 0
@@ -64,12 +64,12 @@
 	if b.Allows(noon.Add(900*time.Millisecond)) || !b.Allows(noon.Add(time.Second)) {
 		t.Error("the first open period is not 1 s")
 	}
-	b.Succeeded()
+	b.RecordSuccess()
 	b.Open(noon.Add(2 * time.Second))
 	if b.Allows(noon.Add(3500 * time.Millisecond)) {
 		t.Error("a breaker that reopens 2 s later allows requests after 1.5 s, want a longer open period")
 	}
-	b.Succeeded()
+	b.RecordSuccess()
 	b.Open(noon.Add(time.Minute))
 	if !b.Allows(noon.Add(61 * time.Second)) {
 		t.Error("a breaker that reopens a minute later still blocks requests after 1 s, want the initial open period")
--- a/entry/backends.go
+++ b/entry/backends.go
@@ -101,7 +101,7 @@
 	s := b.stateOf(id)
 	s.running--
 	if err == nil || isRefusal(err) {
-		s.breaker.Succeeded()
+		s.breaker.RecordSuccess()
 		return
 	}
 	s.breaker.Failed(now, b.serviceFailureRate(s))
--- a/entry/candidates.go
+++ b/entry/candidates.go
@@ -123,7 +123,7 @@
 		s.breaker.Failed(now, b.serviceFailureRate(s))
 		return
 	}
-	s.breaker.Succeeded()
+	s.breaker.RecordSuccess()
 }
 
 // release undoes the choice of a replica for a request that was not sent.
