--- a/admission/breaker.go
+++ b/admission/breaker.go
@@ -63,11 +63,11 @@
 	b.recordOutcome(0)
 }
 
-// Failed records a failure. It opens the breaker after failuresToOpen
+// RecordFailure records a failure. It opens the breaker after failuresToOpen
 // consecutive failures, on an excessive failure rate, or when the probe of an
 // open breaker fails; each failed probe doubles the open period. usualRate is the
 // failure rate of the other servers of its kind, from 0 to 1.
-func (b *Breaker) Failed(now time.Time, usualRate float64) {
+func (b *Breaker) RecordFailure(now time.Time, usualRate float64) {
 	b.consecutiveFailures++
 	b.recordOutcome(1)
 	if b.consecutiveFailures >= failuresToOpen || !b.probeAt.IsZero() || b.isWorse(usualRate) {
--- a/admission/breaker_test.go
+++ b/admission/breaker_test.go
@@ -22,7 +22,7 @@
 		}
 		b.RecordAttempt(noon)
 		if r.Float64() < rate {
-			b.Failed(noon, usualRate)
+			b.RecordFailure(noon, usualRate)
 		} else {
 			b.RecordSuccess()
 		}
--- a/entry/backends.go
+++ b/entry/backends.go
@@ -104,7 +104,7 @@
 		s.breaker.RecordSuccess()
 		return
 	}
-	s.breaker.Failed(now, b.serviceFailureRate(s))
+	s.breaker.RecordFailure(now, b.serviceFailureRate(s))
 }
 
 func isRefusal(err error) bool {
--- a/entry/candidates.go
+++ b/entry/candidates.go
@@ -120,7 +120,7 @@
 		return
 	}
 	if bad {
-		s.breaker.Failed(now, b.serviceFailureRate(s))
+		s.breaker.RecordFailure(now, b.serviceFailureRate(s))
 		return
 	}
 	s.breaker.RecordSuccess()
