--- a/admission/breaker.go
+++ b/admission/breaker.go
@@ -84,12 +84,12 @@
 // the usual rate by the required factor.
 func (b *Breaker) isWorse(usualRate float64) bool {
 	n := bits.OnesCount32(b.outcomes)
-	r := b.Rate()
+	r := b.FailureRate()
 	return n >= minFailures && r >= minFailureRate && r >= usualRateFactor*usualRate
 }
 
-// Rate returns the fraction of failures among the recent outcomes.
-func (b *Breaker) Rate() float64 {
+// FailureRate returns the fraction of failures among the recent outcomes.
+func (b *Breaker) FailureRate() float64 {
 	if b.outcomeCount == 0 {
 		return 0
 	}
--- a/entry/backends.go
+++ b/entry/backends.go
@@ -44,7 +44,7 @@
 	var l []float64
 	for _, s := range b.state {
 		if s.service == x.service && s != x {
-			l = append(l, s.breaker.Rate())
+			l = append(l, s.breaker.FailureRate())
 		}
 	}
 	if len(l) == 0 {
