--- a/admission/retry.go
+++ b/admission/retry.go
@@ -18,8 +18,8 @@
 	return &RetryBudget{tokens: maxTokens}
 }
 
-// Request adds the fraction of a token that one request earns.
-func (b *RetryBudget) Request() {
+// RecordRequest adds the fraction of a token that one request earns.
+func (b *RetryBudget) RecordRequest() {
 	b.tokens = min(maxTokens, b.tokens+retryRatio)
 }
 
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -55,7 +55,7 @@
 	}
 	for i := range 200 {
 		// Other calls fill the retry budget.
-		r.retryBudget.Request()
+		r.retryBudget.RecordRequest()
 		if err := call(fmt.Sprint("o", i), "good"); err != nil {
 			t.Fatalf("another client's call failed: %v", err)
 		}
--- a/entry/router.go
+++ b/entry/router.go
@@ -251,7 +251,7 @@
 	w := r.backends.queuedPerSlot(p)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.retryBudget.Request()
+	r.retryBudget.RecordRequest()
 	return r.limiter(name).Admit(c.Customer.Name, c.Customer.Share, w, n, deadline)
 }
 
--- a/measure/overload.go
+++ b/measure/overload.go
@@ -172,7 +172,7 @@
 			waiting += max(0, -c.FreeSlots())
 			slots += c.Replica.Slots
 		}
-		o.budgets[q.router].Request()
+		o.budgets[q.router].RecordRequest()
 		if refusal := o.limiters[q.router].Admit(q.customer, q.share, float64(waiting)/float64(slots), o.wallTime(), epoch.Add(seconds(q.deadline))); refusal != nil {
 			o.refuse(q)
 			return
