--- a/admission/retry.go
+++ b/admission/retry.go
@@ -23,8 +23,8 @@
 	b.tokens = min(maxTokens, b.tokens+retryRatio)
 }
 
-// Retry takes one token and reports whether one was available.
-func (b *RetryBudget) Retry() bool {
+// TakeRetry takes one token and reports whether one was available.
+func (b *RetryBudget) TakeRetry() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/entry/router.go
+++ b/entry/router.go
@@ -288,7 +288,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.retryBudget.Retry()
+	return r.retryBudget.TakeRetry()
 }
 
 // runOnVersion dispatches a step to replicas of the version until one answers. call makes one
--- a/measure/overload.go
+++ b/measure/overload.go
@@ -196,7 +196,7 @@
 	f := o.replicas[n]
 	if o.rule.bounded && len(f.queue) >= queueLimit {
 		q.retries++
-		if q.retries <= maxRetries && (!o.rule.budget || o.budgets[q.router].Retry()) {
+		if q.retries <= maxRetries && (!o.rule.budget || o.budgets[q.router].TakeRetry()) {
 			o.dispatch(q)
 			return
 		}
