--- a/admission/window.go
+++ b/admission/window.go
@@ -32,8 +32,8 @@
 // NewWindow returns an empty window with the given limit.
 func NewWindow(r Repeats) *Window { return &Window{limit: r} }
 
-// Request records a request.
-func (w *Window) Request(now time.Time) {
+// RecordRequest records a request.
+func (w *Window) RecordRequest(now time.Time) {
 	w.requests[w.advance(now)]++
 }
 
--- a/admission/window_test.go
+++ b/admission/window_test.go
@@ -24,7 +24,7 @@
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
 			if rapid.IntRange(0, 2).Draw(t, "what") == 0 {
-				w.Request(now)
+				w.RecordRequest(now)
 				requests = append(requests, now)
 			} else if w.Repeat(now, 1, 0) {
 				retries = append(retries, now)
@@ -55,7 +55,7 @@
 func TestReserveLeavesRetriesForFailures(t *testing.T) {
 	w := admission.NewWindow(admission.Repeats{Part: 1})
 	for range 100 {
-		w.Request(noon)
+		w.RecordRequest(noon)
 	}
 	n := 0
 	for w.Repeat(noon, 1, 0.25) {
--- a/entry/retries.go
+++ b/entry/retries.go
@@ -6,7 +6,7 @@
 func (r *Router) countRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.retryWindow(service).Request(r.clock())
+	r.retryWindow(service).RecordRequest(r.clock())
 }
 
 // fleetRequestRate estimates the fleet's requests a second for the service from this instance's
