--- a/admission/window.go
+++ b/admission/window.go
@@ -37,8 +37,8 @@
 	w.requests[w.advance(now)]++
 }
 
-// Rate returns the mean number of requests per second in the window.
-func (w *Window) Rate(now time.Time) float64 {
+// RequestRate returns the mean number of requests per second in the window.
+func (w *Window) RequestRate(now time.Time) float64 {
 	w.advance(now)
 	return sum(w.requests) / windowLength.Seconds()
 }
--- a/entry/retries.go
+++ b/entry/retries.go
@@ -15,7 +15,7 @@
 	n := r.fleetSizeOrDefault()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return float64(n) * r.retryWindow(service).Rate(r.clock())
+	return float64(n) * r.retryWindow(service).RequestRate(r.clock())
 }
 
 // defaultFleetSize is the number of instances assumed while it is unknown. It is above the usual
