--- a/admission/window.go
+++ b/admission/window.go
@@ -43,10 +43,10 @@
 	return sum(w.requests) / windowLength.Seconds()
 }
 
-// Repeat reports whether a retry is allowed, and records it if so. share is the
+// TakeRetry reports whether a retry is allowed, and records it if so. share is the
 // fraction of the fleet-wide burst that belongs to this instance; reserve is the
 // fraction of the allowance that this kind of retry must leave to other kinds.
-func (w *Window) Repeat(now time.Time, share, reserve float64) bool {
+func (w *Window) TakeRetry(now time.Time, share, reserve float64) bool {
 	i := w.advance(now)
 	if sum(w.retries)+1 > w.limit.Part*(1-reserve)*sum(w.requests)+w.limit.Burst*share*(1-reserve) {
 		return false
--- a/admission/window_test.go
+++ b/admission/window_test.go
@@ -26,7 +26,7 @@
 			if rapid.IntRange(0, 2).Draw(t, "what") == 0 {
 				w.RecordRequest(now)
 				requests = append(requests, now)
-			} else if w.Repeat(now, 1, 0) {
+			} else if w.TakeRetry(now, 1, 0) {
 				retries = append(retries, now)
 			}
 		}
@@ -58,16 +58,16 @@
 		w.RecordRequest(noon)
 	}
 	n := 0
-	for w.Repeat(noon, 1, 0.25) {
+	for w.TakeRetry(noon, 1, 0.25) {
 		n++
 	}
-	for w.Repeat(noon, 1, 0) {
+	for w.TakeRetry(noon, 1, 0) {
 		n++
 	}
 	if n != 100 {
 		t.Errorf("got %d retries in total, want 100", n)
 	}
-	if w.Repeat(noon, 1, 0) || !w.Repeat(noon.Add(time.Minute), 1, 0) == false {
+	if w.TakeRetry(noon, 1, 0) || !w.TakeRetry(noon.Add(time.Minute), 1, 0) == false {
 		t.Error("a retry is allowed with the allowance used up, or a minute later without any request in the window")
 	}
 }
--- a/entry/retries.go
+++ b/entry/retries.go
@@ -28,7 +28,7 @@
 	n := r.fleetSizeOrDefault()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.retryWindow(service).Repeat(r.clock(), 1/float64(n), reserve)
+	return r.retryWindow(service).TakeRetry(r.clock(), 1/float64(n), reserve)
 }
 
 // fleetSizeOrDefault is the number of instances, or defaultFleetSize if it is unknown.
