--- a/admission/window.go
+++ b/admission/window.go
@@ -12,8 +12,8 @@
 // Repeats limits the retries of a service's requests, so that failing backend
 // servers do not receive much more load than healthy ones.
 type Repeats struct {
-	// Part is the number of retries that each request earns.
-	Part float64
+	// Ratio is the number of retries that each request earns.
+	Ratio float64
 	// Burst is the number of further retries that the whole fleet may make in any
 	// period of the window's length.
 	Burst float64
@@ -48,7 +48,7 @@
 // fraction of the allowance that this kind of retry must leave to other kinds.
 func (w *Window) TakeRetry(now time.Time, share, reserve float64) bool {
 	i := w.advance(now)
-	if sum(w.retries)+1 > w.limit.Part*(1-reserve)*sum(w.requests)+w.limit.Burst*share*(1-reserve) {
+	if sum(w.retries)+1 > w.limit.Ratio*(1-reserve)*sum(w.requests)+w.limit.Burst*share*(1-reserve) {
 		return false
 	}
 	w.retries[i]++
--- a/admission/window_test.go
+++ b/admission/window_test.go
@@ -17,7 +17,7 @@
 // too early or too late would allow more.
 func TestRetriesStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := admission.Repeats{Part: 0.8, Burst: 5}
+		limit := admission.Repeats{Ratio: 0.8, Burst: 5}
 		w := admission.NewWindow(limit)
 		now := noon
 		var requests, retries []time.Time
@@ -33,7 +33,7 @@
 		for _, end := range retries {
 			q := countBetween(requests, end.Add(-10*time.Second), end)
 			p := countBetween(retries, end.Add(-9500*time.Millisecond), end)
-			if float64(p) > limit.Part*float64(q)+limit.Burst {
+			if float64(p) > limit.Ratio*float64(q)+limit.Burst {
 				t.Fatalf("got %d retries beside %d requests, which is more than the limit allows", p, q)
 			}
 		}
@@ -53,7 +53,7 @@
 // Retries with a reserve must leave that fraction of the allowance to retries
 // without one, such as those after a failure.
 func TestReserveLeavesRetriesForFailures(t *testing.T) {
-	w := admission.NewWindow(admission.Repeats{Part: 1})
+	w := admission.NewWindow(admission.Repeats{Ratio: 1})
 	for range 100 {
 		w.RecordRequest(noon)
 	}
