--- a/admission/window.go
+++ b/admission/window.go
@@ -9,9 +9,9 @@
 	slotCount    = 20
 )
 
-// Repeats limits the retries of a service's requests, so that failing backend
+// RetryLimit limits the retries of a service's requests, so that failing backend
 // servers do not receive much more load than healthy ones.
-type Repeats struct {
+type RetryLimit struct {
 	// Ratio is the number of retries that each request earns.
 	Ratio float64
 	// Burst is the number of further retries that the whole fleet may make in any
@@ -22,7 +22,7 @@
 // Window counts the requests and retries of one service in a sliding window.
 // It is not safe for concurrent use.
 type Window struct {
-	limit    Repeats
+	limit    RetryLimit
 	requests [slotCount]float64
 	retries  [slotCount]float64
 	// newest is the number of the latest slot, counted since the Unix epoch.
@@ -30,7 +30,7 @@
 }
 
 // NewWindow returns an empty window with the given limit.
-func NewWindow(r Repeats) *Window { return &Window{limit: r} }
+func NewWindow(r RetryLimit) *Window { return &Window{limit: r} }
 
 // RecordRequest records a request.
 func (w *Window) RecordRequest(now time.Time) {
--- a/admission/window_test.go
+++ b/admission/window_test.go
@@ -17,7 +17,7 @@
 // too early or too late would allow more.
 func TestRetriesStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := admission.Repeats{Ratio: 0.8, Burst: 5}
+		limit := admission.RetryLimit{Ratio: 0.8, Burst: 5}
 		w := admission.NewWindow(limit)
 		now := noon
 		var requests, retries []time.Time
@@ -53,7 +53,7 @@
 // Retries with a reserve must leave that fraction of the allowance to retries
 // without one, such as those after a failure.
 func TestReserveLeavesRetriesForFailures(t *testing.T) {
-	w := admission.NewWindow(admission.Repeats{Ratio: 1})
+	w := admission.NewWindow(admission.RetryLimit{Ratio: 1})
 	for range 100 {
 		w.RecordRequest(noon)
 	}
--- a/entry/retries_test.go
+++ b/entry/retries_test.go
@@ -12,7 +12,7 @@
 func TestRetryBudgetSufficesForEscalations(t *testing.T) {
 	const instances, requests = 85, 60
 	now := time.Unix(1_700_000_000, 0)
-	r := NewRouter(Ports{View: NewCurrentView(), Clock: func() time.Time { return now }, Retries: admission.Repeats{Ratio: 0.87, Burst: 147}, FleetSize: func() int { return instances }})
+	r := NewRouter(Ports{View: NewCurrentView(), Clock: func() time.Time { return now }, Retries: admission.RetryLimit{Ratio: 0.87, Burst: 147}, FleetSize: func() int { return instances }})
 	for i := range requests {
 		now = now.Add(10 * time.Second / requests)
 		r.countRequest("s")
--- a/entry/router.go
+++ b/entry/router.go
@@ -70,7 +70,7 @@
 	// retryWindows bound the retries of opaque requests, by service.
 	retryWindows map[string]*admission.Window
 	fleetSize    func() int
-	retries      admission.Repeats
+	retries      admission.RetryLimit
 	quota        Quota
 	notices      *notice.Tracker
 	// coldBound is the fleet-wide bound on the requests to a cold replica.
@@ -93,7 +93,7 @@
 	Placer Placer
 	// Upstream sends opaque requests; Retries bounds how often they are sent to another replica.
 	Upstream Upstream
-	Retries  admission.Repeats
+	Retries  admission.RetryLimit
 	// Quarantine and Prober may be nil; requests that crash replicas are then not detected.
 	Quarantine Quarantine
 	Prober     Prober
