--- a/admission/window.go
+++ b/admission/window.go
@@ -29,8 +29,8 @@
 	newest int64
 }
 
-// NewWindow returns an empty window with the given limit.
-func NewWindow(r RetryLimit) *Window { return &Window{limit: r} }
+// NewRetryWindow returns an empty window with the given limit.
+func NewRetryWindow(r RetryLimit) *Window { return &Window{limit: r} }
 
 // RecordRequest records a request.
 func (w *Window) RecordRequest(now time.Time) {
--- a/admission/window_test.go
+++ b/admission/window_test.go
@@ -18,7 +18,7 @@
 func TestRetriesStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := admission.RetryLimit{Ratio: 0.8, Burst: 5}
-		w := admission.NewWindow(limit)
+		w := admission.NewRetryWindow(limit)
 		now := noon
 		var requests, retries []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
@@ -53,7 +53,7 @@
 // Retries with a reserve must leave that fraction of the allowance to retries
 // without one, such as those after a failure.
 func TestReserveLeavesRetriesForFailures(t *testing.T) {
-	w := admission.NewWindow(admission.RetryLimit{Ratio: 1})
+	w := admission.NewRetryWindow(admission.RetryLimit{Ratio: 1})
 	for range 100 {
 		w.RecordRequest(noon)
 	}
--- a/entry/retries.go
+++ b/entry/retries.go
@@ -46,7 +46,7 @@
 func (r *Router) retryWindow(service string) *admission.Window {
 	w, ok := r.retryWindows[service]
 	if !ok {
-		w = admission.NewWindow(r.retries)
+		w = admission.NewRetryWindow(r.retries)
 		r.retryWindows[service] = w
 	}
 	return w
