--- a/admission/window.go
+++ b/admission/window.go
@@ -19,9 +19,9 @@
 	Burst float64
 }
 
-// Window counts the requests and retries of one service in a sliding window.
+// RetryWindow counts the requests and retries of one service in a sliding window.
 // It is not safe for concurrent use.
-type Window struct {
+type RetryWindow struct {
 	limit    RetryLimit
 	requests [slotCount]float64
 	retries  [slotCount]float64
@@ -30,15 +30,15 @@
 }
 
 // NewRetryWindow returns an empty window with the given limit.
-func NewRetryWindow(r RetryLimit) *Window { return &Window{limit: r} }
+func NewRetryWindow(r RetryLimit) *RetryWindow { return &RetryWindow{limit: r} }
 
 // RecordRequest records a request.
-func (w *Window) RecordRequest(now time.Time) {
+func (w *RetryWindow) RecordRequest(now time.Time) {
 	w.requests[w.advance(now)]++
 }
 
 // RequestRate returns the mean number of requests per second in the window.
-func (w *Window) RequestRate(now time.Time) float64 {
+func (w *RetryWindow) RequestRate(now time.Time) float64 {
 	w.advance(now)
 	return sum(w.requests) / windowLength.Seconds()
 }
@@ -46,7 +46,7 @@
 // TakeRetry reports whether a retry is allowed, and records it if so. share is the
 // fraction of the fleet-wide burst that belongs to this instance; reserve is the
 // fraction of the allowance that this kind of retry must leave to other kinds.
-func (w *Window) TakeRetry(now time.Time, share, reserve float64) bool {
+func (w *RetryWindow) TakeRetry(now time.Time, share, reserve float64) bool {
 	i := w.advance(now)
 	if sum(w.retries)+1 > w.limit.Ratio*(1-reserve)*sum(w.requests)+w.limit.Burst*share*(1-reserve) {
 		return false
@@ -57,7 +57,7 @@
 
 // advance clears the slots that have become current since the last call and
 // returns the index of the current slot.
-func (w *Window) advance(now time.Time) int64 {
+func (w *RetryWindow) advance(now time.Time) int64 {
 	n := now.UnixNano() / int64(windowLength/slotCount)
 	for i := max(w.newest+1, n-slotCount+1); i <= n; i++ {
 		w.requests[i%slotCount], w.retries[i%slotCount] = 0, 0
--- a/entry/retries.go
+++ b/entry/retries.go
@@ -43,7 +43,7 @@
 }
 
 // retryWindow returns the service's window of requests and retries; r.mu is held.
-func (r *Router) retryWindow(service string) *admission.Window {
+func (r *Router) retryWindow(service string) *admission.RetryWindow {
 	w, ok := r.retryWindows[service]
 	if !ok {
 		w = admission.NewRetryWindow(r.retries)
--- a/entry/router.go
+++ b/entry/router.go
@@ -68,7 +68,7 @@
 	tokenTimes       *tokenTimes
 	releases         *releases
 	// retryWindows bound the retries of opaque requests, by service.
-	retryWindows map[string]*admission.Window
+	retryWindows map[string]*admission.RetryWindow
 	fleetSize    func() int
 	retries      admission.RetryLimit
 	quota        Quota
@@ -137,7 +137,7 @@
 		limiters: map[string]*admission.Limiter{}, retryBudget: admission.NewRetryBudget(),
 		cascadeLearner: cascade.NewLearner(), hooks: e,
 		upstream: p.Upstream, activeForwards: newActiveForwards(), quarantine: p.Quarantine, prober: p.Prober, placer: p.Placer, prefillTimes: timing.NewPrefillTimes(), slotTimes: timing.NewSlotTimes(), confidenceGains: newConfidenceGains(), answerSizes: newAnswerSizes(), firstEventDelays: timing.NewFirstEventDelays(), tokenTimes: newTokenTimes(),
-		releases: newReleases(p.Clock()), retryWindows: map[string]*admission.Window{}, retries: p.Retries, fleetSize: p.FleetSize,
+		releases: newReleases(p.Clock()), retryWindows: map[string]*admission.RetryWindow{}, retries: p.Retries, fleetSize: p.FleetSize,
 		acceptConfidence: p.AcceptConfidence, coldBound: p.ColdBound, quota: p.Quota, notices: p.Notices,
 	}
 }
