--- a/entry/forward.go
+++ b/entry/forward.go
@@ -141,7 +141,7 @@
 	if outcome.Of(err) == outcome.Unknown {
 		w.mayHaveRun = true
 	}
-	return w.stopIf(!w.q.Route.Repeats(), "may run once") ||
+	return w.stopIf(!w.q.Route.AllowsRetry(), "may run once") ||
 		w.stopIf(w.result.Runs >= w.q.Route.MaxAttempts, "attempts used") ||
 		w.stopIf(!w.takeRetry(), "no budget")
 }
--- a/entry/hang.go
+++ b/entry/hang.go
@@ -26,7 +26,7 @@
 func (a *attempt) withHangTimeout(ctx context.Context) (x context.Context, responded, end func()) {
 	x, cancel := context.WithCancelCause(ctx)
 	q := a.w.q
-	if !q.Route.Repeats() || a.w.result.Runs+1 >= q.Route.MaxAttempts || q.Route.Target <= 0 {
+	if !q.Route.AllowsRetry() || a.w.result.Runs+1 >= q.Route.MaxAttempts || q.Route.Target <= 0 {
 		return x, func() {}, func() { cancel(nil) }
 	}
 	t := time.AfterFunc(a.hangTimeout(), func() { cancel(errHung) })
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -31,7 +31,7 @@
 	if w.answerStarted {
 		return outcome.New(outcome.Unknown, stepAnswer, a.replica.ID, errors.Newf("the replica answered with status %d instead of resuming the stream", h.Status)).WithStatus(h.Status)
 	}
-	if w.q.Route.Repeats() && w.result.Runs < w.q.Route.MaxAttempts && h.Status >= 500 && w.takeRetry() {
+	if w.q.Route.AllowsRetry() && w.result.Runs < w.q.Route.MaxAttempts && h.Status >= 500 && w.takeRetry() {
 		w.mayHaveRun = true
 		return w.markRetryGranted(outcome.New(outcome.Unknown, stepAnswer, a.replica.ID, errors.Newf("the replica answered with status %d", h.Status)).WithStatus(h.Status))
 	}
--- a/route/route.go
+++ b/route/route.go
@@ -56,9 +56,9 @@
 	Weight  int
 }
 
-// Repeats reports whether a request may be retried after a failure that leaves
+// AllowsRetry reports whether a request may be retried after a failure that leaves
 // open whether the request ran.
-func (r *Route) Repeats() bool {
+func (r *Route) AllowsRetry() bool {
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
 }
 
