--- a/route/route.go
+++ b/route/route.go
@@ -62,9 +62,9 @@
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
 }
 
-// Service returns the service for the request with the given id. The choice is a
+// SelectService returns the service for the request with the given id. The choice is a
 // hash of the id, so that all instances choose the same service.
-func (r *Route) Service(request string) string {
+func (r *Route) SelectService(request string) string {
 	t := 0
 	for _, p := range r.Split {
 		t += p.Weight
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -32,13 +32,13 @@
 	r := route.Route{Split: []route.Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	n := map[string]int{}
 	for i := range 10_000 {
-		n[r.Service(fmt.Sprint("request", i))]++
+		n[r.SelectService(fmt.Sprint("request", i))]++
 	}
 	if n["b"] < 800 || n["b"] > 1200 {
 		t.Errorf("got %d of 10000 requests for the service with weight 10, want 800 to 1200", n["b"])
 	}
 	single := route.Route{Split: []route.Part{{Service: "a"}}}
-	if g := single.Service("x"); g != "a" {
+	if g := single.SelectService("x"); g != "a" {
 		t.Errorf("got service %q for a split of one service without a weight, want a", g)
 	}
 }
