--- a/entry/active_test.go
+++ b/entry/active_test.go
@@ -37,7 +37,7 @@
 	u := hangingUntilCancelled{make(chan struct{}, 1)}
 	r := NewRouter(Ports{View: v, Clock: now, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.RetryLimit{Burst: 9}})
 	end := now().Add(time.Minute)
-	q := &OpaqueRequest{ID: "q", Table: v.Get().Table, Route: &route.Route{Kind: route.Repeatable, MaxAttempts: 2, Split: []route.Part{{Service: "s"}}}, ArrivedAt: now(), Deadline: end, TimeoutAt: end}
+	q := &OpaqueRequest{ID: "q", Table: v.Get().Table, Route: &route.Route{Kind: route.Repeatable, MaxAttempts: 2, Split: []route.WeightedService{{Service: "s"}}}, ArrivedAt: now(), Deadline: end, TimeoutAt: end}
 	done := make(chan error, 1)
 	var f *ForwardResult
 	go func() {
--- a/entry/forward_test.go
+++ b/entry/forward_test.go
@@ -73,7 +73,7 @@
 // of attempts.
 func runForwardScriptWith(t *testing.T, path string, bounds Quota, contents Quarantine) int {
 	s := readForwardScript(t, path)
-	s.route.Split = []route.Part{{Service: "s"}}
+	s.route.Split = []route.WeightedService{{Service: "s"}}
 	v := NewCurrentView()
 	var l []pool.Replica
 	for i := range 8 {
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -189,7 +189,7 @@
 }
 
 func (w *noticingReplicas) request(i int) *OpaqueRequest {
-	r := &route.Route{Split: []route.Part{{Service: "s"}}, Target: time.Second, MaxAttempts: rapid.IntRange(1, 4).Draw(w.t, "attempts")}
+	r := &route.Route{Split: []route.WeightedService{{Service: "s"}}, Target: time.Second, MaxAttempts: rapid.IntRange(1, 4).Draw(w.t, "attempts")}
 	r.Kind = rapid.SampledFrom([]route.Kind{route.Once, route.Repeatable, route.Stream}).Draw(w.t, "kind")
 	r.Resumable = rapid.Bool().Draw(w.t, "resumable")
 	q := &OpaqueRequest{ID: fmt.Sprint(i), Table: route.New(1, nil, nil, nil, route.Limits{}), Route: r, Header: http.Header{}, ArrivedAt: w.now, Deadline: w.now.Add(time.Hour), TimeoutAt: w.now.Add(time.Hour)}
@@ -298,7 +298,7 @@
 	v.Put(NewView(nil, []pool.Replica{{ID: "a", Kind: pool.Service, Service: "s"}, {ID: "b", Kind: pool.Service, Service: "s"}, {ID: "c", Kind: pool.Service, Service: "s"}}, nil, nil))
 	r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.RetryLimit{Burst: 9}, Notices: b})
 	send := func() (string, *Failure) {
-		q := &OpaqueRequest{ID: "q", Table: route.New(1, nil, nil, nil, route.Limits{}), Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: now, Deadline: now.Add(time.Hour), TimeoutAt: now.Add(time.Hour)}
+		q := &OpaqueRequest{ID: "q", Table: route.New(1, nil, nil, nil, route.Limits{}), Route: &route.Route{Split: []route.WeightedService{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: now, Deadline: now.Add(time.Hour), TimeoutAt: now.Add(time.Hour)}
 		f, err := r.Forward(t.Context(), q, &clientSink{})
 		var x *Failure
 		errors.As(err, &x)
@@ -371,7 +371,7 @@
 		v := NewCurrentView()
 		v.Put(NewView(nil, l, nil, nil))
 		r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.RetryLimit{Burst: 9}, FleetSize: func() int { return 1 }, Notices: u.tracker})
-		q := &OpaqueRequest{ID: "q", Table: route.New(1, nil, nil, nil, route.Limits{}), Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 3}, ArrivedAt: now, Deadline: now.Add(time.Hour), TimeoutAt: now.Add(time.Hour)}
+		q := &OpaqueRequest{ID: "q", Table: route.New(1, nil, nil, nil, route.Limits{}), Route: &route.Route{Split: []route.WeightedService{{Service: "s"}}, MaxAttempts: 3}, ArrivedAt: now, Deadline: now.Add(time.Hour), TimeoutAt: now.Add(time.Hour)}
 		_, err := r.Forward(t.Context(), q, &clientSink{})
 		var f *Failure
 		if !errors.As(err, &f) || f.Outcome != outcome.NotRun || f.RetryAt.Sub(now) < c.min || f.RetryAt.Sub(now) > c.max {
--- a/entry/release_test.go
+++ b/entry/release_test.go
@@ -36,7 +36,7 @@
 	r := NewRouter(Ports{View: v, Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.RetryLimit{Burst: 9}})
 	rel := rollout.NewRelease("s", "v2", 1, time.Minute).WithNextPhase()
 	send := func(id, session string) string {
-		q := &OpaqueRequest{ID: id, Session: session, Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: now, Deadline: time.Now().Add(time.Hour), TimeoutAt: time.Now().Add(time.Hour)}
+		q := &OpaqueRequest{ID: id, Session: session, Route: &route.Route{Split: []route.WeightedService{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: now, Deadline: time.Now().Add(time.Hour), TimeoutAt: time.Now().Add(time.Hour)}
 		if _, err := r.Forward(t.Context(), q, &clientSink{}); err != nil {
 			t.Fatal(err)
 		}
@@ -88,7 +88,7 @@
 			<-u.began
 			cancel()
 		}()
-		q := &OpaqueRequest{ID: "q", Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: time.Now(), Deadline: time.Now().Add(time.Hour), TimeoutAt: time.Now().Add(time.Hour)}
+		q := &OpaqueRequest{ID: "q", Route: &route.Route{Split: []route.WeightedService{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: time.Now(), Deadline: time.Now().Add(time.Hour), TimeoutAt: time.Now().Add(time.Hour)}
 		if f, err := r.Forward(ctx, q, &clientSink{}); err == nil || f.StopReason != "the client left" {
 			t.Fatalf("error %v, stop reason %q, want an error and \"the client left\"", err, f.StopReason)
 		}
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -111,7 +111,7 @@
 func trialRoutes(n int) []*route.Route {
 	var l []*route.Route
 	for i := range n {
-		l = append(l, &route.Route{Name: fmt.Sprint("r", i), Split: []route.Part{{Service: "s"}}, MaxAttempts: 1})
+		l = append(l, &route.Route{Name: fmt.Sprint("r", i), Split: []route.WeightedService{{Service: "s"}}, MaxAttempts: 1})
 	}
 	return l
 }
--- a/route/route.go
+++ b/route/route.go
@@ -47,11 +47,11 @@
 	// Regions are the regions in which its requests may run; empty allows all.
 	Regions []string
 	// Split divides the requests between services; it has at least one element.
-	Split []Part
+	Split []WeightedService
 }
 
-// Part is a service with its weight in a route's traffic.
-type Part struct {
+// WeightedService is a service with its weight in a route's traffic.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -29,7 +29,7 @@
 // Traffic must be divided by the configured weights. A split with one service that
 // has no weight must send everything there instead of dividing by zero.
 func TestServiceFollowsWeights(t *testing.T) {
-	r := route.Route{Split: []route.Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
+	r := route.Route{Split: []route.WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	n := map[string]int{}
 	for i := range 10_000 {
 		n[r.SelectService(fmt.Sprint("request", i))]++
@@ -37,7 +37,7 @@
 	if n["b"] < 800 || n["b"] > 1200 {
 		t.Errorf("got %d of 10000 requests for the service with weight 10, want 800 to 1200", n["b"])
 	}
-	single := route.Route{Split: []route.Part{{Service: "a"}}}
+	single := route.Route{Split: []route.WeightedService{{Service: "a"}}}
 	if g := single.SelectService("x"); g != "a" {
 		t.Errorf("got service %q for a split of one service without a weight, want a", g)
 	}
