--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -73,7 +73,7 @@
 	now := time.Unix(1_700_000_000, 0)
 	g.suspect = map[string]bool{}
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Quota: g, Placer: p, ColdBound: quota.ColdBound{Overage: 2}})
-	t := route.New(1, nil, map[string]route.Service{"s": {ColdFor: 3 * time.Second, ColdPerSecond: 10}}, nil, route.Limits{})
+	t := route.New(1, nil, map[string]route.Service{"s": {ColdPeriod: 3 * time.Second, ColdPerSecond: 10}}, nil, route.Limits{})
 	l := []*pool.Replica{{ID: "warm"}, {ID: "cold", ColdUntil: now.Add(2 * time.Second)}, {ID: "lost"}, {ID: "cut"}}
 	for _, x := range l {
 		w := &forwarding{r: r, q: &OpaqueRequest{Table: t, Route: &route.Route{}}, result: &ForwardResult{Service: "s"}}
--- a/route/table.go
+++ b/route/table.go
@@ -31,11 +31,11 @@
 	Models []Model
 	// Slots is the number of requests that a replica runs concurrently.
 	Slots int
-	// ColdFor is how long a replica is cold after its start, and ColdPerSecond the
+	// ColdPeriod is how long a replica is cold after its start, and ColdPerSecond the
 	// request rate that it can handle during that time; both are 0 for services
-	// whose replicas handle the full rate from the start. ColdFor is a duration
+	// whose replicas handle the full rate from the start. ColdPeriod is a duration
 	// rather than a point in time because it applies to future starts.
-	ColdFor       time.Duration
+	ColdPeriod       time.Duration
 	ColdPerSecond float64
 	// Scaling bounds the replica counts that may be ordered from the platform; nil if
 	// the platform does not start and stop replicas of the service on request.
--- a/state/replicas.go
+++ b/state/replicas.go
@@ -40,7 +40,7 @@
 // 0 if the replicas of its service don't turn cold.
 func (s *State) coldFor(r pool.Replica) time.Duration {
 	if v := s.table.Service(r.Service); v.ColdPerSecond > 0 {
-		return v.ColdFor + coldReportDelay
+		return v.ColdPeriod + coldReportDelay
 	}
 	return 0
 }
