--- a/entry/opaque.go
+++ b/entry/opaque.go
@@ -67,7 +67,7 @@
 
 // priority is the customer's priority if it has one, else the route's.
 func (q *OpaqueRequest) priority() int {
-	if q.Customer.Ranked {
+	if q.Customer.HasPriority {
 		return q.Customer.Priority
 	}
 	return q.Route.Priority
--- a/route/table.go
+++ b/route/table.go
@@ -70,8 +70,8 @@
 type Customer struct {
 	Name     string
 	Priority int
-	// Ranked reports that Priority replaces the route's priority.
-	Ranked bool
+	// HasPriority reports that Priority replaces the route's priority.
+	HasPriority bool
 	// Regions are the regions in which its requests may run; empty allows all.
 	Regions []string
 }
