--- a/route/table.go
+++ b/route/table.go
@@ -80,7 +80,7 @@
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	HeaderWait  time.Duration
+	HeaderTimeout  time.Duration
 	Idle        time.Duration
 }
 
