--- a/route/table.go
+++ b/route/table.go
@@ -81,7 +81,7 @@
 	HeaderBytes int
 	BodyBytes   int64
 	HeaderTimeout  time.Duration
-	Idle        time.Duration
+	IdleTimeout        time.Duration
 }
 
 // New returns a table. keys maps each API key to its customer; with nil, requests
