--- a/route/table.go
+++ b/route/table.go
@@ -130,7 +130,7 @@
 // Routes returns the number of routes.
 func (t *Table) Routes() int { return len(t.routes) }
 
-// Newer reports whether t replaces o: o is nil or has a lower version.
-func (t *Table) Newer(o *Table) bool {
+// IsNewer reports whether t replaces o: o is nil or has a lower version.
+func (t *Table) IsNewer(o *Table) bool {
 	return o == nil || t.Version > o.Version
 }
--- a/state/state.go
+++ b/state/state.go
@@ -56,7 +56,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock()
-	if c.Table != nil && c.Table.Newer(s.table) {
+	if c.Table != nil && c.Table.IsNewer(s.table) {
 		s.table = c.Table
 		s.log("config_in_force", "version", c.Table.Version, "routes", c.Table.Routes())
 	}
