--- a/route/table.go
+++ b/route/table.go
@@ -127,8 +127,8 @@
 // NeedsKey reports whether requests of the route must carry an API key.
 func (t *Table) NeedsKey(r *Route) bool { return t.requiresKeys && !r.Public }
 
-// Routes returns the number of routes.
-func (t *Table) Routes() int { return len(t.routes) }
+// RouteCount returns the number of routes.
+func (t *Table) RouteCount() int { return len(t.routes) }
 
 // IsNewer reports whether t replaces o: o is nil or has a lower version.
 func (t *Table) IsNewer(o *Table) bool {
--- a/state/state.go
+++ b/state/state.go
@@ -58,7 +58,7 @@
 	now := s.clock()
 	if c.Table != nil && c.Table.IsNewer(s.table) {
 		s.table = c.Table
-		s.log("config_in_force", "version", c.Table.Version, "routes", c.Table.Routes())
+		s.log("config_in_force", "version", c.Table.Version, "routes", c.Table.RouteCount())
 	}
 	s.applyReplicas(c, now)
 	s.applyEvacuations(c, now)
