--- a/adapter/caller/chat.go
+++ b/adapter/caller/chat.go
@@ -76,7 +76,7 @@
 	h.Set(HeaderModel, r.Version.Model)
 	h.Set(HeaderVersion, r.Version.Name)
 	h.Set(HeaderPolicyRevision, strconv.FormatUint(r.Revision, 10))
-	if t := s.view.Get().Active.SessionKeys().Mint(r.Session); t != "" {
+	if t := s.view.Get().Active.SessionKeys().Issue(r.Session); t != "" {
 		h.Set(HeaderSession, t)
 	}
 	if r.SessionMoved {
--- a/faults/client_test.go
+++ b/faults/client_test.go
@@ -172,7 +172,7 @@
 	if d.sessionTokens[thread] != sent {
 		return
 	}
-	d.sessionTokens[thread] = i.View.Get().Active.SessionKeys().Mint(r.Session)
+	d.sessionTokens[thread] = i.View.Get().Active.SessionKeys().Issue(r.Session)
 	if p, ok := r.Session.Pin("cheap"); ok {
 		l := d.sessionVersions[thread]
 		if len(l) == 0 || l[len(l)-1] != p {
--- a/session/session.go
+++ b/session/session.go
@@ -86,8 +86,8 @@
 
 const fieldSeparator = "|"
 
-// Mint returns the signed token of s, or "" if the ring has no keys.
-func (r Ring) Mint(s Session) string {
+// Issue returns the signed token of s, or "" if the ring has no keys.
+func (r Ring) Issue(s Session) string {
 	if len(r.keys) == 0 {
 		return ""
 	}
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -36,7 +36,7 @@
 func TestTokenRoundTripAcrossRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSession(t)
-		token := session.NewRing(key1).Mint(s)
+		token := session.NewRing(key1).Issue(s)
 		for _, r := range []session.Ring{session.NewRing(key1), session.NewRing(key2, key1)} {
 			got, err := r.Open(token, now)
 			if err != nil {
@@ -61,7 +61,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSession(t)
 		r := session.NewRing(key1)
-		b := []byte(r.Mint(s))
+		b := []byte(r.Issue(s))
 		i := rapid.IntRange(0, len(b)-1).Draw(t, "at")
 		c := rapid.ByteRange('!', '~').Draw(t, "byte")
 		if b[i] == c {
@@ -76,7 +76,7 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	f.Add(session.NewRing(key1).Mint(session.New("s", "c", now)))
+	f.Add(session.NewRing(key1).Issue(session.New("s", "c", now)))
 	f.Add("k1..")
 	f.Add("..")
 	f.Fuzz(func(t *testing.T, token string) {
