--- a/adapter/caller/caller_test.go
+++ b/adapter/caller/caller_test.go
@@ -181,7 +181,7 @@
 	if d := cmp.Diff(map[string]string{caller.HeaderRequestID: "mine", caller.HeaderPolicyRevision: "7", caller.HeaderVersion: "1"}, got); d != "" {
 		t.Errorf("headers (-want +got):\n%s", d)
 	}
-	s, err := v.Get().Active.SessionKeys().Open(p.Header.Get(caller.HeaderSession), time.Now())
+	s, err := v.Get().Active.SessionKeys().Verify(p.Header.Get(caller.HeaderSession), time.Now())
 	if err != nil || s.Customer != "skye-strings" || len(s.Pins) == 0 {
 		t.Errorf("got session %+v and error %v, want a session of skye-strings with pins and no error", s, err)
 	}
--- a/adapter/caller/server.go
+++ b/adapter/caller/server.go
@@ -231,7 +231,7 @@
 func (s *Server) session(c *fasthttp.RequestCtx, k *call) session.Session {
 	t := string(c.Request.Header.Peek(HeaderSession))
 	if t != "" {
-		x, err := k.active.SessionKeys().Open(t, k.started)
+		x, err := k.active.SessionKeys().Verify(t, k.started)
 		if err == nil && x.Customer == k.caller.Customer.Name {
 			x.Expires = k.started.Add(sessionTTL)
 			return x
--- a/faults/client_test.go
+++ b/faults/client_test.go
@@ -154,7 +154,7 @@
 	q := entry.Request{ID: s.id, Caller: c, Task: "chat", Size: policy.Small, Model: entry.AutoModel, Body: world.ChatBody(s.id), Deadline: time.Now().Add(requestTimeout)}
 	q.Session = session.New(thread, "", time.Now().Add(24*time.Hour))
 	if token != "" {
-		o, err := v.Active.SessionKeys().Open(token, time.Now())
+		o, err := v.Active.SessionKeys().Verify(token, time.Now())
 		if err != nil {
 			d.reportViolation("%s: session token was rejected: %v", s.id, err)
 		}
--- a/faults/versions_test.go
+++ b/faults/versions_test.go
@@ -239,7 +239,7 @@
 		if l := d.sessionVersions["thread0"]; len(l) != 1 || l[0] != cheap1 {
 			t.Errorf("the session used the versions %v, want only %v", l, cheap1)
 		}
-		if o, err := d.instance("b1").View.Get().Active.SessionKeys().Open(d.sessionTokens["thread0"], time.Now()); err != nil || o.Customer != "" {
+		if o, err := d.instance("b1").View.Get().Active.SessionKeys().Verify(d.sessionTokens["thread0"], time.Now()); err != nil || o.Customer != "" {
 			t.Errorf("token after the rotation: got %+v, %v; want a session without a customer", o, err)
 		}
 	})
--- a/session/session.go
+++ b/session/session.go
@@ -96,9 +96,9 @@
 	return k.ID + "." + encodeBase64(b) + "." + encodeBase64(sign(k, b))
 }
 
-// Open verifies a token and returns its session. A token has expired if its
+// Verify verifies a token and returns its session. A token has expired if its
 // expiry time is not after now.
-func (r Ring) Open(token string, now time.Time) (Session, error) {
+func (r Ring) Verify(token string, now time.Time) (Session, error) {
 	f := strings.Split(token, ".")
 	if len(token) > MaxToken || len(f) != 3 {
 		return Session{}, ErrMalformed
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -38,7 +38,7 @@
 		s := drawSession(t)
 		token := session.NewRing(key1).Issue(s)
 		for _, r := range []session.Ring{session.NewRing(key1), session.NewRing(key2, key1)} {
-			got, err := r.Open(token, now)
+			got, err := r.Verify(token, now)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -46,10 +46,10 @@
 				t.Fatal(d)
 			}
 		}
-		if _, err := session.NewRing(key2).Open(token, now); !errors.Is(err, session.ErrUnknownKey) {
+		if _, err := session.NewRing(key2).Verify(token, now); !errors.Is(err, session.ErrUnknownKey) {
 			t.Fatalf("token of a removed key: got error %v, want ErrUnknownKey", err)
 		}
-		if _, err := session.NewRing(key1).Open(token, s.Expires); !errors.Is(err, session.ErrExpired) {
+		if _, err := session.NewRing(key1).Verify(token, s.Expires); !errors.Is(err, session.ErrExpired) {
 			t.Fatalf("expired token: got error %v, want ErrExpired", err)
 		}
 	})
@@ -68,7 +68,7 @@
 			return
 		}
 		b[i] = c
-		got, err := r.Open(string(b), now)
+		got, err := r.Verify(string(b), now)
 		if err == nil && !cmp.Equal(s, got) {
 			t.Fatalf("modified token %q opened as %+v, want an error or the original session", b, got)
 		}
@@ -80,6 +80,6 @@
 	f.Add("k1..")
 	f.Add("..")
 	f.Fuzz(func(t *testing.T, token string) {
-		_, _ = session.NewRing(key1).Open(token, now)
+		_, _ = session.NewRing(key1).Verify(token, now)
 	})
 }
