--- a/config/active.go
+++ b/config/active.go
@@ -33,7 +33,7 @@
 func Compile(d Document) (*Compiled, []error) {
 	a := &Compiled{
 		doc:          d,
-		sessionKeys:  session.NewRing(d.SessionKeys...),
+		sessionKeys:  session.NewKeyRing(d.SessionKeys...),
 		callers:      map[string]Caller{},
 		tables:       map[string]*policy.Table{},
 		services:     map[string]catalog.Service{},
--- a/session/session.go
+++ b/session/session.go
@@ -79,8 +79,8 @@
 	keys []Key
 }
 
-// NewRing returns a ring with the given keys, the signing key first.
-func NewRing(k ...Key) Ring {
+// NewKeyRing returns a ring with the given keys, the signing key first.
+func NewKeyRing(k ...Key) Ring {
 	return Ring{keys: k}
 }
 
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -36,8 +36,8 @@
 func TestTokenRoundTripAcrossRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSession(t)
-		token := session.NewRing(key1).Issue(s)
-		for _, r := range []session.Ring{session.NewRing(key1), session.NewRing(key2, key1)} {
+		token := session.NewKeyRing(key1).Issue(s)
+		for _, r := range []session.Ring{session.NewKeyRing(key1), session.NewKeyRing(key2, key1)} {
 			got, err := r.Verify(token, now)
 			if err != nil {
 				t.Fatal(err)
@@ -46,10 +46,10 @@
 				t.Fatal(d)
 			}
 		}
-		if _, err := session.NewRing(key2).Verify(token, now); !errors.Is(err, session.ErrUnknownKey) {
+		if _, err := session.NewKeyRing(key2).Verify(token, now); !errors.Is(err, session.ErrUnknownKey) {
 			t.Fatalf("token of a removed key: got error %v, want ErrUnknownKey", err)
 		}
-		if _, err := session.NewRing(key1).Verify(token, s.Expires); !errors.Is(err, session.ErrExpired) {
+		if _, err := session.NewKeyRing(key1).Verify(token, s.Expires); !errors.Is(err, session.ErrExpired) {
 			t.Fatalf("expired token: got error %v, want ErrExpired", err)
 		}
 	})
@@ -60,7 +60,7 @@
 func TestModifiedTokenIsRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSession(t)
-		r := session.NewRing(key1)
+		r := session.NewKeyRing(key1)
 		b := []byte(r.Issue(s))
 		i := rapid.IntRange(0, len(b)-1).Draw(t, "at")
 		c := rapid.ByteRange('!', '~').Draw(t, "byte")
@@ -76,10 +76,10 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	f.Add(session.NewRing(key1).Issue(session.New("s", "c", now)))
+	f.Add(session.NewKeyRing(key1).Issue(session.New("s", "c", now)))
 	f.Add("k1..")
 	f.Add("..")
 	f.Fuzz(func(t *testing.T, token string) {
-		_, _ = session.NewRing(key1).Verify(token, now)
+		_, _ = session.NewKeyRing(key1).Verify(token, now)
 	})
 }
