--- a/config/active.go
+++ b/config/active.go
@@ -14,7 +14,7 @@
 // caller keys indexed. It is immutable and shared by all requests of an entry.
 type Compiled struct {
 	doc          Document
-	sessionKeys  session.Ring
+	sessionKeys  session.KeyRing
 	callers      map[string]Caller
 	tables       map[string]*policy.Table
 	services     map[string]catalog.Service
@@ -87,7 +87,7 @@
 func (a *Compiled) Revision() uint64 { return a.doc.Revision }
 
 // SessionKeys returns the key ring that signs and verifies session tokens.
-func (a *Compiled) SessionKeys() session.Ring { return a.sessionKeys }
+func (a *Compiled) SessionKeys() session.KeyRing { return a.sessionKeys }
 
 // Caller returns the customer whose API key this is.
 func (a *Compiled) Caller(key string) (Caller, bool) {
--- a/session/session.go
+++ b/session/session.go
@@ -72,22 +72,22 @@
 	Secret []byte
 }
 
-// Ring holds signing keys. Tokens of all its keys are accepted; new tokens are
+// KeyRing holds signing keys. Tokens of all its keys are accepted; new tokens are
 // signed with the first. A rotation inserts a new key at the front and keeps the old ones
 // until their tokens have expired.
-type Ring struct {
+type KeyRing struct {
 	keys []Key
 }
 
 // NewKeyRing returns a ring with the given keys, the signing key first.
-func NewKeyRing(k ...Key) Ring {
-	return Ring{keys: k}
+func NewKeyRing(k ...Key) KeyRing {
+	return KeyRing{keys: k}
 }
 
 const fieldSeparator = "|"
 
 // Issue returns the signed token of s, or "" if the ring has no keys.
-func (r Ring) Issue(s Session) string {
+func (r KeyRing) Issue(s Session) string {
 	if len(r.keys) == 0 {
 		return ""
 	}
@@ -98,7 +98,7 @@
 
 // Verify verifies a token and returns its session. A token has expired if its
 // expiry time is not after now.
-func (r Ring) Verify(token string, now time.Time) (Session, error) {
+func (r KeyRing) Verify(token string, now time.Time) (Session, error) {
 	f := strings.Split(token, ".")
 	if len(token) > MaxToken || len(f) != 3 {
 		return Session{}, ErrMalformed
@@ -132,7 +132,7 @@
 	return s, nil
 }
 
-func (r Ring) findKey(id string) (Key, bool) {
+func (r KeyRing) findKey(id string) (Key, bool) {
 	for _, k := range r.keys {
 		if k.ID == id {
 			return k, true
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -37,7 +37,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSession(t)
 		token := session.NewKeyRing(key1).Issue(s)
-		for _, r := range []session.Ring{session.NewKeyRing(key1), session.NewKeyRing(key2, key1)} {
+		for _, r := range []session.KeyRing{session.NewKeyRing(key1), session.NewKeyRing(key2, key1)} {
 			got, err := r.Verify(token, now)
 			if err != nil {
 				t.Fatal(err)
