--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -166,7 +166,7 @@
 		return err
 	}
 	m.revision = max(m.revision, c.Revision)
-	if c.Whole {
+	if c.IsSnapshot {
 		m.listener.Changed(Update{Items: c.Items, Snapshot: true, Revision: c.Revision})
 	} else if len(c.Items) > 0 {
 		m.listener.Changed(Update{Items: latestPerKey(c.Items), Revision: c.Revision})
--- a/relay/wire.go
+++ b/relay/wire.go
@@ -88,7 +88,7 @@
 }
 
 func (a answer) changes() store.Changes {
-	return store.Changes{Items: a.Items, Whole: a.Snapshot, Revision: a.Revision, Age: a.age()}
+	return store.Changes{Items: a.Items, IsSnapshot: a.Snapshot, Revision: a.Revision, Age: a.age()}
 }
 
 // message is a query or an answer.
--- a/store/feed.go
+++ b/store/feed.go
@@ -41,8 +41,8 @@
 type Changes struct {
 	Items    []Item
 	Revision int64
-	// Whole reports that Items is a snapshot of all keys instead of the changes.
-	Whole bool
+	// IsSnapshot reports that Items is a snapshot of all keys instead of the changes.
+	IsSnapshot bool
 	// Age is the age of the response when it was sent; 0 if it is from the store
 	// itself.
 	Age time.Duration
