--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -216,8 +216,8 @@
 // which the call was sent, since the answer may have been long in transit.
 func (m *Mirror) asOf(sent time.Time, wait time.Duration, c store.Changes) time.Time {
 	w := wait
-	if c.Waited > 0 {
-		w = min(w, c.Waited)
+	if c.PeerWait > 0 {
+		w = min(w, c.PeerWait)
 	}
 	if e := sent.Add(w); len(c.Items) == 0 && !m.clock().Before(e) {
 		return e.Add(-c.Age)
--- a/relay/follow.go
+++ b/relay/follow.go
@@ -121,7 +121,7 @@
 		if err == nil && f.age() <= n.timing.MaxAge {
 			f.Hops, f.Followers = a.Hops, a.Followers
 			c := n.acceptChanges(m, f)
-			c.Waited = 0
+			c.PeerWait = 0
 			return c, true
 		}
 		n.event("changes_unfetched", "source", m.ID, "addr", addr, "after", after, "age", f.age(), "error", err)
@@ -136,7 +136,7 @@
 	n.changeLog.SetHops(a.Hops + 1)
 	n.setSourceFollowers(a.Followers)
 	c := a.changes()
-	c.Waited = n.timing.PeerWait
+	c.PeerWait = n.timing.PeerWait
 	return c
 }
 
--- a/store/feed.go
+++ b/store/feed.go
@@ -46,9 +46,9 @@
 	// Age is the age of the response when it was sent; 0 if it is from the store
 	// itself.
 	Age time.Duration
-	// Waited is how long the responding peer waits for a change, if that is less
+	// PeerWait is how long the responding peer waits for a change, if that is less
 	// than requested.
-	Waited time.Duration
+	PeerWait time.Duration
 }
 
 // Feed reads keys and watches their changes.
