--- a/cmd/fieldvale-node/announce.go
+++ b/cmd/fieldvale-node/announce.go
@@ -39,7 +39,7 @@
 
 // offerEarlierAnnouncement passes the announcement of an earlier run of this instance to
 // announce; the zero value if there is none. All calls after the first have no effect.
-func (n *node) offerEarlierAnnouncement(a store.Announced) {
+func (n *node) offerEarlierAnnouncement(a store.LeasedKey) {
 	select {
 	case n.earlierAnnouncement <- a:
 	default:
@@ -55,7 +55,7 @@
 	if err != nil {
 		return errors.Wrap(err, "node.announce")
 	}
-	var a store.Announced
+	var a store.LeasedKey
 	select {
 	case a = <-n.earlierAnnouncement:
 	case <-ctx.Done():
@@ -109,7 +109,7 @@
 
 // renewAnnouncement renews the announcement, or makes a new one if there is none or it has
 // expired.
-func (n *node) renewAnnouncement(ctx context.Context, a store.Announced, value []byte) (store.Announced, error) {
+func (n *node) renewAnnouncement(ctx context.Context, a store.LeasedKey, value []byte) (store.LeasedKey, error) {
 	callCtx, cancel := context.WithTimeout(ctx, storeWriteTimeout)
 	defer cancel()
 	if a.Lease != 0 {
@@ -120,7 +120,7 @@
 	}
 	b, err := n.store.Announce(callCtx, platform.MemberKey(n.settings.ID), value, announcementTTL)
 	if err != nil {
-		return store.Announced{}, err
+		return store.LeasedKey{}, err
 	}
 	n.logEvent("listed", "listed_others", n.state.RegisteredCount())
 	return b, nil
--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -52,7 +52,7 @@
 	// lease, reported and planners are only used by the goroutine of run. lease is the
 	// duty's lease while this instance is the holder, reported are the windows whose usage
 	// this instance has reported, and planners are by service.
-	lease    store.Announced
+	lease    store.LeasedKey
 	reported map[int64]bool
 	planners map[string]*scaling.Planner
 
--- a/cmd/fieldvale-node/follow.go
+++ b/cmd/fieldvale-node/follow.go
@@ -57,12 +57,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var earlierAnnouncement store.Announced
+	var earlierAnnouncement store.LeasedKey
 	m := make([]peer.Member, len(l))
 	for i, x := range l {
 		m[i] = x.Member
 		if x.Member == n.self() {
-			earlierAnnouncement = x.Announced
+			earlierAnnouncement = x.LeasedKey
 		}
 	}
 	if len(l) > 0 || !stale {
--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -86,7 +86,7 @@
 	loggedTrials map[string]entry.ReleaseTrial
 	// earlierAnnouncement passes on the announcement of an earlier run of this instance,
 	// as the first read of the member list found it.
-	earlierAnnouncement chan store.Announced
+	earlierAnnouncement chan store.LeasedKey
 	// dutyWorker performs the duties that one instance at a time holds; nil where none is
 	// configured.
 	dutyWorker *dutyWorker
@@ -125,7 +125,7 @@
 func newNodeWithClock(c *clock.Clock, s settings.Node, path string, l log.Interface) *node {
 	n := &node{
 		settings: s, settingsPath: path, log: l, clock: c.Now, suspendClock: c, metrics: metrics.New(), view: entry.NewCurrentView(),
-		pendingRecords: make(chan state.Record), loggedTrials: map[string]entry.ReleaseTrial{}, earlierAnnouncement: make(chan store.Announced, 1), registerNow: make(chan struct{}, 1), pool: exchange.New(c.Now), stopping: make(chan struct{}),
+		pendingRecords: make(chan state.Record), loggedTrials: map[string]entry.ReleaseTrial{}, earlierAnnouncement: make(chan store.LeasedKey, 1), registerNow: make(chan struct{}, 1), pool: exchange.New(c.Now), stopping: make(chan struct{}),
 	}
 	n.lease = lease.New(time.Duration(confirmationFraction*float64(s.RevokedKeyTTL)), s.MaxApplyDelay, keyExpiryRule(s), n.clock())
 	n.placer = placement.NewNode(s.ID, startID(), taggedTransport{n, tagPlacement}, n.clock, n.logEvent)
