--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -262,7 +262,7 @@
 		}
 		c.reported[w] = err == nil && counts != nil
 	}
-	now := usage.Window(c.node.clock(), c.node.settings.UsageWindow)
+	now := usage.WindowNumber(c.node.clock(), c.node.settings.UsageWindow)
 	maps.DeleteFunc(c.reported, func(w int64, _ bool) bool { return w < now-keptUsageWindows })
 }
 
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -12,9 +12,9 @@
 // Counts holds the number of requests by customer.
 type Counts map[string]int
 
-// Window returns the number of the window that contains t; all windows have the
+// WindowNumber returns the number of the window that contains t; all windows have the
 // given length.
-func Window(t time.Time, length time.Duration) int64 {
+func WindowNumber(t time.Time, length time.Duration) int64 {
 	return t.UnixNano() / int64(length)
 }
 
@@ -50,7 +50,7 @@
 func (t *Tally) Saw(customer string, began time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := Window(began, t.length)
+	w := WindowNumber(began, t.length)
 	if t.counts[w] == nil {
 		t.counts[w] = Counts{}
 		t.counts.trim(w)
@@ -132,7 +132,7 @@
 // at least settleTime and less than late ago.
 func Due(now time.Time, length, late time.Duration) []int64 {
 	var l []int64
-	for w := Window(now.Add(-late), length); !End(w, length).Add(settleTime).After(now); w++ {
+	for w := WindowNumber(now.Add(-late), length); !End(w, length).Add(settleTime).After(now); w++ {
 		if End(w, length).Add(late).After(now) {
 			l = append(l, w)
 		}
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -41,9 +41,9 @@
 	for _, w := range []usage.Windows{latest, earlier, latest} {
 		b.Report("n1", 1, w)
 	}
-	b.Report("n1", 2, usage.Windows{usage.Window(start, length): {"acme": 5}})
-	b.Report("n2", 1, usage.Windows{usage.Window(start, length): {"acme": 1, "zeta": 2}})
-	got := []usage.Counts{b.Sum(usage.Window(start, length)), b.Sum(usage.Window(start.Add(length), length))}
+	b.Report("n1", 2, usage.Windows{usage.WindowNumber(start, length): {"acme": 5}})
+	b.Report("n2", 1, usage.Windows{usage.WindowNumber(start, length): {"acme": 1, "zeta": 2}})
+	got := []usage.Counts{b.Sum(usage.WindowNumber(start, length)), b.Sum(usage.WindowNumber(start.Add(length), length))}
 	if d := cmp.Diff([]usage.Counts{{"acme": 10, "zeta": 2}, {"zeta": 1}}, got); d != "" {
 		t.Error(d)
 	}
