--- a/usage/usage.go
+++ b/usage/usage.go
@@ -18,8 +18,8 @@
 	return t.UnixNano() / int64(length)
 }
 
-// End returns the end of the window.
-func End(window int64, length time.Duration) time.Time {
+// WindowEnd returns the end of the window.
+func WindowEnd(window int64, length time.Duration) time.Time {
 	return time.Unix(0, (window+1)*int64(length))
 }
 
@@ -132,8 +132,8 @@
 // at least settleTime and less than late ago.
 func Due(now time.Time, length, late time.Duration) []int64 {
 	var l []int64
-	for w := WindowNumber(now.Add(-late), length); !End(w, length).Add(settleTime).After(now); w++ {
-		if End(w, length).Add(late).After(now) {
+	for w := WindowNumber(now.Add(-late), length); !WindowEnd(w, length).Add(settleTime).After(now); w++ {
+		if WindowEnd(w, length).Add(late).After(now) {
 			l = append(l, w)
 		}
 	}
