--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -132,7 +132,7 @@
 type wireUsage struct {
 	From        string         `json:"from"`
 	Incarnation uint64         `json:"life"`
-	Windows     usage.Windows  `json:"windows"`
+	Windows     usage.CountsByWindow  `json:"windows"`
 	Running     map[string]int `json:"running"`
 }
 
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -23,8 +23,8 @@
 	return time.Unix(0, (window+1)*int64(length))
 }
 
-// Windows holds counts by window number.
-type Windows map[int64]Counts
+// CountsByWindow holds counts by window number.
+type CountsByWindow map[int64]Counts
 
 // retainedWindows is the number of windows for which counts are kept: a report may be
 // due ten seconds after the end of its window, and another instance may have to take
@@ -32,7 +32,7 @@
 const retainedWindows = 6
 
 // trim deletes the windows that are too old to be retained.
-func (w Windows) trim(newest int64) {
+func (w CountsByWindow) trim(newest int64) {
 	maps.DeleteFunc(w, func(n int64, _ Counts) bool { return n <= newest-retainedWindows })
 }
 
@@ -40,11 +40,11 @@
 type Tally struct {
 	length time.Duration
 	mu     sync.Mutex
-	counts Windows
+	counts CountsByWindow
 }
 
 // NewTally returns an empty tally with windows of the given length.
-func NewTally(length time.Duration) *Tally { return &Tally{length: length, counts: Windows{}} }
+func NewTally(length time.Duration) *Tally { return &Tally{length: length, counts: CountsByWindow{}} }
 
 // Saw counts a request of the customer that started at the given time.
 func (t *Tally) Saw(customer string, began time.Time) {
@@ -59,10 +59,10 @@
 }
 
 // Counts returns a copy of all retained counts.
-func (t *Tally) Counts() Windows {
+func (t *Tally) Counts() CountsByWindow {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := make(Windows, len(t.counts))
+	c := make(CountsByWindow, len(t.counts))
 	for w, x := range t.counts {
 		c[w] = maps.Clone(x)
 	}
@@ -87,7 +87,7 @@
 
 // Report merges the counts of an instance's incarnation so far. Reports may arrive
 // repeatedly and in any order: counts only grow, so the larger one is kept.
-func (b *Book) Report(id string, incarnation uint64, l Windows) {
+func (b *Book) Report(id string, incarnation uint64, l CountsByWindow) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	newest := int64(0)
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -38,11 +38,11 @@
 	a.Saw("acme", start.Add(time.Second))
 	a.Saw("zeta", start.Add(length))
 	latest := a.Counts()
-	for _, w := range []usage.Windows{latest, earlier, latest} {
+	for _, w := range []usage.CountsByWindow{latest, earlier, latest} {
 		b.Report("n1", 1, w)
 	}
-	b.Report("n1", 2, usage.Windows{usage.WindowNumber(start, length): {"acme": 5}})
-	b.Report("n2", 1, usage.Windows{usage.WindowNumber(start, length): {"acme": 1, "zeta": 2}})
+	b.Report("n1", 2, usage.CountsByWindow{usage.WindowNumber(start, length): {"acme": 5}})
+	b.Report("n2", 1, usage.CountsByWindow{usage.WindowNumber(start, length): {"acme": 1, "zeta": 2}})
 	got := []usage.Counts{b.Sum(usage.WindowNumber(start, length)), b.Sum(usage.WindowNumber(start.Add(length), length))}
 	if d := cmp.Diff([]usage.Counts{{"acme": 10, "zeta": 2}, {"zeta": 1}}, got); d != "" {
 		t.Error(d)
