--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -245,7 +245,7 @@
 // each report in the store first: if the answer is lost, or the duty passes to another
 // instance, the window is reported again, and both reports must be the same.
 func (c *dutyWorker) reportUsage(ctx context.Context, fence int64) {
-	for _, w := range usage.Due(c.node.clock(), c.node.settings.UsageWindow, c.node.settings.MaxUsageDelay) {
+	for _, w := range usage.DueWindows(c.node.clock(), c.node.settings.UsageWindow, c.node.settings.MaxUsageDelay) {
 		if c.reported[w] {
 			continue
 		}
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -128,9 +128,9 @@
 // before the window is reported.
 const settleTime = 3 * time.Second
 
-// Due returns the windows that are complete and can still be reported: those that ended
+// DueWindows returns the windows that are complete and can still be reported: those that ended
 // at least settleTime and less than late ago.
-func Due(now time.Time, length, late time.Duration) []int64 {
+func DueWindows(now time.Time, length, late time.Duration) []int64 {
 	var l []int64
 	for w := WindowNumber(now.Add(-late), length); !WindowEnd(w, length).Add(settleTime).After(now); w++ {
 		if WindowEnd(w, length).Add(late).After(now) {
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -16,7 +16,7 @@
 
 func ExampleDue() {
 	for _, s := range []int{0, 2, 3, 7, 9} {
-		fmt.Println(s, usage.Due(start.Add(time.Duration(s)*time.Second), length, 10*time.Second))
+		fmt.Println(s, usage.DueWindows(start.Add(time.Duration(s)*time.Second), length, 10*time.Second))
 	}
 	// Output:
 	// 0 [339999998]
