--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -37,7 +37,7 @@
 	}
 	return func(customer string, at time.Time) {
 		if customer != "" {
-			n.dutyWorker.tally.Saw(customer, at)
+			n.dutyWorker.tally.CountRequest(customer, at)
 		}
 	}
 }
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -46,8 +46,8 @@
 // NewTally returns an empty tally with windows of the given length.
 func NewTally(length time.Duration) *Tally { return &Tally{length: length, counts: CountsByWindow{}} }
 
-// Saw counts a request of the customer that started at the given time.
-func (t *Tally) Saw(customer string, began time.Time) {
+// CountRequest counts a request of the customer that started at the given time.
+func (t *Tally) CountRequest(customer string, began time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := WindowNumber(began, t.length)
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -32,11 +32,11 @@
 func TestBookSumsIncarnations(t *testing.T) {
 	a, b := usage.NewTally(length), usage.NewBook()
 	for range 3 {
-		a.Saw("acme", start)
+		a.CountRequest("acme", start)
 	}
 	earlier := a.Counts()
-	a.Saw("acme", start.Add(time.Second))
-	a.Saw("zeta", start.Add(length))
+	a.CountRequest("acme", start.Add(time.Second))
+	a.CountRequest("zeta", start.Add(length))
 	latest := a.Counts()
 	for _, w := range []usage.CountsByWindow{latest, earlier, latest} {
 		b.Report("n1", 1, w)
