--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -182,7 +182,7 @@
 
 // recordUsageReport stores an instance's counts and load; later reports replace it.
 func (c *dutyWorker) recordUsageReport(u wireUsage) {
-	c.book.Report(u.From, u.Incarnation, u.Windows)
+	c.book.Merge(u.From, u.Incarnation, u.Windows)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.loads[u.From] = instanceLoad{u.Running, c.node.clock()}
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -85,9 +85,9 @@
 // NewBook returns a sum without any reported counts.
 func NewBook() *Book { return &Book{reported: map[int64]map[origin]Counts{}} }
 
-// Report merges the counts of an instance's incarnation so far. Reports may arrive
+// Merge merges the counts of an instance's incarnation so far. Reports may arrive
 // repeatedly and in any order: counts only grow, so the larger one is kept.
-func (b *Book) Report(id string, incarnation uint64, l CountsByWindow) {
+func (b *Book) Merge(id string, incarnation uint64, l CountsByWindow) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	newest := int64(0)
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -39,10 +39,10 @@
 	a.CountRequest("zeta", start.Add(length))
 	latest := a.Counts()
 	for _, w := range []usage.CountsByWindow{latest, earlier, latest} {
-		b.Report("n1", 1, w)
+		b.Merge("n1", 1, w)
 	}
-	b.Report("n1", 2, usage.CountsByWindow{usage.WindowNumber(start, length): {"acme": 5}})
-	b.Report("n2", 1, usage.CountsByWindow{usage.WindowNumber(start, length): {"acme": 1, "zeta": 2}})
+	b.Merge("n1", 2, usage.CountsByWindow{usage.WindowNumber(start, length): {"acme": 5}})
+	b.Merge("n2", 1, usage.CountsByWindow{usage.WindowNumber(start, length): {"acme": 1, "zeta": 2}})
 	got := []usage.Counts{b.Sum(usage.WindowNumber(start, length)), b.Sum(usage.WindowNumber(start.Add(length), length))}
 	if d := cmp.Diff([]usage.Counts{{"acme": 10, "zeta": 2}, {"zeta": 1}}, got); d != "" {
 		t.Error(d)
