--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -77,7 +77,7 @@
 		return nil
 	}
 	return &dutyWorker{
-		node: n, client: platform.NewDutyClient(exchange.New(n.clock), n.settings.CloudAddr, n.settings.ID), tenure: duty.New(n.settings.ID), tally: usage.NewTally(n.settings.UsageWindow), book: usage.NewBook(),
+		node: n, client: platform.NewDutyClient(exchange.New(n.clock), n.settings.CloudAddr, n.settings.ID), tenure: duty.New(n.settings.ID), tally: usage.NewTally(n.settings.UsageWindow), book: usage.NewFleetCounts(),
 		incarnation: startID(), reported: map[int64]bool{}, planners: map[string]*scaling.Planner{}, recorded: map[int64]usage.Counts{}, loads: map[string]instanceLoad{},
 	}
 }
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -82,8 +82,8 @@
 	reported map[int64]map[origin]Counts
 }
 
-// NewBook returns a sum without any reported counts.
-func NewBook() *Book { return &Book{reported: map[int64]map[origin]Counts{}} }
+// NewFleetCounts returns a sum without any reported counts.
+func NewFleetCounts() *Book { return &Book{reported: map[int64]map[origin]Counts{}} }
 
 // Merge merges the counts of an instance's incarnation so far. Reports may arrive
 // repeatedly and in any order: counts only grow, so the larger one is kept.
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -30,7 +30,7 @@
 // order count once, and the counts of an instance before its restart are added to those
 // of its new incarnation.
 func TestBookSumsIncarnations(t *testing.T) {
-	a, b := usage.NewTally(length), usage.NewBook()
+	a, b := usage.NewTally(length), usage.NewFleetCounts()
 	for range 3 {
 		a.CountRequest("acme", start)
 	}
