--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -46,7 +46,7 @@
 	client      *platform.DutyClient
 	tenure      *duty.Tenure
 	tally       *usage.Tally
-	book        *usage.Book
+	book        *usage.FleetCounts
 	incarnation uint64
 
 	// lease, reported and planners are only used by the goroutine of run. lease is the
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -76,18 +76,18 @@
 	incarnation uint64
 }
 
-// Book sums the reported counts of all instances. It is safe for concurrent use.
-type Book struct {
+// FleetCounts sums the reported counts of all instances. It is safe for concurrent use.
+type FleetCounts struct {
 	mu       sync.Mutex
 	reported map[int64]map[origin]Counts
 }
 
 // NewFleetCounts returns a sum without any reported counts.
-func NewFleetCounts() *Book { return &Book{reported: map[int64]map[origin]Counts{}} }
+func NewFleetCounts() *FleetCounts { return &FleetCounts{reported: map[int64]map[origin]Counts{}} }
 
 // Merge merges the counts of an instance's incarnation so far. Reports may arrive
 // repeatedly and in any order: counts only grow, so the larger one is kept.
-func (b *Book) Merge(id string, incarnation uint64, l CountsByWindow) {
+func (b *FleetCounts) Merge(id string, incarnation uint64, l CountsByWindow) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	newest := int64(0)
@@ -111,7 +111,7 @@
 }
 
 // Sum returns the total counts of all instances in the window.
-func (b *Book) Sum(window int64) Counts {
+func (b *FleetCounts) Sum(window int64) Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := Counts{}
