--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -83,7 +83,7 @@
 }
 
 // HolderChanged implements platform.DutyListener.
-func (c *dutyWorker) HolderChanged(h duty.Holder) { c.tenure.Seen(h, c.node.clock()) }
+func (c *dutyWorker) HolderChanged(h duty.Holder) { c.tenure.RecordHolder(h, c.node.clock()) }
 
 // HolderGone implements platform.DutyListener.
 func (c *dutyWorker) HolderGone(now time.Time) { c.tenure.Free(now) }
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -57,9 +57,9 @@
 // store.
 func New(self string) *Tenure { return &Tenure{self: self} }
 
-// Seen records that the store reports the holder h. A report with a lower fencing token
+// RecordHolder records that the store reports the holder h. A report with a lower fencing token
 // than an earlier one is outdated and ignored.
-func (t *Tenure) Seen(h Holder, now time.Time) {
+func (t *Tenure) RecordHolder(h Holder, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if h.Fence < t.holder.Fence {
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -23,7 +23,7 @@
 		fence, ok := t.Fence(secondsLater(s))
 		fmt.Println(s, "s later its token is:", fence, ok)
 	}
-	t.Seen(duty.Holder{ID: "b", Fence: 21}, secondsLater(4))
+	t.RecordHolder(duty.Holder{ID: "b", Fence: 21}, secondsLater(4))
 	_, ok := t.Fence(secondsLater(4))
 	fmt.Println("after another holder was reported:", ok)
 	// Output:
@@ -88,7 +88,7 @@
 					if key.ID == "" {
 						x.Free(now)
 					} else {
-						x.Seen(key, now)
+						x.RecordHolder(key, now)
 					}
 				}
 				switch {
