--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -86,7 +86,7 @@
 func (c *dutyWorker) HolderChanged(h duty.Holder) { c.tenure.RecordHolder(h, c.node.clock()) }
 
 // HolderGone implements platform.DutyListener.
-func (c *dutyWorker) HolderGone(now time.Time) { c.tenure.Free(now) }
+func (c *dutyWorker) HolderGone(now time.Time) { c.tenure.RecordVacancy(now) }
 
 // UsageRecorded implements platform.DutyListener.
 func (c *dutyWorker) UsageRecorded(window int64, x usage.Counts) {
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Free records that the store reports no holder.
-func (t *Tenure) Free(now time.Time) {
+// RecordVacancy records that the store reports no holder.
+func (t *Tenure) RecordVacancy(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.isReported || t.holder.ID != "" {
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -16,7 +16,7 @@
 
 func ExampleTenure() {
 	t := duty.New("a")
-	t.Free(noon)
+	t.RecordVacancy(noon)
 	fmt.Println("the first rank claims the duty immediately, the third rank later:", t.IsDue(0, noon), t.IsDue(2, noon), t.IsDue(2, secondsLater(1)))
 	t.Won(17, noon, secondsLater(3))
 	for _, s := range []float64{0, 2, 2.5, 3} {
@@ -86,7 +86,7 @@
 				}
 				if x.isConnected && tick%5 == x.rank {
 					if key.ID == "" {
-						x.Free(now)
+						x.RecordVacancy(now)
 					} else {
 						x.RecordHolder(key, now)
 					}
