--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -202,7 +202,7 @@
 		c.loseDuty("its lease has run out")
 	case c.tenure.Renews(now):
 		c.renewDuty(callCtx)
-	case rank >= 0 && c.node.isConfigConfirmed() && c.tenure.IsDue(rank, now):
+	case rank >= 0 && c.node.isConfigConfirmed() && c.tenure.ShouldClaim(rank, now):
 		c.claimDuty(callCtx, now)
 	}
 }
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -89,9 +89,9 @@
 	return t.holder, t.holder.ID != ""
 }
 
-// IsDue reports whether this instance, with the given rank from 0, should claim the duty
+// ShouldClaim reports whether this instance, with the given rank from 0, should claim the duty
 // now.
-func (t *Tenure) IsDue(rank int, now time.Time) bool {
+func (t *Tenure) ShouldClaim(rank int, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	free := t.isReported && t.holder.ID == "" && t.fence == 0
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -17,7 +17,7 @@
 func ExampleTenure() {
 	t := duty.New("a")
 	t.RecordVacancy(noon)
-	fmt.Println("the first rank claims the duty immediately, the third rank later:", t.IsDue(0, noon), t.IsDue(2, noon), t.IsDue(2, secondsLater(1)))
+	fmt.Println("the first rank claims the duty immediately, the third rank later:", t.ShouldClaim(0, noon), t.ShouldClaim(2, noon), t.ShouldClaim(2, secondsLater(1)))
 	t.Won(17, noon, secondsLater(3))
 	for _, s := range []float64{0, 2, 2.5, 3} {
 		fence, ok := t.Fence(secondsLater(s))
@@ -97,7 +97,7 @@
 				case x.isConnected && x.Renews(now) && key.ID == x.id:
 					expiresAt = now.Add(duty.TTL)
 					x.Renewed(now, expiresAt)
-				case x.isConnected && x.IsDue(x.rank, now) && key.ID == "":
+				case x.isConnected && x.ShouldClaim(x.rank, now) && key.ID == "":
 					revision += 3
 					key, expiresAt = duty.Holder{ID: x.id, Fence: revision}, now.Add(duty.TTL)
 					x.Won(revision, now, expiresAt)
