--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -215,7 +215,7 @@
 		return
 	}
 	c.lease = a
-	c.tenure.Won(fence, now, a.RenewBy)
+	c.tenure.RecordAcquired(fence, now, a.RenewBy)
 	c.node.logEvent("duty_won", "fence", fence)
 }
 
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -98,9 +98,9 @@
 	return free && !now.Before(t.retryAt) && now.Sub(t.vacantSince) >= time.Duration(rank)*claimStagger
 }
 
-// Won records that this instance has acquired the duty, under a lease that expires at
+// RecordAcquired records that this instance has acquired the duty, under a lease that expires at
 // the given time.
-func (t *Tenure) Won(fence int64, now, expiresAt time.Time) {
+func (t *Tenure) RecordAcquired(fence int64, now, expiresAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fence, t.expiresAt, t.renewAt = fence, expiresAt, now.Add(renewInterval)
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -18,7 +18,7 @@
 	t := duty.New("a")
 	t.RecordVacancy(noon)
 	fmt.Println("the first rank claims the duty immediately, the third rank later:", t.ShouldClaim(0, noon), t.ShouldClaim(2, noon), t.ShouldClaim(2, secondsLater(1)))
-	t.Won(17, noon, secondsLater(3))
+	t.RecordAcquired(17, noon, secondsLater(3))
 	for _, s := range []float64{0, 2, 2.5, 3} {
 		fence, ok := t.Fence(secondsLater(s))
 		fmt.Println(s, "s later its token is:", fence, ok)
@@ -100,7 +100,7 @@
 				case x.isConnected && x.ShouldClaim(x.rank, now) && key.ID == "":
 					revision += 3
 					key, expiresAt = duty.Holder{ID: x.id, Fence: revision}, now.Add(duty.TTL)
-					x.Won(revision, now, expiresAt)
+					x.RecordAcquired(revision, now, expiresAt)
 				}
 				if f, ok := x.Fence(now); ok {
 					calls = append(calls, fencedCall{x.id, f, now})
