--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -200,7 +200,7 @@
 	switch rank := slices.IndexFunc(c.rankForDuty(), func(m peer.Member) bool { return m.ID == c.node.settings.ID }); {
 	case c.tenure.HasLapsed(now):
 		c.loseDuty("its lease has run out")
-	case c.tenure.Renews(now):
+	case c.tenure.NeedsRenewal(now):
 		c.renewDuty(callCtx)
 	case rank >= 0 && c.node.isConfigConfirmed() && c.tenure.ShouldClaim(rank, now):
 		c.claimDuty(callCtx, now)
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -106,8 +106,8 @@
 	t.fence, t.expiresAt, t.renewAt = fence, expiresAt, now.Add(renewInterval)
 }
 
-// Renews reports whether the lease has to be renewed now.
-func (t *Tenure) Renews(now time.Time) bool {
+// NeedsRenewal reports whether the lease has to be renewed now.
+func (t *Tenure) NeedsRenewal(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fence != 0 && !now.Before(t.renewAt)
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -94,7 +94,7 @@
 				switch {
 				case x.HasLapsed(now):
 					x.Lost(now)
-				case x.isConnected && x.Renews(now) && key.ID == x.id:
+				case x.isConnected && x.NeedsRenewal(now) && key.ID == x.id:
 					expiresAt = now.Add(duty.TTL)
 					x.Renewed(now, expiresAt)
 				case x.isConnected && x.ShouldClaim(x.rank, now) && key.ID == "":
