--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -232,7 +232,7 @@
 		return
 	}
 	c.lease = a
-	c.tenure.Renewed(c.node.clock(), a.RenewBy)
+	c.tenure.RecordRenewed(c.node.clock(), a.RenewBy)
 }
 
 // loseDuty gives up the duty and logs the reason.
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -113,8 +113,8 @@
 	return t.fence != 0 && !now.Before(t.renewAt)
 }
 
-// Renewed records that the lease was extended to the given expiry time.
-func (t *Tenure) Renewed(now, expiresAt time.Time) {
+// RecordRenewed records that the lease was extended to the given expiry time.
+func (t *Tenure) RecordRenewed(now, expiresAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expiresAt, t.renewAt = expiresAt, now.Add(renewInterval)
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -96,7 +96,7 @@
 					x.Lost(now)
 				case x.isConnected && x.NeedsRenewal(now) && key.ID == x.id:
 					expiresAt = now.Add(duty.TTL)
-					x.Renewed(now, expiresAt)
+					x.RecordRenewed(now, expiresAt)
 				case x.isConnected && x.ShouldClaim(x.rank, now) && key.ID == "":
 					revision += 3
 					key, expiresAt = duty.Holder{ID: x.id, Fence: revision}, now.Add(duty.TTL)
