--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -237,7 +237,7 @@
 
 // loseDuty gives up the duty and logs the reason.
 func (c *dutyWorker) loseDuty(reason string) {
-	c.tenure.Lost(c.node.clock())
+	c.tenure.RecordLost(c.node.clock())
 	c.node.logEvent("duty_lost", "reason", reason)
 }
 
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -120,8 +120,8 @@
 	t.expiresAt, t.renewAt = expiresAt, now.Add(renewInterval)
 }
 
-// Lost records that this instance no longer holds the duty.
-func (t *Tenure) Lost(now time.Time) {
+// RecordLost records that this instance no longer holds the duty.
+func (t *Tenure) RecordLost(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fence, t.retryAt = 0, now.Add(retryDelay)
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -93,7 +93,7 @@
 				}
 				switch {
 				case x.HasLapsed(now):
-					x.Lost(now)
+					x.RecordLost(now)
 				case x.isConnected && x.NeedsRenewal(now) && key.ID == x.id:
 					expiresAt = now.Add(duty.TTL)
 					x.RecordRenewed(now, expiresAt)
