--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -111,7 +111,7 @@
 			c.sendUsage()
 		}
 		c.maintainDuty(ctx)
-		if f, ok := c.tenure.Fence(c.node.clock()); ok {
+		if f, ok := c.tenure.FencingToken(c.node.clock()); ok {
 			c.performDuties(ctx, f)
 		}
 	}
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -127,9 +127,9 @@
 	t.fence, t.retryAt = 0, now.Add(retryDelay)
 }
 
-// Fence returns the fencing token of this instance. ok is false if the instance must not
+// FencingToken returns the fencing token of this instance. ok is false if the instance must not
 // act: it does not hold the duty, or its lease expires within the safety margin.
-func (t *Tenure) Fence(now time.Time) (fence int64, ok bool) {
+func (t *Tenure) FencingToken(now time.Time) (fence int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fence, t.fence != 0 && now.Before(t.expiresAt.Add(-safetyMargin))
