--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -198,7 +198,7 @@
 	defer cancel()
 	now := c.node.clock()
 	switch rank := slices.IndexFunc(c.rankForDuty(), func(m peer.Member) bool { return m.ID == c.node.settings.ID }); {
-	case c.tenure.HasLapsed(now):
+	case c.tenure.HasExpired(now):
 		c.loseDuty("its lease has run out")
 	case c.tenure.NeedsRenewal(now):
 		c.renewDuty(callCtx)
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -135,8 +135,8 @@
 	return t.fence, t.fence != 0 && now.Before(t.expiresAt.Add(-safetyMargin))
 }
 
-// HasLapsed reports whether this instance's lease has expired.
-func (t *Tenure) HasLapsed(now time.Time) bool {
+// HasExpired reports whether this instance's lease has expired.
+func (t *Tenure) HasExpired(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fence != 0 && !now.Before(t.expiresAt)
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -92,7 +92,7 @@
 					}
 				}
 				switch {
-				case x.HasLapsed(now):
+				case x.HasExpired(now):
 					x.RecordLost(now)
 				case x.isConnected && x.NeedsRenewal(now) && key.ID == x.id:
 					expiresAt = now.Add(duty.TTL)
