--- a/duty/duty.go
+++ b/duty/duty.go
@@ -30,8 +30,8 @@
 // Holder is the instance that holds the duty.
 type Holder struct {
 	ID, Addr string
-	// Fence is the fencing token; it increases whenever the holder changes.
-	Fence int64
+	// FencingToken is the fencing token; it increases whenever the holder changes.
+	FencingToken int64
 }
 
 // Tenure is one instance's state of a duty: the holder last reported by the store and
@@ -62,11 +62,11 @@
 func (t *Tenure) RecordHolder(h Holder, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if h.Fence < t.holder.Fence {
+	if h.FencingToken < t.holder.FencingToken {
 		return
 	}
 	t.holder, t.isReported = h, true
-	if t.fence != 0 && h.Fence > t.fence {
+	if t.fence != 0 && h.FencingToken > t.fence {
 		t.fence, t.retryAt = 0, now.Add(retryDelay)
 	}
 }
@@ -79,7 +79,7 @@
 		t.vacantSince = now
 	}
 	t.isReported = true
-	t.holder = Holder{Fence: t.holder.Fence}
+	t.holder = Holder{FencingToken: t.holder.FencingToken}
 }
 
 // Holder returns the holder last reported; ok is false if there is none.
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -23,7 +23,7 @@
 		fence, ok := t.FencingToken(secondsLater(s))
 		fmt.Println(s, "s later its token is:", fence, ok)
 	}
-	t.RecordHolder(duty.Holder{ID: "b", Fence: 21}, secondsLater(4))
+	t.RecordHolder(duty.Holder{ID: "b", FencingToken: 21}, secondsLater(4))
 	_, ok := t.FencingToken(secondsLater(4))
 	fmt.Println("after another holder was reported:", ok)
 	// Output:
@@ -99,7 +99,7 @@
 					x.RecordRenewed(now, expiresAt)
 				case x.isConnected && x.ShouldClaim(x.rank, now) && key.ID == "":
 					revision += 3
-					key, expiresAt = duty.Holder{ID: x.id, Fence: revision}, now.Add(duty.TTL)
+					key, expiresAt = duty.Holder{ID: x.id, FencingToken: revision}, now.Add(duty.TTL)
 					x.RecordAcquired(revision, now, expiresAt)
 				}
 				if f, ok := x.FencingToken(now); ok {
