--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -44,7 +44,7 @@
 type dutyWorker struct {
 	node        *node
 	client      *platform.DutyClient
-	tenure      *duty.Tenure
+	tenure      *duty.State
 	tally       *usage.Tally
 	book        *usage.FleetCounts
 	incarnation uint64
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -34,9 +34,9 @@
 	FencingToken int64
 }
 
-// Tenure is one instance's state of a duty: the holder last reported by the store and
+// State is one instance's state of a duty: the holder last reported by the store and
 // the instance's own lease. It is safe for concurrent use.
-type Tenure struct {
+type State struct {
 	self string
 
 	mu     sync.Mutex
@@ -55,11 +55,11 @@
 
 // New returns the state of the instance with the given id before any report from the
 // store.
-func New(self string) *Tenure { return &Tenure{self: self} }
+func New(self string) *State { return &State{self: self} }
 
 // RecordHolder records that the store reports the holder h. A report with a lower fencing token
 // than an earlier one is outdated and ignored.
-func (t *Tenure) RecordHolder(h Holder, now time.Time) {
+func (t *State) RecordHolder(h Holder, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if h.FencingToken < t.holder.FencingToken {
@@ -72,7 +72,7 @@
 }
 
 // RecordVacancy records that the store reports no holder.
-func (t *Tenure) RecordVacancy(now time.Time) {
+func (t *State) RecordVacancy(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.isReported || t.holder.ID != "" {
@@ -83,7 +83,7 @@
 }
 
 // Holder returns the holder last reported; ok is false if there is none.
-func (t *Tenure) Holder() (Holder, bool) {
+func (t *State) Holder() (Holder, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.holder, t.holder.ID != ""
@@ -91,7 +91,7 @@
 
 // ShouldClaim reports whether this instance, with the given rank from 0, should claim the duty
 // now.
-func (t *Tenure) ShouldClaim(rank int, now time.Time) bool {
+func (t *State) ShouldClaim(rank int, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	free := t.isReported && t.holder.ID == "" && t.fence == 0
@@ -100,28 +100,28 @@
 
 // RecordAcquired records that this instance has acquired the duty, under a lease that expires at
 // the given time.
-func (t *Tenure) RecordAcquired(fence int64, now, expiresAt time.Time) {
+func (t *State) RecordAcquired(fence int64, now, expiresAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fence, t.expiresAt, t.renewAt = fence, expiresAt, now.Add(renewInterval)
 }
 
 // NeedsRenewal reports whether the lease has to be renewed now.
-func (t *Tenure) NeedsRenewal(now time.Time) bool {
+func (t *State) NeedsRenewal(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fence != 0 && !now.Before(t.renewAt)
 }
 
 // RecordRenewed records that the lease was extended to the given expiry time.
-func (t *Tenure) RecordRenewed(now, expiresAt time.Time) {
+func (t *State) RecordRenewed(now, expiresAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expiresAt, t.renewAt = expiresAt, now.Add(renewInterval)
 }
 
 // RecordLost records that this instance no longer holds the duty.
-func (t *Tenure) RecordLost(now time.Time) {
+func (t *State) RecordLost(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fence, t.retryAt = 0, now.Add(retryDelay)
@@ -129,14 +129,14 @@
 
 // FencingToken returns the fencing token of this instance. ok is false if the instance must not
 // act: it does not hold the duty, or its lease expires within the safety margin.
-func (t *Tenure) FencingToken(now time.Time) (fence int64, ok bool) {
+func (t *State) FencingToken(now time.Time) (fence int64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fence, t.fence != 0 && now.Before(t.expiresAt.Add(-safetyMargin))
 }
 
 // HasExpired reports whether this instance's lease has expired.
-func (t *Tenure) HasExpired(now time.Time) bool {
+func (t *State) HasExpired(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fence != 0 && !now.Before(t.expiresAt)
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -37,7 +37,7 @@
 
 // instance is a simulated instance that may hold the duty.
 type instance struct {
-	*duty.Tenure
+	*duty.State
 	id    string
 	rank  int
 	alive bool
@@ -61,7 +61,7 @@
 		l := make([]*instance, 4)
 		for i := range l {
 			id := fmt.Sprint("n", i)
-			l[i] = &instance{Tenure: duty.New(id), id: id, rank: i, alive: true, isConnected: true}
+			l[i] = &instance{State: duty.New(id), id: id, rank: i, alive: true, isConnected: true}
 		}
 		var key duty.Holder
 		var expiresAt time.Time
@@ -77,7 +77,7 @@
 				case 0:
 					x.isConnected = !x.isConnected
 				case 1:
-					x.Tenure, x.alive = duty.New(x.id), !x.alive
+					x.State, x.alive = duty.New(x.id), !x.alive
 				}
 			}
 			for _, x := range l {
