--- a/cmd/fieldvale-node/announce_test.go
+++ b/cmd/fieldvale-node/announce_test.go
@@ -43,19 +43,19 @@
 	s.startReplica("a", "v1")
 	o := &testEnv{t: s.t, store: s.store, logs: s.logs, done: make(chan error, 1)}
 	o.startWith(func(n *settings.Node) { n.ID = "x0" })
-	for i := range roster.Enough {
+	for i := range roster.TargetSize {
 		s.store.PutInstance(fmt.Sprint("x", i), o.node.settings.PeersListen)
 	}
 	leases := s.store.CallCount(sitetest.PathLease)
 	s.startWith(func(n *settings.Node) { n.FirstStart = true })
-	for i := range roster.Enough / 3 {
+	for i := range roster.TargetSize / 3 {
 		s.store.RemoveInstance(fmt.Sprint("x", i))
 	}
-	s.eventually("the node has observed that a third of the members is gone", func() bool { return s.node.state.RegisteredCount() == roster.Enough-roster.Enough/3 })
+	s.eventually("the node has observed that a third of the members is gone", func() bool { return s.node.state.RegisteredCount() == roster.TargetSize-roster.TargetSize/3 })
 	if s.node.drawRegistration(roster.JoinsLater) || s.store.CallCount(sitetest.PathLease) > leases {
 		t.Errorf("the node registers beside %d members, or made %d lease calls, want neither", s.node.state.RegisteredCount(), s.store.CallCount(sitetest.PathLease)-leases)
 	}
-	for i := range roster.Enough {
+	for i := range roster.TargetSize {
 		s.store.RemoveInstance(fmt.Sprint("x", i))
 	}
 	s.eventually("the node registers after all members are gone", func() bool { return s.store.Announcement("n1") != "" })
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -6,14 +6,14 @@
 package roster
 
 const (
-	// Enough is the number of registered members that suffices for a fleet of any
+	// TargetSize is the number of registered members that suffices for a fleet of any
 	// size: 16 groups of replicas get three owners each, and in a fleet of 350
 	// instances each member forwards changes to about seven others.
-	Enough = 48
+	TargetSize = 48
 	// refillThreshold is the number of registered members below which running
 	// instances register. It is far below the sufficient number, so that the loss of a
 	// few members does not make all other instances register.
-	refillThreshold = Enough / 2
+	refillThreshold = TargetSize / 2
 )
 
 // Joins returns the probability with which an instance that has just started
@@ -21,7 +21,7 @@
 // decide simultaneously, and each has only the number of registered members and the
 // size of the fleet to go by.
 func Joins(registered, fleet int) float64 {
-	missing, others := Enough-registered, fleet-registered
+	missing, others := TargetSize-registered, fleet-registered
 	switch {
 	case missing <= 0:
 		return 0
