--- a/cmd/fieldvale-node/announce.go
+++ b/cmd/fieldvale-node/announce.go
@@ -63,7 +63,7 @@
 	}
 	register := false
 	if a.Lease == 0 {
-		register = n.awaitRegistration(ctx, registrationDelay+rand.N(registrationJitter), func() bool { return n.drawRegistration(roster.Joins) })
+		register = n.awaitRegistration(ctx, registrationDelay+rand.N(registrationJitter), func() bool { return n.drawRegistration(roster.JoinProbability) })
 	}
 	for ctx.Err() == nil {
 		if a.Lease != 0 || register {
@@ -72,7 +72,7 @@
 			}
 		}
 		register = n.awaitRegistration(ctx, renewInterval, func() bool {
-			return register && n.drawRegistration(roster.Joins) || n.drawRegistration(roster.JoinsLater)
+			return register && n.drawRegistration(roster.JoinProbability) || n.drawRegistration(roster.JoinsLater)
 		})
 	}
 	return nil
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -16,11 +16,11 @@
 	refillThreshold = TargetSize / 2
 )
 
-// Joins returns the probability with which an instance that has just started
+// JoinProbability returns the probability with which an instance that has just started
 // registers. The choice is random because instances that start simultaneously also
 // decide simultaneously, and each has only the number of registered members and the
 // size of the fleet to go by.
-func Joins(registered, fleet int) float64 {
+func JoinProbability(registered, fleet int) float64 {
 	missing, others := TargetSize-registered, fleet-registered
 	switch {
 	case missing <= 0:
@@ -37,5 +37,5 @@
 	if registered >= refillThreshold {
 		return 0
 	}
-	return Joins(registered, fleet)
+	return JoinProbability(registered, fleet)
 }
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -8,9 +8,9 @@
 
 func Example() {
 	for _, registered := range []int{0, 10, 23, 24, 47, 48, 60} {
-		fmt.Printf("%d of 1000 registered: a starting instance registers with probability %.3f, a running one with %.3f\n", registered, roster.Joins(registered, 1000), roster.JoinsLater(registered, 1000))
+		fmt.Printf("%d of 1000 registered: a starting instance registers with probability %.3f, a running one with %.3f\n", registered, roster.JoinProbability(registered, 1000), roster.JoinsLater(registered, 1000))
 	}
-	fmt.Println("probabilities in small fleets:", roster.Joins(1, 7), roster.Joins(6, 7), roster.Joins(30, 58))
+	fmt.Println("probabilities in small fleets:", roster.JoinProbability(1, 7), roster.JoinProbability(6, 7), roster.JoinProbability(30, 58))
 	// Output:
 	// 0 of 1000 registered: a starting instance registers with probability 0.048, a running one with 0.048
 	// 10 of 1000 registered: a starting instance registers with probability 0.038, a running one with 0.038
