--- a/cmd/fieldvale-node/announce.go
+++ b/cmd/fieldvale-node/announce.go
@@ -72,7 +72,7 @@
 			}
 		}
 		register = n.awaitRegistration(ctx, renewInterval, func() bool {
-			return register && n.drawRegistration(roster.JoinProbability) || n.drawRegistration(roster.JoinsLater)
+			return register && n.drawRegistration(roster.JoinProbability) || n.drawRegistration(roster.LateJoinProbability)
 		})
 	}
 	return nil
--- a/cmd/fieldvale-node/announce_test.go
+++ b/cmd/fieldvale-node/announce_test.go
@@ -52,7 +52,7 @@
 		s.store.RemoveInstance(fmt.Sprint("x", i))
 	}
 	s.eventually("the node has observed that a third of the members is gone", func() bool { return s.node.state.RegisteredCount() == roster.TargetSize-roster.TargetSize/3 })
-	if s.node.drawRegistration(roster.JoinsLater) || s.store.CallCount(sitetest.PathLease) > leases {
+	if s.node.drawRegistration(roster.LateJoinProbability) || s.store.CallCount(sitetest.PathLease) > leases {
 		t.Errorf("the node registers beside %d members, or made %d lease calls, want neither", s.node.state.RegisteredCount(), s.store.CallCount(sitetest.PathLease)-leases)
 	}
 	for i := range roster.TargetSize {
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -31,9 +31,9 @@
 	return float64(missing) / float64(others)
 }
 
-// JoinsLater returns the probability with which an instance that has run for a while
+// LateJoinProbability returns the probability with which an instance that has run for a while
 // registers: 0 unless fewer than refillThreshold members are registered.
-func JoinsLater(registered, fleet int) float64 {
+func LateJoinProbability(registered, fleet int) float64 {
 	if registered >= refillThreshold {
 		return 0
 	}
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -8,7 +8,7 @@
 
 func Example() {
 	for _, registered := range []int{0, 10, 23, 24, 47, 48, 60} {
-		fmt.Printf("%d of 1000 registered: a starting instance registers with probability %.3f, a running one with %.3f\n", registered, roster.JoinProbability(registered, 1000), roster.JoinsLater(registered, 1000))
+		fmt.Printf("%d of 1000 registered: a starting instance registers with probability %.3f, a running one with %.3f\n", registered, roster.JoinProbability(registered, 1000), roster.LateJoinProbability(registered, 1000))
 	}
 	fmt.Println("probabilities in small fleets:", roster.JoinProbability(1, 7), roster.JoinProbability(6, 7), roster.JoinProbability(30, 58))
 	// Output:
