--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -308,7 +308,7 @@
 		p = scaling.NewPlanner()
 		c.planners[s.Name] = p
 	}
-	p.Saw(c.fleetLoad(s.Name, now), now)
+	p.RecordLoad(c.fleetLoad(s.Name, now), now)
 	steady := (rel.Order == 0 || rel.State != rollout.Running) && c.node.state.EvacuatedCount() == 0
 	b := scaling.Bounds{Min: s.Scaling.Min, Max: s.Scaling.Max, Slots: s.Slots}
 	for zone, n := range p.Plan(c.replicasByDataCentre(s.Name), b, steady, now) {
--- a/scaling/scaling.go
+++ b/scaling/scaling.go
@@ -68,8 +68,8 @@
 // NewPlanner returns a planner without observations.
 func NewPlanner() *Planner { return &Planner{orderedReplicas: map[string]int{}} }
 
-// Saw records the number of requests that run in the whole fleet.
-func (p *Planner) Saw(running int, now time.Time) {
+// RecordLoad records the number of requests that run in the whole fleet.
+func (p *Planner) RecordLoad(running int, now time.Time) {
 	if running > 0 && p.loadSince.IsZero() {
 		p.loadSince = now
 	}
--- a/scaling/scaling_test.go
+++ b/scaling/scaling_test.go
@@ -90,7 +90,7 @@
 				if n > 0 {
 					n += r.IntN(21) - 10
 				}
-				p.Saw(n, now)
+				p.RecordLoad(n, now)
 				l, total := z.zones()
 				maxUtilization = max(maxUtilization, float64(n)/float64(total*bounds.Slots))
 				cost += float64(total)
@@ -114,7 +114,7 @@
 	p, z := scaling.NewPlanner(), newFleet(23)
 	for tick := range 60 {
 		now := noon.Add(time.Duration(tick) * 500 * time.Millisecond)
-		p.Saw(100, now)
+		p.RecordLoad(100, now)
 		l, _ := z.zones()
 		if o := p.Plan(l, bounds, tick > 50, now); len(o) > 0 {
 			t.Fatalf("got orders %v after %s, want none while the replicas change", o, now.Sub(noon))
