--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -321,7 +321,7 @@
 			return
 		}
 		if err == nil {
-			p.Ordered(zone, n)
+			p.RecordOrder(zone, n)
 		}
 	}
 }
--- a/scaling/scaling.go
+++ b/scaling/scaling.go
@@ -143,5 +143,5 @@
 	return n, n > current || n < current && down
 }
 
-// Ordered records that the platform has accepted the order of n replicas.
-func (p *Planner) Ordered(zone string, n int) { p.orderedReplicas[zone] = n }
+// RecordOrder records that the platform has accepted the order of n replicas.
+func (p *Planner) RecordOrder(zone string, n int) { p.orderedReplicas[zone] = n }
--- a/scaling/scaling_test.go
+++ b/scaling/scaling_test.go
@@ -97,7 +97,7 @@
 				fullCost += 92
 				for zone, want := range p.Plan(l, bounds, true, now) {
 					z.order(zone, want, now)
-					p.Ordered(zone, want)
+					p.RecordOrder(zone, want)
 				}
 			}
 			if maxUtilization > c.maxUtilization || cost > c.cost*fullCost {
