--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -344,16 +344,16 @@
 
 // replicasByDataCentre returns the number of the service's replicas that are not draining,
 // by data centre.
-func (c *dutyWorker) replicasByDataCentre(service string) []scaling.Zone {
+func (c *dutyWorker) replicasByDataCentre(service string) []scaling.DataCentre {
 	n := map[string]int{}
 	for _, r := range c.node.view.Get().Replicas {
 		if r.Service == service && !r.Draining {
 			n[r.DataCentre]++
 		}
 	}
-	var l []scaling.Zone
+	var l []scaling.DataCentre
 	for _, z := range slices.Sorted(maps.Keys(n)) {
-		l = append(l, scaling.Zone{Name: z, Replicas: n[z]})
+		l = append(l, scaling.DataCentre{Name: z, Replicas: n[z]})
 	}
 	return l
 }
--- a/scaling/scaling.go
+++ b/scaling/scaling.go
@@ -34,8 +34,8 @@
 	stepDownRatio    = 0.15
 )
 
-// Zone is the state of a service's replicas in one data centre.
-type Zone struct {
+// DataCentre is the state of a service's replicas in one data centre.
+type DataCentre struct {
 	Name string
 	// Replicas is the number of replicas that accept requests.
 	Replicas int
@@ -89,7 +89,7 @@
 // Plan returns the number of replicas to order for each data centre whose number has to
 // change. steady reports that no replica is being replaced and no data centre evacuated;
 // otherwise nothing is ordered, since the replicas to count are not known.
-func (p *Planner) Plan(zones []Zone, b Bounds, steady bool, now time.Time) map[string]int {
+func (p *Planner) Plan(zones []DataCentre, b Bounds, steady bool, now time.Time) map[string]int {
 	total := 0
 	for _, z := range zones {
 		total += z.Replicas
@@ -130,7 +130,7 @@
 
 // order returns the number of replicas to order for one data centre; ok is false if it
 // does not change.
-func (p *Planner) order(z Zone, want int, b Bounds, down bool) (n int, ok bool) {
+func (p *Planner) order(z DataCentre, want int, b Bounds, down bool) (n int, ok bool) {
 	current, hasOrder := p.orderedReplicas[z.Name]
 	if !hasOrder {
 		current = z.Replicas
--- a/scaling/scaling_test.go
+++ b/scaling/scaling_test.go
@@ -28,9 +28,9 @@
 	return &fleet{running: map[string]int{"a": each, "b": each, "c": each, "d": each}, starting: map[string][]start{}}
 }
 
-func (c *fleet) zones() (l []scaling.Zone, total int) {
+func (c *fleet) zones() (l []scaling.DataCentre, total int) {
 	for _, z := range []string{"a", "b", "c", "d"} {
-		l = append(l, scaling.Zone{Name: z, Replicas: c.running[z]})
+		l = append(l, scaling.DataCentre{Name: z, Replicas: c.running[z]})
 		total += c.running[z]
 	}
 	return l, total
