--- a/clock/clock.go
+++ b/clock/clock.go
@@ -89,10 +89,10 @@
 	return c.start.Add(r.Steady + time.Duration(c.suspended.Load()))
 }
 
-// Look reads the boot-time clock unconditionally. It detects a suspension that Now misses
+// DetectSuspension reads the boot-time clock unconditionally. It detects a suspension that Now misses
 // because a step of the wall clock cancels it out, and returns the duration of the
 // suspensions that were not detected before.
-func (c *Clock) Look() time.Duration {
+func (c *Clock) DetectSuspension() time.Duration {
 	was := c.suspended.Load()
 	c.updateSuspended(c.sources.Read())
 	return time.Duration(c.suspended.Load() - was)
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -60,7 +60,7 @@
 		"suspension":          {func(m *machine, _ *clock.Clock) { m.suspend(3 * time.Second) }, 3 * time.Second},
 		"suspension and step": {func(m *machine, _ *clock.Clock) { m.suspend(3 * time.Second); m.step(time.Second) }, 3 * time.Second},
 		"two suspensions":     {func(m *machine, c *clock.Clock) { m.suspend(time.Second); c.Now(); m.run(1); m.suspend(time.Second) }, 2*time.Second + 1},
-		"suspension hidden by a step, until checked": {func(m *machine, c *clock.Clock) { m.suspend(time.Second); m.step(-time.Second); c.Look() }, time.Second},
+		"suspension hidden by a step, until checked": {func(m *machine, c *clock.Clock) { m.suspend(time.Second); m.step(-time.Second); c.DetectSuspension() }, time.Second},
 		"no boot-time clock":                         {func(m *machine, _ *clock.Clock) { m.noBoot = true; m.suspend(time.Second) }, 0},
 	} {
 		m := &machine{boot: time.Hour}
--- a/cmd/fieldvale-node/periodic.go
+++ b/cmd/fieldvale-node/periodic.go
@@ -80,7 +80,7 @@
 // n.clock, which includes the time of a suspension.
 func (n *node) checkSuspension() {
 	was := n.suspendedTotal
-	n.suspendClock.Look()
+	n.suspendClock.DetectSuspension()
 	n.suspendedTotal = n.suspendClock.Suspended()
 	if d := n.suspendedTotal - was; d > 0 {
 		n.logEvent("resumed", "suspended_for", d)
