--- a/clock/clock.go
+++ b/clock/clock.go
@@ -23,7 +23,7 @@
 
 // Reading is a reading of the monotonic clock and of the wall clock at the same instant.
 type Reading struct {
-	Steady time.Duration
+	Monotonic time.Duration
 	Wall   time.Duration
 }
 
@@ -57,7 +57,7 @@
 	return NewFrom(start, Sources{
 		Read: func() Reading {
 			t := time.Now()
-			return Reading{Steady: t.Sub(start), Wall: time.Duration(t.UnixNano())}
+			return Reading{Monotonic: t.Sub(start), Wall: time.Duration(t.UnixNano())}
 		},
 		Boot: bootTime,
 	})
@@ -68,7 +68,7 @@
 func NewFrom(start time.Time, s Sources) *Clock {
 	c := &Clock{start: start, sources: s, firstReading: s.Read()}
 	c.firstBoot, _ = s.Boot()
-	c.offset.Store(int64(c.firstReading.Wall - c.firstReading.Steady))
+	c.offset.Store(int64(c.firstReading.Wall - c.firstReading.Monotonic))
 	return c
 }
 
@@ -83,10 +83,10 @@
 // on a suspension or on a step of the wall clock.
 func (c *Clock) Now() time.Time {
 	r := c.sources.Read()
-	if d := time.Duration(int64(r.Wall-r.Steady) - c.offset.Load()); d > driftThreshold || d < -driftThreshold {
+	if d := time.Duration(int64(r.Wall-r.Monotonic) - c.offset.Load()); d > driftThreshold || d < -driftThreshold {
 		c.updateSuspended(r)
 	}
-	return c.start.Add(r.Steady + time.Duration(c.suspended.Load()))
+	return c.start.Add(r.Monotonic + time.Duration(c.suspended.Load()))
 }
 
 // DetectSuspension reads the boot-time clock unconditionally. It detects a suspension that Now misses
@@ -101,13 +101,13 @@
 func (c *Clock) updateSuspended(r Reading) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.offset.Store(int64(r.Wall - r.Steady))
+	c.offset.Store(int64(r.Wall - r.Monotonic))
 	b, err := c.sources.Boot()
 	if err != nil {
 		// On a kernel without a boot-time clock, suspensions can't be detected.
 		return
 	}
-	s := (b - c.firstBoot) - (r.Steady - c.firstReading.Steady)
+	s := (b - c.firstBoot) - (r.Monotonic - c.firstReading.Monotonic)
 	if s > time.Duration(c.suspended.Load())+minSuspension {
 		c.suspended.Store(int64(s))
 	}
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -22,7 +22,7 @@
 
 func (m *machine) clock(start time.Time) *clock.Clock {
 	return clock.NewFrom(start, clock.Sources{
-		Read: func() clock.Reading { return clock.Reading{Steady: m.steady, Wall: m.wall} },
+		Read: func() clock.Reading { return clock.Reading{Monotonic: m.steady, Wall: m.wall} },
 		Boot: func() (time.Duration, error) {
 			m.bootReads++
 			if m.noBoot {
--- a/cmd/fieldvale-node/testenv_test.go
+++ b/cmd/fieldvale-node/testenv_test.go
@@ -41,7 +41,7 @@
 	start := time.Now()
 	boot := func() time.Duration { return time.Since(start) + time.Duration(s.suspendedNanos.Load()) }
 	return clock.NewFrom(start, clock.Sources{
-		Read: func() clock.Reading { return clock.Reading{Steady: time.Since(start), Wall: boot()} },
+		Read: func() clock.Reading { return clock.Reading{Monotonic: time.Since(start), Wall: boot()} },
 		Boot: func() (time.Duration, error) { return boot(), nil },
 	})
 }
