--- a/placement/transport.go
+++ b/placement/transport.go
@@ -19,7 +19,7 @@
 
 // ask sends the request to the group's owner and waits for its choice.
 func (n *Node) ask(ctx context.Context, owner peer.Member, r Request) (Choice, bool) {
-	return n.waiting.Ask(ctx, answerTimeout, func(id uint64) error {
+	return n.waiting.Call(ctx, answerTimeout, func(id uint64) error {
 		return n.net.Send(owner.Addr, encode(message{RequestID: id, Request: newWireRequest(r)}))
 	})
 }
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -143,7 +143,7 @@
 // askOwner asks an owner whether a request may be sent; false if it sends no answer.
 func (n *Node) askOwner(ctx context.Context, o peer.Member, f Fingerprint) (wireAnswer, bool) {
 	for range askAttempts {
-		a, ok := n.pending.Ask(ctx, n.AnswerTimeout, func(id uint64) error {
+		a, ok := n.pending.Call(ctx, n.AnswerTimeout, func(id uint64) error {
 			return n.Net.Send(o.Addr, encode(message{QuestionID: id, Query: f.String()}))
 		})
 		if ok {
--- a/quota/permit.go
+++ b/quota/permit.go
@@ -112,7 +112,7 @@
 func (n *Node) ask(ctx context.Context, m peer.Member, req PermitRequest) (wireAnswer, bool) {
 	q := newWireRequest(req, n.recordsOf(req), n.Clock())
 	for range askAttempts {
-		w, ok := n.pending.Ask(ctx, answerTimeout, func(id uint64) error {
+		w, ok := n.pending.Call(ctx, answerTimeout, func(id uint64) error {
 			return n.Net.Send(m.Addr, encode(message{QuestionID: id, From: n.Self, Request: q}))
 		})
 		if ok {
--- a/relay/query.go
+++ b/relay/query.go
@@ -25,7 +25,7 @@
 
 // ask sends a query to an instance and waits up to the timeout for its answer.
 func (n *Node) ask(ctx context.Context, q query, m peer.Member, timeout time.Duration) queryResult {
-	a, ok := n.pending.Ask(ctx, timeout, func(id uint64) error {
+	a, ok := n.pending.Call(ctx, timeout, func(id uint64) error {
 		q.ID, q.Unregistered = id, n.isUnregistered()
 		return n.send(m.Addr, id, message{Query: &q}, nil)
 	})
--- a/relay/read.go
+++ b/relay/read.go
@@ -228,7 +228,7 @@
 // askSnapshotAddr queries an instance for the address from which to fetch a snapshot;
 // failedAddr, if not empty, is the address from which that failed before.
 func (n *Node) askSnapshotAddr(ctx context.Context, m peer.Member, after int64, failedAddr string) (answer, bool) {
-	return n.pending.Ask(ctx, snapshotQueryTimeout, func(id uint64) error {
+	return n.pending.Call(ctx, snapshotQueryTimeout, func(id uint64) error {
 		q := query{ID: id, After: after, Snapshot: true, FailedAddr: failedAddr, Unregistered: n.isUnregistered()}
 		return n.send(m.Addr, id, message{Query: &q}, nil)
 	})
--- a/reply/reply.go
+++ b/reply/reply.go
@@ -20,9 +20,9 @@
 	return &Waiters[T]{next: start, pending: map[uint64]chan T{}}
 }
 
-// Ask sends a request by calling send with a new id, and waits for the response. It
+// Call sends a request by calling send with a new id, and waits for the response. It
 // reports false if send fails, or if no response arrives within the given time or before ctx ends.
-func (w *Waiters[T]) Ask(ctx context.Context, within time.Duration, send func(id uint64) error) (T, bool) {
+func (w *Waiters[T]) Call(ctx context.Context, within time.Duration, send func(id uint64) error) (T, bool) {
 	var zero T
 	id, c := w.add()
 	defer w.remove(id)
--- a/reply/reply_test.go
+++ b/reply/reply_test.go
@@ -15,7 +15,7 @@
 // Responses must reach the request with their id, and only the first one counts.
 func TestDeliverMatchesRequestID(t *testing.T) {
 	w := reply.New[string](7)
-	a, ok := w.Ask(t.Context(), longTimeout, func(id uint64) error {
+	a, ok := w.Call(t.Context(), longTimeout, func(id uint64) error {
 		if w.Deliver(id+1, "other") {
 			t.Error("Deliver accepted a response with an unknown id")
 		}
@@ -46,7 +46,7 @@
 	} {
 		w := reply.New[string](0)
 		var id uint64
-		_, ok := w.Ask(c.ctx, c.within, func(n uint64) error {
+		_, ok := w.Call(c.ctx, c.within, func(n uint64) error {
 			id = n
 			return c.err
 		})
@@ -65,7 +65,7 @@
 func TestResponseAtTimeoutIsReturned(t *testing.T) {
 	for i := range 50 {
 		w := reply.New[string](0)
-		_, ok := w.Ask(t.Context(), time.Nanosecond, func(id uint64) error {
+		_, ok := w.Call(t.Context(), time.Nanosecond, func(id uint64) error {
 			time.Sleep(time.Millisecond)
 			w.Deliver(id, "response")
 			return nil
