--- a/placement/node.go
+++ b/placement/node.go
@@ -23,7 +23,7 @@
 	clock   func() time.Time
 	log     func(event string, fields ...any)
 	// waiting are the requests that were sent to owners and not yet answered.
-	waiting *reply.Waiters[Choice]
+	waiting *reply.Pending[Choice]
 
 	mu      sync.Mutex
 	members []peer.Member
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -60,7 +60,7 @@
 type Node struct {
 	Config
 	records *RecordTable
-	pending *reply.Waiters[wireAnswer]
+	pending *reply.Pending[wireAnswer]
 
 	mu         sync.Mutex
 	members    []peer.Member
--- a/quota/node.go
+++ b/quota/node.go
@@ -40,7 +40,7 @@
 type Node struct {
 	Config
 	records *recordTable
-	pending *reply.Waiters[wireAnswer]
+	pending *reply.Pending[wireAnswer]
 
 	mu       sync.Mutex
 	members  []peer.Member
--- a/relay/node.go
+++ b/relay/node.go
@@ -46,7 +46,7 @@
 	event       func(event string, fields ...any)
 	timing      Timing
 	// pending are the queries to other instances that wait for an answer.
-	pending     *reply.Waiters[answer]
+	pending     *reply.Pending[answer]
 	reassembler reassembler
 	cache       *packCache
 	tree        fetchTree
--- a/reply/reply.go
+++ b/reply/reply.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Waiters holds the requests that wait for a response. It is safe for concurrent use.
-type Waiters[T any] struct {
+// Pending holds the requests that wait for a response. It is safe for concurrent use.
+type Pending[T any] struct {
 	mu      sync.Mutex
 	next    uint64
 	pending map[uint64]chan T
@@ -16,13 +16,13 @@
 
 // New returns an empty set of pending requests. Request ids follow start, which has to
 // differ from run to run so that late responses to an earlier process match no request.
-func New[T any](start uint64) *Waiters[T] {
-	return &Waiters[T]{next: start, pending: map[uint64]chan T{}}
+func New[T any](start uint64) *Pending[T] {
+	return &Pending[T]{next: start, pending: map[uint64]chan T{}}
 }
 
 // Call sends a request by calling send with a new id, and waits for the response. It
 // reports false if send fails, or if no response arrives within the given time or before ctx ends.
-func (w *Waiters[T]) Call(ctx context.Context, within time.Duration, send func(id uint64) error) (T, bool) {
+func (w *Pending[T]) Call(ctx context.Context, within time.Duration, send func(id uint64) error) (T, bool) {
 	var zero T
 	id, c := w.add()
 	defer w.remove(id)
@@ -49,7 +49,7 @@
 
 // Deliver passes a response to its request and reports whether the request was still
 // pending. Further responses to the same request are dropped.
-func (w *Waiters[T]) Deliver(id uint64, a T) bool {
+func (w *Pending[T]) Deliver(id uint64, a T) bool {
 	w.mu.Lock()
 	c := w.pending[id]
 	w.mu.Unlock()
@@ -63,7 +63,7 @@
 	return true
 }
 
-func (w *Waiters[T]) add() (uint64, <-chan T) {
+func (w *Pending[T]) add() (uint64, <-chan T) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.next++
@@ -72,7 +72,7 @@
 	return w.next, c
 }
 
-func (w *Waiters[T]) remove(id uint64) {
+func (w *Pending[T]) remove(id uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.pending, id)
