--- a/claim/claim.go
+++ b/claim/claim.go
@@ -26,9 +26,9 @@
 // retries of the caller.
 const MaxStoredAnswer = 4096
 
-// Margin is how long a record is kept after its deadline, so that no second instance
+// RetentionMargin is how long a record is kept after its deadline, so that no second instance
 // can send the request while a holder that was paused past the deadline may resume.
-const Margin = time.Hour
+const RetentionMargin = time.Hour
 
 // Claim is the record stored under an idempotency key.
 type Claim struct {
@@ -68,7 +68,7 @@
 }
 
 // Expires returns the time from which the store may delete the record.
-func (c Claim) Expires() time.Time { return c.Deadline.Add(Margin) }
+func (c Claim) Expires() time.Time { return c.Deadline.Add(RetentionMargin) }
 
 // Verdict is what an instance may do after comparing its claim with the stored one.
 type Verdict int
--- a/faults/once_test.go
+++ b/faults/once_test.go
@@ -55,7 +55,7 @@
 		if err == nil || outcomeOf(err) == outcome.NotRun {
 			t.Errorf("request to the other instance: got %v, want an error whose outcome is not NotRun", err)
 		}
-		time.Sleep(claim.Margin / 2)
+		time.Sleep(claim.RetentionMargin / 2)
 		a.Entry.Resume()
 		time.Sleep(time.Second)
 		_, _ = d.sendOne(ctx, "b1", "once", 1)
