--- a/claim/claim.go
+++ b/claim/claim.go
@@ -18,8 +18,8 @@
 	Held State = "held"
 	// Ran: the request ran; its answer is stored if it is short enough.
 	Ran State = "ran"
-	// Free: the holder proved that the request did not run.
-	Free State = "free"
+	// NotRun: the holder proved that the request did not run.
+	NotRun State = "free"
 )
 
 // MaxStoredAnswer is the maximum size, in bytes, of an answer that a claim stores for
@@ -63,7 +63,7 @@
 
 // WithFree returns the claim of a request that certainly did not run.
 func (c Claim) WithFree() Claim {
-	c.State = Free
+	c.State = NotRun
 	return c
 }
 
@@ -106,7 +106,7 @@
 		return Expired
 	case stored.Nonce == own.Nonce && stored.State == Held:
 		return Send
-	case stored.State == Free && stored.Nonce != own.Nonce:
+	case stored.State == NotRun && stored.Nonce != own.Nonce:
 		return Takeable
 	}
 	return MayHaveRun
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -79,7 +79,7 @@
 }
 
 func (f *portsFake) Finish(_ context.Context, c claim.Claim) error {
-	if c.State == claim.Free {
+	if c.State == claim.NotRun {
 		f.claimsFreed++
 		return nil
 	}
