--- a/adapter/rpc/local.go
+++ b/adapter/rpc/local.go
@@ -69,7 +69,7 @@
 	if q.Ran {
 		c = c.WithAnswer(int(q.Status), q.Answer)
 	} else {
-		c = c.WithFree()
+		c = c.WithNotRun()
 	}
 	if err := s.node.Finish(ctx, c); err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -61,8 +61,8 @@
 	return c
 }
 
-// WithFree returns the claim of a request that certainly did not run.
-func (c Claim) WithFree() Claim {
+// WithNotRun returns the claim of a request that certainly did not run.
+func (c Claim) WithNotRun() Claim {
 	c.State = NotRun
 	return c
 }
--- a/control/claims.go
+++ b/control/claims.go
@@ -244,5 +244,5 @@
 	if err != nil || f.Nonce != c.Nonce || f.State != claim.Held {
 		return true
 	}
-	return n.Finish(ctx, c.WithFree()) == nil
+	return n.Finish(ctx, c.WithNotRun()) == nil
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -74,7 +74,7 @@
 			}
 			f[at].SetFault(kv.NoFault)
 			if l := holders[k]; len(l) > 0 && rapid.IntRange(0, 3).Draw(t, "free") == 0 {
-				if n[at].Finish(t.Context(), l[0].WithFree()) == nil {
+				if n[at].Finish(t.Context(), l[0].WithNotRun()) == nil {
 					holders[k] = l[1:]
 				}
 			}
--- a/entry/service.go
+++ b/entry/service.go
@@ -91,7 +91,7 @@
 	case err == nil:
 		err = r.claims.Finish(x, c.WithAnswer(a.Answer.Status, a.Answer.Body))
 	case failed(err).Outcome == outcome.NotRun:
-		err = r.claims.Finish(x, c.WithFree())
+		err = r.claims.Finish(x, c.WithNotRun())
 	default:
 		return
 	}
