--- a/claim/claim.go
+++ b/claim/claim.go
@@ -83,9 +83,9 @@
 	Replay
 	// RanBefore: the request ran, but its answer was too long to be stored.
 	RanBefore
-	// Takeable: the earlier holder proved that the request did not run; the instance
+	// Reclaimable: the earlier holder proved that the request did not run; the instance
 	// may replace exactly this version of the record with its own claim.
-	Takeable
+	Reclaimable
 	// Expired: the deadline of the instance's own claim has passed; it must not send.
 	Expired
 )
@@ -107,7 +107,7 @@
 	case stored.Nonce == own.Nonce && stored.State == Held:
 		return Send
 	case stored.State == NotRun && stored.Nonce != own.Nonce:
-		return Takeable
+		return Reclaimable
 	}
 	return MayHaveRun
 }
--- a/control/claims.go
+++ b/control/claims.go
@@ -153,7 +153,7 @@
 		return claimResult{verdict: claim.MayHaveRun, err: err}
 	}
 	v := claim.Judge(f, c, n.Clock())
-	if v == claim.Takeable {
+	if v == claim.Reclaimable {
 		return n.takeOver(ctx, c, p)
 	}
 	return claimResult{verdict: v, found: f}
