--- a/claim/claim.go
+++ b/claim/claim.go
@@ -95,8 +95,8 @@
 	return [...]string{"send", "may_have_run", "replay", "ran_before", "takeable", "expired"}[v]
 }
 
-// Judge compares the record stored under the key with the instance's own claim.
-func Judge(stored, own Claim, now time.Time) Verdict {
+// Decide compares the record stored under the key with the instance's own claim.
+func Decide(stored, own Claim, now time.Time) Verdict {
 	switch {
 	case stored.State == Ran && stored.Answer != nil:
 		return Replay
--- a/control/claims.go
+++ b/control/claims.go
@@ -152,7 +152,7 @@
 	if err != nil {
 		return claimResult{verdict: claim.MayHaveRun, err: err}
 	}
-	v := claim.Judge(f, c, n.Clock())
+	v := claim.Decide(f, c, n.Clock())
 	if v == claim.Reclaimable {
 		return n.takeOver(ctx, c, p)
 	}
