--- a/catalog/service.go
+++ b/catalog/service.go
@@ -10,8 +10,8 @@
 // or an order service.
 type Service struct {
 	Name string
-	// Once lists the calls that are not idempotent and must not be repeated.
-	Once []string
+	// NonIdempotentCalls lists the calls that are not idempotent and must not be repeated.
+	NonIdempotentCalls []string
 	// ChecksKey reports that the service itself rejects a second call with the same
 	// idempotency key, so that it may be called while the store is unavailable.
 	ChecksKey bool
@@ -19,7 +19,7 @@
 
 // IsOnce reports whether the call is not idempotent and must not be repeated.
 func (s Service) IsOnce(call string) bool {
-	return slices.Contains(s.Once, call)
+	return slices.Contains(s.NonIdempotentCalls, call)
 }
 
 // Validate returns an error for each invalid field of the service.
@@ -28,7 +28,7 @@
 	if !isValidName(s.Name) {
 		e = append(e, errors.Newf("service %q: invalid name, want 1 to 64 characters of a-z, 0-9, '-', '.' and '_'", s.Name))
 	}
-	for _, c := range s.Once {
+	for _, c := range s.NonIdempotentCalls {
 		if !isValidName(c) {
 			e = append(e, errors.Newf("service %s: invalid call name %q, want 1 to 64 characters of a-z, 0-9, '-', '.' and '_'", s.Name, c))
 		}
