--- a/catalog/service.go
+++ b/catalog/service.go
@@ -17,8 +17,8 @@
 	ChecksKey bool
 }
 
-// IsOnce reports whether the call is not idempotent and must not be repeated.
-func (s Service) IsOnce(call string) bool {
+// IsNonIdempotent reports whether the call is not idempotent and must not be repeated.
+func (s Service) IsNonIdempotent(call string) bool {
 	return slices.Contains(s.NonIdempotentCalls, call)
 }
 
--- a/entry/service.go
+++ b/entry/service.go
@@ -29,7 +29,7 @@
 	}
 	x, cancel := context.WithDeadline(ctx, q.Deadline)
 	defer cancel()
-	q.Once = q.Once || s.IsOnce(q.Call)
+	q.Once = q.Once || s.IsNonIdempotent(q.Call)
 	if !q.Once {
 		return r.callService(x, q)
 	}
