--- a/adapter/policyfile/policyfile.go
+++ b/adapter/policyfile/policyfile.go
@@ -73,7 +73,7 @@
 		case "task":
 			c.Tasks = append(c.Tasks, catalog.Task{Name: s.Name, Allowance: s.Duration("allowance", catalog.DefaultAllowance)})
 		case "service":
-			c.Services = append(c.Services, catalog.Service{Name: s.Name, NonIdempotentCalls: s.Values("once"), ChecksKey: s.Bool("checks_key", false)})
+			c.Services = append(c.Services, catalog.Service{Name: s.Name, NonIdempotentCalls: s.Values("once"), ChecksIdempotencyKey: s.Bool("checks_key", false)})
 		}
 	})
 	slices.SortFunc(c.Customers, func(a, b catalog.Customer) int { return strings.Compare(a.Name, b.Name) })
--- a/catalog/service.go
+++ b/catalog/service.go
@@ -12,9 +12,9 @@
 	Name string
 	// NonIdempotentCalls lists the calls that are not idempotent and must not be repeated.
 	NonIdempotentCalls []string
-	// ChecksKey reports that the service itself rejects a second call with the same
+	// ChecksIdempotencyKey reports that the service itself rejects a second call with the same
 	// idempotency key, so that it may be called while the store is unavailable.
-	ChecksKey bool
+	ChecksIdempotencyKey bool
 }
 
 // IsNonIdempotent reports whether the call is not idempotent and must not be repeated.
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -108,7 +108,7 @@
 var versions = []version.ID{version.New("large", "1"), version.New("small", "1"), version.New("small", "2")}
 
 func newTestRouter(t interface{ Fatal(...any) }, b *backendsFake, f *portsFake) (*Router, *CurrentView) {
-	c := catalog.Catalog{Team: "t", Services: []catalog.Service{{Name: "desk", NonIdempotentCalls: []string{"confirm"}}, {Name: "checked", NonIdempotentCalls: []string{"confirm"}, ChecksKey: true}}}
+	c := catalog.Catalog{Team: "t", Services: []catalog.Service{{Name: "desk", NonIdempotentCalls: []string{"confirm"}}, {Name: "checked", NonIdempotentCalls: []string{"confirm"}, ChecksIdempotencyKey: true}}}
 	for i, tier := range []string{"gold", "bronze"} {
 		c.Customers = append(c.Customers, catalog.Customer{Name: tier, Tier: tier, Share: 1, KeyHashes: []string{fmt.Sprintf("%064x", i)}})
 	}
--- a/entry/service.go
+++ b/entry/service.go
@@ -36,7 +36,7 @@
 	if q.IdempotencyKey == "" {
 		return ServiceResult{}, notRun(IdempotencyKeyRequired, q.Service+"/"+q.Call+" may not be repeated: give an Idempotency-Key")
 	}
-	return r.callOnce(x, q, s.ChecksKey)
+	return r.callOnce(x, q, s.ChecksIdempotencyKey)
 }
 
 // callOnce claims the idempotency key, sends the call once and records the result.
