--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -44,8 +44,8 @@
 	return &Learner{estimates: map[Key]estimate{}, skipCounts: map[Key]int{}}
 }
 
-// Saw records whether a rated answer was accepted.
-func (l *Learner) Saw(k Key, accepted bool) {
+// RecordRating records whether a rated answer was accepted.
+func (l *Learner) RecordRating(k Key, accepted bool) {
 	c, ok := l.estimates[k]
 	if !ok {
 		c = estimate{probability: 0.5}
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -139,7 +139,7 @@
 	}
 	r.recordRating(c, f)
 	r.mu.Lock()
-	r.cascadeLearner.Saw(learnerKey(q, s), f >= s.Accept)
+	r.cascadeLearner.RecordRating(learnerKey(q, s), f >= s.Accept)
 	r.mu.Unlock()
 	return f >= s.Accept
 }
