--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -66,10 +66,10 @@
 	return c.probability, c.ratings >= minRatings
 }
 
-// Skip reports whether the first of two steps should be skipped: its cost, cheap,
+// ShouldSkip reports whether the first of two steps should be skipped: its cost, cheap,
 // exceeds the expected saving, which is the probability that its answer is accepted
 // times the cost of the next step, strong. Both costs are in the same unit.
-func (l *Learner) Skip(k Key, cheap, strong float64) bool {
+func (l *Learner) ShouldSkip(k Key, cheap, strong float64) bool {
 	p, ok := l.AcceptanceRate(k)
 	if !ok || p*strong >= cheap {
 		return false
--- a/entry/router.go
+++ b/entry/router.go
@@ -199,7 +199,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cascadeLearner.Skip(learnerKey(q, p[0]), pricePerToken(v, q, p[0].Model), pricePerToken(v, q, p[1].Model)) {
+	if r.cascadeLearner.ShouldSkip(learnerKey(q, p[0]), pricePerToken(v, q, p[0].Model), pricePerToken(v, q, p[1].Model)) {
 		return p[1:]
 	}
 	return p
--- a/measure/cascade.go
+++ b/measure/cascade.go
@@ -59,7 +59,7 @@
 		{"always-strong", func(taskProfile) bool { return false }, false, nil},
 		{"always-cheap", func(taskProfile) bool { return true }, false, nil},
 		{"fixed-threshold", func(taskProfile) bool { return true }, true, nil},
-		{"fieldvale", func(t taskProfile) bool { return !learner.Skip(key(t), cheapCost+ratingCost, strongCost) }, true,
+		{"fieldvale", func(t taskProfile) bool { return !learner.ShouldSkip(key(t), cheapCost+ratingCost, strongCost) }, true,
 			func(t taskProfile, ok bool) { learner.RecordRating(key(t), ok) }},
 	}
 	baseCost := 0.0
