--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -7,8 +7,8 @@
 	"fieldvale/policy"
 )
 
-// Key identifies an estimate: one is learned for each combination of its fields.
-type Key struct {
+// StepKey identifies an estimate: one is learned for each combination of its fields.
+type StepKey struct {
 	Team  string
 	Task  string
 	Size  policy.Size
@@ -34,18 +34,18 @@
 
 // Learner holds the acceptance estimates. It is not safe for concurrent use.
 type Learner struct {
-	estimates map[Key]estimate
+	estimates map[StepKey]estimate
 	// skipCounts is the number of requests for which skipping was considered.
-	skipCounts map[Key]int
+	skipCounts map[StepKey]int
 }
 
 // NewLearner returns a learner without ratings, which skips nothing.
 func NewLearner() *Learner {
-	return &Learner{estimates: map[Key]estimate{}, skipCounts: map[Key]int{}}
+	return &Learner{estimates: map[StepKey]estimate{}, skipCounts: map[StepKey]int{}}
 }
 
 // RecordRating records whether a rated answer was accepted.
-func (l *Learner) RecordRating(k Key, accepted bool) {
+func (l *Learner) RecordRating(k StepKey, accepted bool) {
 	c, ok := l.estimates[k]
 	if !ok {
 		c = estimate{probability: 0.5}
@@ -61,7 +61,7 @@
 }
 
 // AcceptanceRate returns the estimate and whether it is based on at least minRatings ratings.
-func (l *Learner) AcceptanceRate(k Key) (float64, bool) {
+func (l *Learner) AcceptanceRate(k StepKey) (float64, bool) {
 	c := l.estimates[k]
 	return c.probability, c.ratings >= minRatings
 }
@@ -69,7 +69,7 @@
 // ShouldSkip reports whether the first of two steps should be skipped: its cost, cheap,
 // exceeds the expected saving, which is the probability that its answer is accepted
 // times the cost of the next step, strong. Both costs are in the same unit.
-func (l *Learner) ShouldSkip(k Key, cheap, strong float64) bool {
+func (l *Learner) ShouldSkip(k StepKey, cheap, strong float64) bool {
 	p, ok := l.AcceptanceRate(k)
 	if !ok || p*strong >= cheap {
 		return false
--- a/entry/router.go
+++ b/entry/router.go
@@ -205,8 +205,8 @@
 	return p
 }
 
-func learnerKey(q Request, s policy.Step) cascade.Key {
-	return cascade.Key{Team: q.Caller.Team, Task: q.Task, Size: q.Size, Model: s.Model}
+func learnerKey(q Request, s policy.Step) cascade.StepKey {
+	return cascade.StepKey{Team: q.Caller.Team, Task: q.Task, Size: q.Size, Model: s.Model}
 }
 
 // pricePerToken is the price by which the steps' models are compared.
