--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -117,7 +117,7 @@
 		}
 		t.Cleanup(l.Close)
 		_, err = backend.NewEngines(httpconn.New()).Stream(context.Background(), &pool.Replica{ID: "e", Addr: l.Addr}, attempt(0), func([]byte) error { return nil })
-		if err == nil || outcome.Of(err) != outcome.Unknown {
+		if err == nil || outcome.KindOf(err) != outcome.Unknown {
 			t.Errorf("%s: got error %v, want outcome Unknown", name, err)
 		}
 	}
@@ -140,7 +140,7 @@
 		t.Fatalf("got body %s, error %v and runs %v, want a body with rye, no error and one run of confirm/k1", a.Body, err, s.Runs())
 	}
 	s.Faults.Put(fault.Set{DropResponses: true})
-	if _, err := c.Call(t.Context(), r, k); outcome.Of(err) != outcome.Unknown {
+	if _, err := c.Call(t.Context(), r, k); outcome.KindOf(err) != outcome.Unknown {
 		t.Errorf("lost response: got error %v, want outcome Unknown", err)
 	}
 	s.Faults.Put(fault.Set{Limited: true})
--- a/adapter/caller/errors.go
+++ b/adapter/caller/errors.go
@@ -100,7 +100,7 @@
 func toAPIError(err error) *apiError {
 	var f *entry.Failure
 	if !errors.As(err, &f) {
-		return &apiError{status: fasthttp.StatusBadGateway, code: string(entry.BackendFailed), kind: serverError, message: err.Error(), run: outcome.Of(err).String()}
+		return &apiError{status: fasthttp.StatusBadGateway, code: string(entry.BackendFailed), kind: serverError, message: err.Error(), run: outcome.KindOf(err).String()}
 	}
 	e := &apiError{status: statuses[f.Code], code: string(f.Code), kind: serverError, message: f.Error(), run: f.Outcome.String(), retryAt: f.RetryAt}
 	if f.Code == entry.BackendFailed && f.Outcome == outcome.NotRun {
--- a/adapter/etcd/etcd.go
+++ b/adapter/etcd/etcd.go
@@ -365,7 +365,7 @@
 
 // classify marks a transport error by whether the request may have been applied.
 func classify(err error) error {
-	if outcome.Of(err) == outcome.NotRun {
+	if outcome.KindOf(err) == outcome.NotRun {
 		return errors.Mark(err, store.ErrUnavailable)
 	}
 	return errors.Mark(err, store.ErrUnknown)
--- a/adapter/exchange/exchange_test.go
+++ b/adapter/exchange/exchange_test.go
@@ -116,10 +116,10 @@
 	}
 	a := l.Addr().String()
 	_ = l.Close()
-	if _, err := get(New(time.Now), a, nil); outcome.Of(err) != outcome.NotRun {
+	if _, err := get(New(time.Now), a, nil); outcome.KindOf(err) != outcome.NotRun {
 		t.Errorf("no listener: got error %v, want outcome NotRun", err)
 	}
-	if _, err := get(New(time.Now), startScripted(t, closeMark), nil); outcome.Of(err) != outcome.Unknown {
+	if _, err := get(New(time.Now), startScripted(t, closeMark), nil); outcome.KindOf(err) != outcome.Unknown {
 		t.Errorf("no response: got error %v, want outcome Unknown", err)
 	}
 	if _, err := get(New(time.Now), startScripted(t, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"+closeMark), nil); err == nil {
--- a/adapter/httpconn/httpconn_test.go
+++ b/adapter/httpconn/httpconn_test.go
@@ -61,7 +61,7 @@
 	}
 	a := l.Addr().String()
 	_ = l.Close()
-	if _, err := do(httpconn.New(), a, "x"); outcome.Of(err) != outcome.NotRun {
+	if _, err := do(httpconn.New(), a, "x"); outcome.KindOf(err) != outcome.NotRun {
 		t.Errorf("no listener: got error %v, want outcome NotRun", err)
 	}
 }
@@ -88,7 +88,7 @@
 		},
 		"no response": func(_ int, c net.Conn) { readRequest(bufio.NewReader(c)) },
 	} {
-		if _, err := do(httpconn.New(), startServer(t, f), "x"); err == nil || outcome.Of(err) != outcome.Unknown {
+		if _, err := do(httpconn.New(), startServer(t, f), "x"); err == nil || outcome.KindOf(err) != outcome.Unknown {
 			t.Errorf("%s: got error %v, want outcome Unknown", name, err)
 		}
 	}
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -60,7 +60,7 @@
 		if errors.Is(context.Cause(x), errHung) {
 			err = outcome.New(outcome.Unknown, "wait", a.replica.ID, errHung)
 		}
-		a.mayHaveRun = outcome.Of(err) != outcome.NotRun
+		a.mayHaveRun = outcome.KindOf(err) != outcome.NotRun
 		a.recordUnanswered(err)
 		return err
 	}
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -91,7 +91,7 @@
 		}
 	}
 	if err != nil {
-		c.mayHaveRun = c.mayHaveRun || outcome.Of(err) == outcome.Unknown && !isFailure(err)
+		c.mayHaveRun = c.mayHaveRun || outcome.KindOf(err) == outcome.Unknown && !isFailure(err)
 		return a, false, err
 	}
 	return a, r.accept(ctx, q, c, s, a), nil
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -61,7 +61,7 @@
 	if errors.As(err, &f) {
 		return f
 	}
-	f = &Failure{Code: BackendFailed, Outcome: outcome.Of(err), Message: "the backend servers failed", Cause: err}
+	f = &Failure{Code: BackendFailed, Outcome: outcome.KindOf(err), Message: "the backend servers failed", Cause: err}
 	var o *outcome.Error
 	if errors.As(err, &o) {
 		f.RetryAt = o.RetryAt
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -118,7 +118,7 @@
 	switch {
 	case isUnreachable(err):
 		return w.isOverUnreachable()
-	case outcome.Of(err) == outcome.NotRun:
+	case outcome.KindOf(err) == outcome.NotRun:
 		return w.isOverRefused()
 	}
 	return w.isOverRan(err)
@@ -138,7 +138,7 @@
 
 // isOverRan decides after an attempt that ran or may have run.
 func (w *forwarding) isOverRan(err error) bool {
-	if outcome.Of(err) == outcome.Unknown {
+	if outcome.KindOf(err) == outcome.Unknown {
 		w.mayHaveRun = true
 	}
 	return w.stopIf(!w.q.Route.AllowsRetry(), "may run once") ||
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -103,7 +103,7 @@
 	switch {
 	case a.succeeded && !a.escalated || a.failureComplete:
 		return quarantine.Served
-	case err != nil && outcome.Of(err) == outcome.NotRun:
+	case err != nil && outcome.KindOf(err) == outcome.NotRun:
 		return quarantine.NotRun
 	case !a.clientLeft && outcome.IsClosed(err) && a.replicaCrashed():
 		return quarantine.ReplicaCrashed
@@ -142,7 +142,7 @@
 	switch {
 	case err == nil:
 		return quarantine.Served
-	case outcome.Of(err) == outcome.NotRun:
+	case outcome.KindOf(err) == outcome.NotRun:
 		return quarantine.NotRun
 	case outcome.IsClosed(err) && !errors.Is(err, errCallerGone) && r.isDown(b):
 		return quarantine.ReplicaCrashed
--- a/entry/router.go
+++ b/entry/router.go
@@ -351,7 +351,7 @@
 // lessCertain keeps the error whose outcome is less certain, so that the caller gets "not run"
 // only if no attempt may have run.
 func lessCertain(a, b error) error {
-	if a != nil && outcome.Of(a) == outcome.Unknown {
+	if a != nil && outcome.KindOf(a) == outcome.Unknown {
 		return a
 	}
 	return b
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -172,7 +172,7 @@
 		return err
 	})
 	if err != nil {
-		c.mayHaveRun = c.mayHaveRun || outcome.Of(err) == outcome.Unknown && !isFailure(err)
+		c.mayHaveRun = c.mayHaveRun || outcome.KindOf(err) == outcome.Unknown && !isFailure(err)
 		return a, err
 	}
 	c.slow = r.answerIsSlow(v, q.Caller, x, a, r.clock().Sub(began))
--- a/entry/tokentime_test.go
+++ b/entry/tokentime_test.go
@@ -83,7 +83,7 @@
 				q.ID = fmt.Sprint("q", i)
 				q.Session = session.New(q.ID, "bronze", time.Now().Add(time.Hour))
 				q.Deadline = time.Now().Add(time.Minute)
-				if _, _, err := r.Chat(t.Context(), q); err != nil && outcome.Of(err) != outcome.NotRun {
+				if _, _, err := r.Chat(t.Context(), q); err != nil && outcome.KindOf(err) != outcome.NotRun {
 					t.Fatal(err)
 				}
 			}
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -68,9 +68,9 @@
 	return &c
 }
 
-// Of returns the kind of an error. An error that contains no *Error is Unknown, since
+// KindOf returns the kind of an error. An error that contains no *Error is Unknown, since
 // the work may have run.
-func Of(err error) Kind {
+func KindOf(err error) Kind {
 	var e *Error
 	if errors.As(err, &e) {
 		return e.Kind
@@ -81,7 +81,7 @@
 // MayRepeat reports whether the work may be retried after err. With once, the work is not
 // idempotent and may be retried only if it certainly did not run.
 func MayRepeat(err error, once bool) bool {
-	switch Of(err) {
+	switch KindOf(err) {
 	case NotRun:
 		return true
 	case Unknown:
