--- a/entry/router.go
+++ b/entry/router.go
@@ -283,7 +283,7 @@
 
 // takeRetry takes a retry from the budget if the request may be sent again after err.
 func (r *Router) takeRetry(err error, once bool) bool {
-	if !outcome.MayRepeat(err, once) {
+	if !outcome.MayRetry(err, once) {
 		return false
 	}
 	r.mu.Lock()
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -78,9 +78,9 @@
 	return Unknown
 }
 
-// MayRepeat reports whether the work may be retried after err. With once, the work is not
+// MayRetry reports whether the work may be retried after err. With once, the work is not
 // idempotent and may be retried only if it certainly did not run.
-func MayRepeat(err error, once bool) bool {
+func MayRetry(err error, once bool) bool {
 	switch KindOf(err) {
 	case NotRun:
 		return true
