--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -105,7 +105,7 @@
 		return quarantine.Served
 	case err != nil && outcome.KindOf(err) == outcome.NotRun:
 		return quarantine.NotRun
-	case !a.clientLeft && outcome.IsClosed(err) && a.replicaCrashed():
+	case !a.clientLeft && outcome.IsConnectionClosed(err) && a.replicaCrashed():
 		return quarantine.ReplicaCrashed
 	}
 	return quarantine.Inconclusive
@@ -144,7 +144,7 @@
 		return quarantine.Served
 	case outcome.KindOf(err) == outcome.NotRun:
 		return quarantine.NotRun
-	case outcome.IsClosed(err) && !errors.Is(err, errCallerGone) && r.isDown(b):
+	case outcome.IsConnectionClosed(err) && !errors.Is(err, errCallerGone) && r.isDown(b):
 		return quarantine.ReplicaCrashed
 	}
 	return quarantine.Inconclusive
--- a/outcome/closed.go
+++ b/outcome/closed.go
@@ -7,10 +7,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// IsClosed reports whether the peer, or a proxy or kernel acting for it, closed or reset
+// IsConnectionClosed reports whether the peer, or a proxy or kernel acting for it, closed or reset
 // the connection while a response was pending. No other error indicates that the peer may
 // have crashed: a timeout also occurs when the network link is down.
-func IsClosed(err error) bool {
+func IsConnectionClosed(err error) bool {
 	for _, c := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, c) {
 			return true
