--- a/entry/distance.go
+++ b/entry/distance.go
@@ -34,7 +34,7 @@
 func newAnswerSizes() *answerSizes { return &answerSizes{means: means.New(answerSizeWeight)} }
 
 // of returns the mean size of the route's answers, in kB.
-func (s *answerSizes) of(route string) float64 { return s.means.Of(route, initialAnswerKB) }
+func (s *answerSizes) of(route string) float64 { return s.means.Get(route, initialAnswerKB) }
 
 // observe records the size of a complete answer.
 func (s *answerSizes) observe(route string, bytes int) {
--- a/entry/gains.go
+++ b/entry/gains.go
@@ -42,7 +42,7 @@
 }
 
 // of returns the model's confidence gain over the next smaller one.
-func (l *confidenceGains) of(model string) float64 { return l.means.Of(model, initialGain) }
+func (l *confidenceGains) of(model string) float64 { return l.means.Get(model, initialGain) }
 
 // observe records a request that both models answered.
 func (l *confidenceGains) observe(model string, smaller, larger float64) {
--- a/means/means.go
+++ b/means/means.go
@@ -32,8 +32,8 @@
 	return &Means{weight: weight, prior: prior, byKey: map[string]mean{}}
 }
 
-// Of returns the mean of the key. The first use of a key sets its mean to initial.
-func (m *Means) Of(key string, initial float64) float64 {
+// Get returns the mean of the key. The first use of a key sets its mean to initial.
+func (m *Means) Get(key string, initial float64) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.getOrCreate(key, initial).value
--- a/means/means_test.go
+++ b/means/means_test.go
@@ -14,6 +14,6 @@
 		slow.Learn("k", 10, func(float64) float64 { return 20 })
 		quick.Learn("k", 10, func(float64) float64 { return 20 })
 	}
-	fmt.Printf("%.2f %.2f %.0f\n", slow.Of("k", 10), quick.Of("k", 10), slow.Of("other", 10))
+	fmt.Printf("%.2f %.2f %.0f\n", slow.Get("k", 10), quick.Get("k", 10), slow.Get("other", 10))
 	// Output: 12.71 17.50 10
 }
--- a/timing/firstevent.go
+++ b/timing/firstevent.go
@@ -30,7 +30,7 @@
 // Expect returns the expected time to the first event, for an estimate of the prefill work in
 // milliseconds.
 func (d *FirstEventDelays) Expect(service string, estimateMs float64) time.Duration {
-	r := d.m.Of(service, firstDelayRatio)
+	r := d.m.Get(service, firstDelayRatio)
 	return time.Duration(r * estimateMs * float64(time.Millisecond))
 }
 
--- a/timing/prefill.go
+++ b/timing/prefill.go
@@ -32,7 +32,7 @@
 	for range size {
 		first *= firstSizeFactor
 	}
-	return p.m.Of(key, first)
+	return p.m.Get(key, first)
 }
 
 // Observe learns from a prompt that was prefilled with no other work before it. MsPerToken must
--- a/timing/slots.go
+++ b/timing/slots.go
@@ -25,7 +25,7 @@
 
 // ExpectedMs returns the expected time in the slot for a request of the kind, in
 // milliseconds.
-func (s *SlotTimes) ExpectedMs(kind string) float64 { return s.m.Of(kind, firstSlotMs) }
+func (s *SlotTimes) ExpectedMs(kind string) float64 { return s.m.Get(kind, firstSlotMs) }
 
 // Observe learns from a request that has ended.
 func (s *SlotTimes) Observe(kind string, took time.Duration) {
