--- a/entry/distance.go
+++ b/entry/distance.go
@@ -38,7 +38,7 @@
 
 // observe records the size of a complete answer.
 func (s *answerSizes) observe(route string, bytes int) {
-	s.means.Learn(route, initialAnswerKB, func(float64) float64 { return float64(bytes) / 1000 })
+	s.means.Update(route, initialAnswerKB, func(float64) float64 { return float64(bytes) / 1000 })
 }
 
 // remotePenaltyMs is the cost added to replicas in other data centres, in milliseconds.
--- a/entry/gains.go
+++ b/entry/gains.go
@@ -46,7 +46,7 @@
 
 // observe records a request that both models answered.
 func (l *confidenceGains) observe(model string, smaller, larger float64) {
-	l.means.Learn(model, initialGain, func(float64) float64 { return larger - smaller })
+	l.means.Update(model, initialGain, func(float64) float64 { return larger - smaller })
 }
 
 // nextModelBounds are confidences of an answer: from askFirst on, the next larger model is tried
--- a/means/means.go
+++ b/means/means.go
@@ -39,9 +39,9 @@
 	return m.getOrCreate(key, initial).value
 }
 
-// Learn adds a value to the mean of the key. The function value computes it from the
+// Update adds a value to the mean of the key. The function value computes it from the
 // current mean.
-func (m *Means) Learn(key string, initial float64, value func(mean float64) float64) {
+func (m *Means) Update(key string, initial float64, value func(mean float64) float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	v := m.getOrCreate(key, initial)
--- a/means/means_test.go
+++ b/means/means_test.go
@@ -11,8 +11,8 @@
 func ExampleMeans() {
 	slow, quick := means.New(0.1), means.NewQuick(0.1, 1)
 	for range 3 {
-		slow.Learn("k", 10, func(float64) float64 { return 20 })
-		quick.Learn("k", 10, func(float64) float64 { return 20 })
+		slow.Update("k", 10, func(float64) float64 { return 20 })
+		quick.Update("k", 10, func(float64) float64 { return 20 })
 	}
 	fmt.Printf("%.2f %.2f %.0f\n", slow.Get("k", 10), quick.Get("k", 10), slow.Get("other", 10))
 	// Output: 12.71 17.50 10
--- a/timing/firstevent.go
+++ b/timing/firstevent.go
@@ -40,5 +40,5 @@
 		return
 	}
 	x := min(maxDelayRatio, max(minDelayRatio, took.Seconds()*1000/estimateMs))
-	d.m.Learn(service, firstDelayRatio, func(float64) float64 { return x })
+	d.m.Update(service, firstDelayRatio, func(float64) float64 { return x })
 }
--- a/timing/prefill.go
+++ b/timing/prefill.go
@@ -42,5 +42,5 @@
 		return
 	}
 	x := took.Seconds() * 1000 / tokens
-	p.m.Learn(key, 0, func(mean float64) float64 { return min(x, 4*mean) })
+	p.m.Update(key, 0, func(mean float64) float64 { return min(x, 4*mean) })
 }
--- a/timing/slots.go
+++ b/timing/slots.go
@@ -29,5 +29,5 @@
 
 // Observe learns from a request that has ended.
 func (s *SlotTimes) Observe(kind string, took time.Duration) {
-	s.m.Learn(kind, firstSlotMs, func(float64) float64 { return took.Seconds() * 1000 })
+	s.m.Update(kind, firstSlotMs, func(float64) float64 { return took.Seconds() * 1000 })
 }
