--- a/entry/gains.go
+++ b/entry/gains.go
@@ -38,7 +38,7 @@
 type confidenceGains struct{ means *means.Means }
 
 func newConfidenceGains() *confidenceGains {
-	return &confidenceGains{means: means.NewQuick(gainWeight, gainPriorWeight)}
+	return &confidenceGains{means: means.NewFastStart(gainWeight, gainPriorWeight)}
 }
 
 // of returns the model's confidence gain over the next smaller one.
--- a/means/means.go
+++ b/means/means.go
@@ -25,10 +25,10 @@
 // New returns an empty set of means; weight is the weight of a new value, from 0 to 1.
 func New(weight float64) *Means { return &Means{weight: weight, byKey: map[string]mean{}} }
 
-// NewQuick returns an empty set of means that adapt faster to their first values. With
+// NewFastStart returns an empty set of means that adapt faster to their first values. With
 // few observations, a mean of constant weight stays close to its initial value for too
 // long.
-func NewQuick(weight, prior float64) *Means {
+func NewFastStart(weight, prior float64) *Means {
 	return &Means{weight: weight, prior: prior, byKey: map[string]mean{}}
 }
 
