--- a/adapter/rpc/admin.go
+++ b/adapter/rpc/admin.go
@@ -153,7 +153,7 @@
 		}
 	case audit.Withdraw, audit.Reinstate:
 		c.Version, err = version.Parse(q.Version)
-	case audit.StartRoll:
+	case audit.StartRollout:
 		c.Rollout, err = rolloutFromWire(q)
 	case audit.HaltRoll:
 		var v version.ID
--- a/audit/audit.go
+++ b/audit/audit.go
@@ -12,7 +12,7 @@
 	Accept     Action = "accept"
 	Withdraw   Action = "withdraw"
 	Reinstate  Action = "reinstate"
-	StartRoll  Action = "rollout-start"
+	StartRollout  Action = "rollout-start"
 	StepRoll   Action = "rollout-step"
 	TripRoll   Action = "rollout-trip"
 	HaltRoll   Action = "rollout-halt"
--- a/cmd/fieldvale/rollout.go
+++ b/cmd/fieldvale/rollout.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	_, err = submitChange(&fieldvalev1.ChangeRequest{
-		Id: idOrRandom(c.ID), Team: globalOptions.Team, Why: c.Why, Action: string(audit.StartRoll), FromVersion: c.Args.From,
+		Id: idOrRandom(c.ID), Team: globalOptions.Team, Why: c.Why, Action: string(audit.StartRollout), FromVersion: c.Args.From,
 		Version: c.Args.To, Shares: steps, EveryMillis: c.Every.Milliseconds(),
 	})
 	return err
--- a/config/change.go
+++ b/config/change.go
@@ -97,7 +97,7 @@
 		return d.withdraw(p, c)
 	case audit.Reinstate:
 		return d.reinstate(p, c)
-	case audit.StartRoll:
+	case audit.StartRollout:
 		return d.startRollout(p, c)
 	case audit.StepRoll, audit.TripRoll, audit.HaltRoll:
 		return d.updateRollout(p, c)
--- a/entry/tokentime_test.go
+++ b/entry/tokentime_test.go
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	d := v.Get().Active.Document()
-	if d, _, err = d.Apply(config.Change{ID: "start", Team: "t", Action: audit.StartRoll, Rollout: o, At: time.Now()}); err != nil {
+	if d, _, err = d.Apply(config.Change{ID: "start", Team: "t", Action: audit.StartRollout, Rollout: o, At: time.Now()}); err != nil {
 		t.Fatal(err)
 	}
 	a, e := config.Compile(d)
--- a/faults/deployment_test.go
+++ b/faults/deployment_test.go
@@ -242,7 +242,7 @@
 	if err != nil {
 		panic(err)
 	}
-	_ = d.change(ctx, "a1", config.Change{ID: "roll", Team: "t", Who: "op", Why: "newer", Action: audit.StartRoll, Rollout: r})
+	_ = d.change(ctx, "a1", config.Change{ID: "roll", Team: "t", Who: "op", Why: "newer", Action: audit.StartRollout, Rollout: r})
 	d.waitUntil(22)
 	d.step("withdraw", d.control("b1"))
 	if err := d.change(ctx, "b1", config.Change{ID: "withdraw", Team: "t", Who: "op", Why: "old", Action: audit.Withdraw, Version: cheap1}); err == nil {
--- a/faults/versions_test.go
+++ b/faults/versions_test.go
@@ -88,7 +88,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.mustChange(ctx, config.Change{ID: id, Team: "t", Who: "op", Why: "t", Action: audit.StartRoll, Rollout: r})
+			d.mustChange(ctx, config.Change{ID: id, Team: "t", Who: "op", Why: "t", Action: audit.StartRollout, Rollout: r})
 		}
 		state := func() rollout.State {
 			r, _ := d.instance("a1").View.Get().Active.Document().Part("t").Rollout("cheap")
@@ -135,7 +135,7 @@
 		for _, b := range d.engines() {
 			b.SetBad(cheap2, true)
 		}
-		d.mustChange(ctx, config.Change{ID: "few", Team: "t", Who: "op", Why: "t", Action: audit.StartRoll, Rollout: r})
+		d.mustChange(ctx, config.Change{ID: "few", Team: "t", Who: "op", Why: "t", Action: audit.StartRollout, Rollout: r})
 		now := func() rollout.Rollout {
 			r, _ := d.instance("a1").View.Get().Active.Document().Part("t").Rollout("cheap")
 			return r
@@ -228,7 +228,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.mustChange(ctx, config.Change{ID: "roll", Team: "t", Who: "op", Why: "t", Action: audit.StartRoll, Rollout: r})
+		d.mustChange(ctx, config.Change{ID: "roll", Team: "t", Who: "op", Why: "t", Action: audit.StartRollout, Rollout: r})
 		k := session.NewKey()
 		d.mustChange(ctx, config.Change{ID: "keys", Who: "op", Why: "t", Action: audit.RotateKeys, Key: k})
 		d.instance("a1").Kill()
