--- a/audit/audit.go
+++ b/audit/audit.go
@@ -13,7 +13,7 @@
 	Withdraw   Action = "withdraw"
 	Reinstate  Action = "reinstate"
 	StartRollout  Action = "rollout-start"
-	StepRoll   Action = "rollout-step"
+	StepRollout   Action = "rollout-step"
 	TripRoll   Action = "rollout-trip"
 	HaltRoll   Action = "rollout-halt"
 	RotateKeys Action = "keys-rotate"
--- a/config/change.go
+++ b/config/change.go
@@ -49,7 +49,7 @@
 		Team:    team,
 		Who:     "fieldvale",
 		Why:     "step is due",
-		Action:  audit.StepRoll,
+		Action:  audit.StepRollout,
 		Rollout: r,
 	}
 }
@@ -99,7 +99,7 @@
 		return d.reinstate(p, c)
 	case audit.StartRollout:
 		return d.startRollout(p, c)
-	case audit.StepRoll, audit.TripRoll, audit.HaltRoll:
+	case audit.StepRollout, audit.TripRoll, audit.HaltRoll:
 		return d.updateRollout(p, c)
 	case audit.RotateKeys:
 		n = d.withChange(c.ID).withSessionKey(c.Key)
@@ -218,7 +218,7 @@
 	if !ok || r.To != c.Rollout.To || r.State != rollout.Running {
 		return d, "", "", errors.Newf("there is no running roll-out to %s", c.Rollout.To)
 	}
-	if c.Action == audit.StepRoll && r.StepsTaken != c.Rollout.StepsTaken {
+	if c.Action == audit.StepRollout && r.StepsTaken != c.Rollout.StepsTaken {
 		return d, "", "", errors.Newf("step %d of the roll-out to %s was already taken", c.Rollout.StepsTaken, r.To)
 	}
 	n := rolloutAfter(r, c.Action)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -41,7 +41,7 @@
 	v := version.New("m", rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "version"))
 	c := Change{
 		ID: fmt.Sprint("id", rapid.IntRange(0, 40).Draw(t, "id")), Team: "t", Who: "op", At: now, Version: v,
-		Action: rapid.SampledFrom([]audit.Action{audit.Accept, audit.Withdraw, audit.Reinstate, audit.StartRollout, audit.StepRoll, audit.TripRoll, audit.HaltRoll, audit.RotateKeys}).Draw(t, "action"),
+		Action: rapid.SampledFrom([]audit.Action{audit.Accept, audit.Withdraw, audit.Reinstate, audit.StartRollout, audit.StepRollout, audit.TripRoll, audit.HaltRoll, audit.RotateKeys}).Draw(t, "action"),
 		BaseRevision:   rapid.SampledFrom([]uint64{AnyBase, d.Part("t").Revision, 0, 1}).Draw(t, "base"),
 		Source: source("t", "m"), Key: session.NewKey(),
 	}
@@ -131,7 +131,7 @@
 		{"another team's caller key", Change{ID: "2", Team: "u", Action: audit.Accept, BaseRevision: AnyBase, Source: other}},
 		{"withdrawing an undeclared version", Change{ID: "2", Team: "t", Action: audit.Withdraw, Version: version.New("m", "7")}},
 		{"reinstating a version that is not withdrawn", Change{ID: "2", Team: "t", Action: audit.Reinstate, Version: version.New("m", "1")}},
-		{"a step without a roll-out", Change{ID: "2", Team: "t", Action: audit.StepRoll}},
+		{"a step without a roll-out", Change{ID: "2", Team: "t", Action: audit.StepRollout}},
 		{"an unknown action", Change{ID: "2", Team: "t", Action: "paint"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
