--- a/audit/audit.go
+++ b/audit/audit.go
@@ -14,7 +14,7 @@
 	Reinstate  Action = "reinstate"
 	StartRollout  Action = "rollout-start"
 	StepRollout   Action = "rollout-step"
-	TripRoll   Action = "rollout-trip"
+	TripRollout   Action = "rollout-trip"
 	HaltRoll   Action = "rollout-halt"
 	RotateKeys Action = "keys-rotate"
 	Restore    Action = "restore"
--- a/config/change.go
+++ b/config/change.go
@@ -62,7 +62,7 @@
 		Team:    team,
 		Who:     "fieldvale",
 		Why:     why,
-		Action:  audit.TripRoll,
+		Action:  audit.TripRollout,
 		Rollout: r,
 	}
 }
@@ -99,7 +99,7 @@
 		return d.reinstate(p, c)
 	case audit.StartRollout:
 		return d.startRollout(p, c)
-	case audit.StepRollout, audit.TripRoll, audit.HaltRoll:
+	case audit.StepRollout, audit.TripRollout, audit.HaltRoll:
 		return d.updateRollout(p, c)
 	case audit.RotateKeys:
 		n = d.withChange(c.ID).withSessionKey(c.Key)
@@ -223,7 +223,7 @@
 	}
 	n := rolloutAfter(r, c.Action)
 	q := p.withRollout(n)
-	if c.Action == audit.TripRoll && !q.IsWithdrawn(n.To) {
+	if c.Action == audit.TripRollout && !q.IsWithdrawn(n.To) {
 		q = q.withWithdrawn(n.To)
 	}
 	return d.withPart(q, c.ID), shareText(r), shareText(n), nil
@@ -232,7 +232,7 @@
 // rolloutAfter returns the roll-out after a trip, halt or step action.
 func rolloutAfter(r rollout.Rollout, a audit.Action) rollout.Rollout {
 	switch a {
-	case audit.TripRoll:
+	case audit.TripRollout:
 		return r.WithState(rollout.Tripped)
 	case audit.HaltRoll:
 		return r.WithState(rollout.Halted)
