--- a/adapter/rpc/admin.go
+++ b/adapter/rpc/admin.go
@@ -155,7 +155,7 @@
 		c.Version, err = version.Parse(q.Version)
 	case audit.StartRollout:
 		c.Rollout, err = rolloutFromWire(q)
-	case audit.HaltRoll:
+	case audit.HaltRollout:
 		var v version.ID
 		v, err = version.Parse(q.Version)
 		c.Rollout = rollout.Rollout{To: v}
--- a/audit/audit.go
+++ b/audit/audit.go
@@ -15,7 +15,7 @@
 	StartRollout  Action = "rollout-start"
 	StepRollout   Action = "rollout-step"
 	TripRollout   Action = "rollout-trip"
-	HaltRoll   Action = "rollout-halt"
+	HaltRollout   Action = "rollout-halt"
 	RotateKeys Action = "keys-rotate"
 	Restore    Action = "restore"
 )
--- a/cmd/fieldvale/rollout.go
+++ b/cmd/fieldvale/rollout.go
@@ -82,7 +82,7 @@
 }
 
 // Execute implements flags.Commander.
-func (c *rolloutHalt) Execute([]string) error { return c.submit(audit.HaltRoll) }
+func (c *rolloutHalt) Execute([]string) error { return c.submit(audit.HaltRollout) }
 
 type rolloutShow struct{}
 
--- a/config/change.go
+++ b/config/change.go
@@ -99,7 +99,7 @@
 		return d.reinstate(p, c)
 	case audit.StartRollout:
 		return d.startRollout(p, c)
-	case audit.StepRollout, audit.TripRollout, audit.HaltRoll:
+	case audit.StepRollout, audit.TripRollout, audit.HaltRollout:
 		return d.updateRollout(p, c)
 	case audit.RotateKeys:
 		n = d.withChange(c.ID).withSessionKey(c.Key)
@@ -234,7 +234,7 @@
 	switch a {
 	case audit.TripRollout:
 		return r.WithState(rollout.Tripped)
-	case audit.HaltRoll:
+	case audit.HaltRollout:
 		return r.WithState(rollout.Halted)
 	}
 	return r.WithNextStep()
