--- a/adapter/codec/records.go
+++ b/adapter/codec/records.go
@@ -31,7 +31,7 @@
 // in force; they are stored with the entry so that an older policy can be shown.
 func EncodeAudit(e audit.Entry, files map[string]string) ([]byte, error) {
 	b, err := json.Marshal(wireAudit{
-		Revision: e.Revision, ChangeID: e.ChangeID, Team: e.Team, Who: e.Who, At: e.At,
+		Revision: e.Revision, ChangeID: e.ChangeID, Team: e.Team, Who: e.Actor, At: e.At,
 		Action: string(e.Action), From: e.From, To: e.To, Why: e.Why, Files: files,
 	})
 	return b, errors.Wrap(err, "codec: encode audit entry")
@@ -44,7 +44,7 @@
 		return audit.Entry{}, nil, errors.Wrap(err, "codec: decode audit entry")
 	}
 	return audit.Entry{
-		Revision: w.Revision, ChangeID: w.ChangeID, Team: w.Team, Who: w.Who, At: w.At,
+		Revision: w.Revision, ChangeID: w.ChangeID, Team: w.Team, Actor: w.Who, At: w.At,
 		Action: audit.Action(w.Action), From: w.From, To: w.To, Why: w.Why,
 	}, w.Files, nil
 }
--- a/adapter/rpc/admin.go
+++ b/adapter/rpc/admin.go
@@ -288,7 +288,7 @@
 	w := &fieldvalev1.AuditResponse{}
 	for _, e := range l {
 		w.Entries = append(w.Entries, &fieldvalev1.AuditEntry{
-			Revision: e.Revision, ChangeId: e.ChangeID, Team: e.Team, Who: e.Who, At: e.At.UTC().Format(time.RFC3339),
+			Revision: e.Revision, ChangeId: e.ChangeID, Team: e.Team, Who: e.Actor, At: e.At.UTC().Format(time.RFC3339),
 			Action: string(e.Action), From: e.From, To: e.To, Why: e.Why,
 		})
 	}
--- a/audit/audit.go
+++ b/audit/audit.go
@@ -26,7 +26,7 @@
 	Revision uint64
 	ChangeID string
 	Team     string
-	Who      string
+	Actor      string
 	At       time.Time
 	Action   Action
 	From     string
--- a/control/configuration.go
+++ b/control/configuration.go
@@ -179,7 +179,7 @@
 // encoded as b, and adds an audit entry.
 func (n *Node) restore(ctx context.Context, p store.Pair, r uint64, d config.Document, b []byte) {
 	e := audit.Entry{
-		Revision: d.Revision, ChangeID: "restore", Who: "fieldvale/" + n.Self.ID, At: n.Clock(), Action: audit.Restore,
+		Revision: d.Revision, ChangeID: "restore", Actor: "fieldvale/" + n.Self.ID, At: n.Clock(), Action: audit.Restore,
 		From: revisionText(r), To: revisionText(d.Revision), Why: "the store held an older configuration than the instances",
 	}
 	a, err := codec.EncodeAudit(e, nil)
