--- a/adapter/codec/codec_test.go
+++ b/adapter/codec/codec_test.go
@@ -74,7 +74,7 @@
 	if x := cmp.Diff(l, o); err != nil || x != "" {
 		t.Errorf("ledger: got error %v, (-want +got):\n%s", err, x)
 	}
-	e := audit.Entry{Revision: 1, ChangeID: "c", Team: "t", Actor: "w", At: noon, Action: audit.Accept, From: "f", To: "t", Why: "y"}
+	e := audit.Entry{Revision: 1, ChangeID: "c", Team: "t", Actor: "w", At: noon, Action: audit.Accept, From: "f", To: "t", Reason: "y"}
 	b, _ = codec.EncodeAudit(e, map[string]string{"f": "x"})
 	a, f, err := codec.DecodeAudit(b)
 	if x := cmp.Diff(e, a); err != nil || x != "" || f["f"] != "x" {
--- a/adapter/codec/records.go
+++ b/adapter/codec/records.go
@@ -32,7 +32,7 @@
 func EncodeAudit(e audit.Entry, files map[string]string) ([]byte, error) {
 	b, err := json.Marshal(wireAudit{
 		Revision: e.Revision, ChangeID: e.ChangeID, Team: e.Team, Who: e.Actor, At: e.At,
-		Action: string(e.Action), From: e.From, To: e.To, Why: e.Why, Files: files,
+		Action: string(e.Action), From: e.From, To: e.To, Why: e.Reason, Files: files,
 	})
 	return b, errors.Wrap(err, "codec: encode audit entry")
 }
@@ -45,7 +45,7 @@
 	}
 	return audit.Entry{
 		Revision: w.Revision, ChangeID: w.ChangeID, Team: w.Team, Actor: w.Who, At: w.At,
-		Action: audit.Action(w.Action), From: w.From, To: w.To, Why: w.Why,
+		Action: audit.Action(w.Action), From: w.From, To: w.To, Reason: w.Why,
 	}, w.Files, nil
 }
 
--- a/adapter/rpc/admin.go
+++ b/adapter/rpc/admin.go
@@ -289,7 +289,7 @@
 	for _, e := range l {
 		w.Entries = append(w.Entries, &fieldvalev1.AuditEntry{
 			Revision: e.Revision, ChangeId: e.ChangeID, Team: e.Team, Who: e.Actor, At: e.At.UTC().Format(time.RFC3339),
-			Action: string(e.Action), From: e.From, To: e.To, Why: e.Why,
+			Action: string(e.Action), From: e.From, To: e.To, Why: e.Reason,
 		})
 	}
 	return w, nil
--- a/audit/audit.go
+++ b/audit/audit.go
@@ -31,5 +31,5 @@
 	Action   Action
 	From     string
 	To       string
-	Why      string
+	Reason      string
 }
--- a/config/change.go
+++ b/config/change.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return d, nil, errors.Wrapf(err, "%s for team %s", c.Action, c.Team)
 	}
-	e := &audit.Entry{Revision: n.Revision, ChangeID: c.ID, Team: c.Team, Actor: c.Who, At: c.At, Action: c.Action, From: f, To: t, Why: c.Why}
+	e := &audit.Entry{Revision: n.Revision, ChangeID: c.ID, Team: c.Team, Actor: c.Who, At: c.At, Action: c.Action, From: f, To: t, Reason: c.Why}
 	return n, e, nil
 }
 
--- a/control/change.go
+++ b/control/change.go
@@ -128,7 +128,7 @@
 	if err != nil || !ok {
 		return ChangeResult{}, false, err
 	}
-	n.log("config_changed", "revision", d.Revision, "team", e.Team, "who", e.Actor, "action", e.Action, "from", e.From, "to", e.To, "why", e.Why)
+	n.log("config_changed", "revision", d.Revision, "team", e.Team, "who", e.Actor, "action", e.Action, "from", e.From, "to", e.To, "why", e.Reason)
 	_, err = n.adopt(b, false)
 	return ChangeResult{Revision: d.Revision}, true, err
 }
--- a/control/configuration.go
+++ b/control/configuration.go
@@ -180,7 +180,7 @@
 func (n *Node) restore(ctx context.Context, p store.Pair, r uint64, d config.Document, b []byte) {
 	e := audit.Entry{
 		Revision: d.Revision, ChangeID: "restore", Actor: "fieldvale/" + n.Self.ID, At: n.Clock(), Action: audit.Restore,
-		From: revisionText(r), To: revisionText(d.Revision), Why: "the store held an older configuration than the instances",
+		From: revisionText(r), To: revisionText(d.Revision), Reason: "the store held an older configuration than the instances",
 	}
 	a, err := codec.EncodeAudit(e, nil)
 	if err != nil {
