--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -181,7 +181,7 @@
 		{"all limited, another has one", "a b c", "a b c", 1, "c", ""},
 		{"all limited, none has one", "a b c", "", 0, "", "a"},
 	} {
-		for _, q := range []prompt.Prompt{{}, {Model: "m", In: 10}} {
+		for _, q := range []prompt.Prompt{{}, {Model: "m", InputTokens: 10}} {
 			g := &quotaFake{grants: c.grants, limited: map[string]bool{}, resting: map[string]bool{}}
 			r, table, _, now := newBoundedRouter(g, firstPlacer{})
 			for _, x := range strings.Fields(c.limited) {
--- a/prompt/prompt.go
+++ b/prompt/prompt.go
@@ -7,8 +7,8 @@
 	// Model is the model that the client requested. With AnyModel, the router chooses
 	// one.
 	Model string
-	// In is the number of tokens of the prompt.
-	In int
+	// InputTokens is the number of tokens of the prompt.
+	InputTokens int
 	// MaxOut is the maximum number of tokens to generate.
 	MaxOut int
 	// Parts are the consecutive parts of the prompt. The last one belongs to the request
@@ -27,7 +27,7 @@
 const AnyModel = "*"
 
 // IsNone reports whether the request has no prompt.
-func (p Prompt) IsNone() bool { return p.Model == "" && p.In == 0 && len(p.Parts) == 0 }
+func (p Prompt) IsNone() bool { return p.Model == "" && p.InputTokens == 0 && len(p.Parts) == 0 }
 
 // Shared returns the parts that are shared with other requests, in order. A replica
 // caches a part only together with all parts before it, so the last shared part
