--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -195,10 +195,10 @@
 	q := &OpaqueRequest{ID: fmt.Sprint(i), Table: route.New(1, nil, nil, nil, route.Limits{}), Route: r, Header: http.Header{}, ArrivedAt: w.now, Deadline: w.now.Add(time.Hour), TimeoutAt: w.now.Add(time.Hour)}
 	switch rapid.IntRange(0, 2).Draw(w.t, "prompt") {
 	case 0:
-		q.Prompt = prompt.Prompt{Model: "m", InputTokens: 40, MaxOut: 10, Parts: []prompt.Part{{ID: "1", Tokens: 40}}}
+		q.Prompt = prompt.Prompt{Model: "m", InputTokens: 40, MaxOutputTokens: 10, Parts: []prompt.Part{{ID: "1", Tokens: 40}}}
 	case 1:
 		r.Models = []string{"small", "middle", "large"}
-		q.Prompt = prompt.Prompt{Model: prompt.AnyModel, InputTokens: 40, MaxOut: 10, Parts: []prompt.Part{{ID: "1", Tokens: 40}}}
+		q.Prompt = prompt.Prompt{Model: prompt.AnyModel, InputTokens: 40, MaxOutputTokens: 10, Parts: []prompt.Part{{ID: "1", Tokens: 40}}}
 	}
 	if rapid.Bool().Draw(w.t, "session") {
 		q.Session = "session"
--- a/prompt/prompt.go
+++ b/prompt/prompt.go
@@ -9,8 +9,8 @@
 	Model string
 	// InputTokens is the number of tokens of the prompt.
 	InputTokens int
-	// MaxOut is the maximum number of tokens to generate.
-	MaxOut int
+	// MaxOutputTokens is the maximum number of tokens to generate.
+	MaxOutputTokens int
 	// Parts are the consecutive parts of the prompt. The last one belongs to the request
 	// or its session; those before it are shared with other requests.
 	Parts []Part
