--- a/entry/assign.go
+++ b/entry/assign.go
@@ -39,7 +39,7 @@
 // assignIgnoringQuota chooses one of the replicas c without asking the quota. allowed are all
 // replicas that the release allows.
 func (w *forwarding) assignIgnoringQuota(ctx context.Context, allowed, c []*pool.Replica) *assignment {
-	if w.q.Prompt.IsNone() {
+	if w.q.Prompt.IsZero() {
 		return w.assignLocally(c, "", 1)
 	}
 	e := w.estimatePrompt()
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -85,7 +85,7 @@
 func (w *forwarding) withPossiblePermit(bounded []*pool.Replica) []*pool.Replica {
 	now := w.r.clock()
 	return slices.DeleteFunc(slices.Clone(bounded), func(r *pool.Replica) bool {
-		return w.r.quota.IsExhausted(r.ID) || w.q.Prompt.IsNone() && w.r.quota.Bound(r.ID, w.coldPerSecond(), r.IsCold(now)).ColdPerSecond > 0
+		return w.r.quota.IsExhausted(r.ID) || w.q.Prompt.IsZero() && w.r.quota.Bound(r.ID, w.coldPerSecond(), r.IsCold(now)).ColdPerSecond > 0
 	})
 }
 
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -203,7 +203,7 @@
 			for _, x := range w.result.Skipped {
 				skipped += x.Replica
 			}
-			if q.IsNone() && (got != c.want || skipped != c.skipped) {
+			if q.IsZero() && (got != c.want || skipped != c.skipped) {
 				t.Errorf("%s: sent to %q, skipped %q, want %q and %q", c.name, got, skipped, c.want, c.skipped)
 			}
 			if (got == "") != (c.want == "") {
--- a/prompt/prompt.go
+++ b/prompt/prompt.go
@@ -26,8 +26,8 @@
 // AnyModel is the model of a prompt for which the router chooses the model.
 const AnyModel = "*"
 
-// IsNone reports whether the request has no prompt.
-func (p Prompt) IsNone() bool { return p.Model == "" && p.InputTokens == 0 && len(p.Parts) == 0 }
+// IsZero reports whether the request has no prompt.
+func (p Prompt) IsZero() bool { return p.Model == "" && p.InputTokens == 0 && len(p.Parts) == 0 }
 
 // Shared returns the parts that are shared with other requests, in order. A replica
 // caches a part only together with all parts before it, so the last shared part
