--- a/entry/estimate.go
+++ b/entry/estimate.go
@@ -20,7 +20,7 @@
 	p := w.q.Prompt
 	s := w.r.prefillTimes.MsPerToken(w.prefillKey(), max(0, w.modelIndex))
 	e := promptEstimate{unsharedMs: float64(p.InputTokens-p.SharedTokens()) * s, msPerToken: s}
-	for _, x := range p.Shared() {
+	for _, x := range p.SharedParts() {
 		e.affinityKey = w.modelName() + "/" + x.ID
 		e.shared = append(e.shared, placement.PrefixPart{Key: e.affinityKey, PrefillMs: float64(x.Tokens) * s, ReprefillPenaltyMs: reprefillPenaltyMs(x.Tokens, s)})
 	}
--- a/prompt/prompt.go
+++ b/prompt/prompt.go
@@ -29,17 +29,17 @@
 // IsZero reports whether the request has no prompt.
 func (p Prompt) IsZero() bool { return p.Model == "" && p.InputTokens == 0 && len(p.Parts) == 0 }
 
-// Shared returns the parts that are shared with other requests, in order. A replica
+// SharedParts returns the parts that are shared with other requests, in order. A replica
 // caches a part only together with all parts before it, so the last shared part
 // identifies the whole shared prefix.
-func (p Prompt) Shared() []Part {
+func (p Prompt) SharedParts() []Part {
 	return p.Parts[:max(0, len(p.Parts)-1)]
 }
 
 // SharedTokens returns the number of tokens of the shared parts.
 func (p Prompt) SharedTokens() int {
 	n := 0
-	for _, x := range p.Shared() {
+	for _, x := range p.SharedParts() {
 		n += x.Tokens
 	}
 	return n
