--- a/control/claims.go
+++ b/control/claims.go
@@ -46,14 +46,14 @@
 // not run under this claim.
 func (n *Node) Claim(ctx context.Context, c claim.Claim) (claim.Verdict, claim.Claim, error) {
 	j := queuedClaim{claim: c, reply: make(chan claimResult, 1)}
-	if !n.claims.Offer(j) {
+	if !n.claims.TryPut(j) {
 		return claim.MayHaveRun, c, ErrBusy
 	}
 	select {
 	case r := <-j.reply:
 		return r.verdict, r.found, r.err
 	case <-ctx.Done():
-		n.abandons.Offer(abandonedClaim{c})
+		n.abandons.TryPut(abandonedClaim{c})
 		return claim.MayHaveRun, c, errors.Wrap(ctx.Err(), "control.Claim")
 	}
 }
@@ -136,7 +136,7 @@
 func (n *Node) failBatch(j []queuedClaim, err error) {
 	n.log("claims_failed", "claims", len(j), "error", err)
 	for _, y := range j {
-		n.abandons.Offer(abandonedClaim{y.claim})
+		n.abandons.TryPut(abandonedClaim{y.claim})
 		y.reply <- claimResult{verdict: claim.MayHaveRun, err: err}
 	}
 }
@@ -145,7 +145,7 @@
 // under its key, and takes over an earlier claim that was freed.
 func (n *Node) resolveClaim(ctx context.Context, c claim.Claim, p store.Pair) claimResult {
 	if p.Version == 0 {
-		n.abandons.Offer(abandonedClaim{c})
+		n.abandons.TryPut(abandonedClaim{c})
 		return claimResult{verdict: claim.MayHaveRun, err: errors.Wrapf(store.ErrUnknown, "claim %s is not in the store yet", claimKey(c))}
 	}
 	f, err := codec.DecodeClaim(p.Value)
@@ -170,7 +170,7 @@
 	defer cancel()
 	ok, err := n.Store.Commit(x, []store.Guard{{Key: p.Key, Version: p.Version}}, []store.Write{w})
 	if err != nil {
-		n.abandons.Offer(abandonedClaim{c})
+		n.abandons.TryPut(abandonedClaim{c})
 		return claimResult{verdict: claim.MayHaveRun, err: err}
 	}
 	if !ok {
@@ -225,7 +225,7 @@
 			continue
 		}
 		n.sleep(ctx, freeRetryDelay)
-		n.abandons.Offer(a)
+		n.abandons.TryPut(a)
 	}
 }
 
--- a/control/membership.go
+++ b/control/membership.go
@@ -201,7 +201,7 @@
 
 // triggerExchange starts the next round of exchanges at once instead of at the next
 // interval.
-func (n *Node) triggerExchange() { n.exchangeNow.Offer(struct{}{}) }
+func (n *Node) triggerExchange() { n.exchangeNow.TryPut(struct{}{}) }
 
 // exchangeRounds exchanges items with the partners at every interval, and at once
 // after an urgent change, until ctx ends.
@@ -292,7 +292,7 @@
 	newer := revision > n.doc.Revision
 	n.mu.Unlock()
 	if newer && from.Addr != "" {
-		n.fetches.Offer(from)
+		n.fetches.TryPut(from)
 	}
 	if !changed {
 		return
--- a/entry/evidence.go
+++ b/entry/evidence.go
@@ -61,7 +61,7 @@
 // queueRating queues an answer for rating after it was delivered. If the queue is full it counts
 // as good, like an unrated answer.
 func (e *evidence) queueRating(v version.ID, request, answer []byte) {
-	if !e.queue.Offer(ratingJob{v, request, answer}) {
+	if !e.queue.TryPut(ratingJob{v, request, answer}) {
 		e.good(v)
 	}
 }
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -15,8 +15,8 @@
 	return &Ring[T]{c: make(chan T, n)}
 }
 
-// Offer adds x if there is room and reports whether it did. It does not wait.
-func (r *Ring[T]) Offer(x T) bool {
+// TryPut adds x if there is room and reports whether it did. It does not wait.
+func (r *Ring[T]) TryPut(x T) bool {
 	select {
 	case r.c <- x:
 		return true
