--- a/adapter/caller/chat.go
+++ b/adapter/caller/chat.go
@@ -96,7 +96,7 @@
 type pipe struct {
 	// result receives what the router reports before the first chunk.
 	result chan entry.Result
-	chunks *ring.Ring[[]byte]
+	chunks *ring.Queue[[]byte]
 	// ctx is done once the caller has closed the connection or the response has ended.
 	ctx context.Context
 	// done receives the stream's final error or nil.
--- a/control/node.go
+++ b/control/node.go
@@ -138,10 +138,10 @@
 	// pooled outcomes belong.
 	pooledRollouts map[version.ID]string
 
-	claims      *ring.Ring[queuedClaim]
-	abandons    *ring.Ring[abandonedClaim]
-	fetches     *ring.Ring[peer.Member]
-	exchangeNow *ring.Ring[struct{}]
+	claims      *ring.Queue[queuedClaim]
+	abandons    *ring.Queue[abandonedClaim]
+	fetches     *ring.Queue[peer.Member]
+	exchangeNow *ring.Queue[struct{}]
 	stopping    bool
 	// readyBy is when the node counts as ready even if it has not read the list
 	// and the loads or reached a peer.
--- a/entry/evidence.go
+++ b/entry/evidence.go
@@ -25,7 +25,7 @@
 	mu       sync.Mutex
 	outcomes map[version.ID]rollout.Outcomes
 	rater    Rater
-	queue    *ring.Ring[ratingJob]
+	queue    *ring.Queue[ratingJob]
 }
 
 type ratingJob struct {
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -5,18 +5,18 @@
 
 import "context"
 
-// Ring is a bounded FIFO queue between goroutines.
-type Ring[T any] struct {
+// Queue is a bounded FIFO queue between goroutines.
+type Queue[T any] struct {
 	c chan T
 }
 
 // New returns a queue with room for n items.
-func New[T any](n int) *Ring[T] {
-	return &Ring[T]{c: make(chan T, n)}
+func New[T any](n int) *Queue[T] {
+	return &Queue[T]{c: make(chan T, n)}
 }
 
 // TryPut adds x if there is room and reports whether it did. It does not wait.
-func (r *Ring[T]) TryPut(x T) bool {
+func (r *Queue[T]) TryPut(x T) bool {
 	select {
 	case r.c <- x:
 		return true
@@ -26,7 +26,7 @@
 }
 
 // Put waits for room and adds x. It returns false if ctx is done first.
-func (r *Ring[T]) Put(ctx context.Context, x T) bool {
+func (r *Queue[T]) Put(ctx context.Context, x T) bool {
 	select {
 	case r.c <- x:
 		return true
@@ -36,7 +36,7 @@
 }
 
 // Take waits for an item and removes it. It returns an error only if ctx is done first.
-func (r *Ring[T]) Take(ctx context.Context) (T, error) {
+func (r *Queue[T]) Take(ctx context.Context) (T, error) {
 	select {
 	case x := <-r.c:
 		return x, nil
@@ -47,7 +47,7 @@
 }
 
 // Drain removes and returns at most n of the queued items without waiting.
-func (r *Ring[T]) Drain(n int) []T {
+func (r *Queue[T]) Drain(n int) []T {
 	var d []T
 	for len(d) < n {
 		select {
@@ -61,7 +61,7 @@
 }
 
 // Len returns the number of queued items.
-func (r *Ring[T]) Len() int { return len(r.c) }
+func (r *Queue[T]) Len() int { return len(r.c) }
 
 // Chan returns the channel of the queue, for receiving in a select statement.
-func (r *Ring[T]) Chan() <-chan T { return r.c }
+func (r *Queue[T]) Chan() <-chan T { return r.c }
