--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -14,7 +14,7 @@
 
 func secondsLater(s float64) time.Time { return noon.Add(time.Duration(s * float64(time.Second))) }
 
-func ExampleTenure() {
+func ExampleState() {
 	t := duty.New("a")
 	t.RecordVacancy(noon)
 	fmt.Println("the first rank claims the duty immediately, the third rank later:", t.ShouldClaim(0, noon), t.ShouldClaim(2, noon), t.ShouldClaim(2, secondsLater(1)))
