--- a/session/example_test.go
+++ b/session/example_test.go
@@ -8,7 +8,7 @@
 	"fieldvale/version"
 )
 
-func ExampleRing() {
+func ExampleKeyRing() {
 	r := session.NewKeyRing(session.Key{ID: "k1", Secret: []byte("secret")})
 	t := r.Issue(session.New("doc-7", "skye-strings", time.Unix(2000, 0)).WithPin(version.New("lingua", "3")))
 	s, err := r.Verify(t, time.Unix(1000, 0))
