--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func ExampleDue() {
+func ExampleDueWindows() {
 	for _, s := range []int{0, 2, 3, 7, 9} {
 		fmt.Println(s, usage.DueWindows(start.Add(time.Duration(s)*time.Second), length, 10*time.Second))
 	}
