--- a/entry/distance.go
+++ b/entry/distance.go
@@ -29,7 +29,7 @@
 )
 
 // answerSizes averages the sizes of answers by route, in kB.
-type answerSizes struct{ means *means.Means }
+type answerSizes struct{ means *means.RunningMeans }
 
 func newAnswerSizes() *answerSizes { return &answerSizes{means: means.New(answerSizeWeight)} }
 
--- a/entry/gains.go
+++ b/entry/gains.go
@@ -35,7 +35,7 @@
 
 // confidenceGains averages, by model, how much its confidence exceeds that of the next smaller
 // model for the same request. The gain estimates how much more the model can do.
-type confidenceGains struct{ means *means.Means }
+type confidenceGains struct{ means *means.RunningMeans }
 
 func newConfidenceGains() *confidenceGains {
 	return &confidenceGains{means: means.NewFastStart(gainWeight, gainPriorWeight)}
--- a/means/means.go
+++ b/means/means.go
@@ -3,9 +3,9 @@
 
 import "sync"
 
-// Means holds exponentially weighted means of one quantity by key. It is safe for
+// RunningMeans holds exponentially weighted means of one quantity by key. It is safe for
 // concurrent use.
-type Means struct {
+type RunningMeans struct {
 	mu sync.Mutex
 	// weight is the weight of a new value in the mean, from 0 to 1.
 	weight float64
@@ -23,17 +23,17 @@
 }
 
 // New returns an empty set of means; weight is the weight of a new value, from 0 to 1.
-func New(weight float64) *Means { return &Means{weight: weight, byKey: map[string]mean{}} }
+func New(weight float64) *RunningMeans { return &RunningMeans{weight: weight, byKey: map[string]mean{}} }
 
 // NewFastStart returns an empty set of means that adapt faster to their first values. With
 // few observations, a mean of constant weight stays close to its initial value for too
 // long.
-func NewFastStart(weight, prior float64) *Means {
-	return &Means{weight: weight, prior: prior, byKey: map[string]mean{}}
+func NewFastStart(weight, prior float64) *RunningMeans {
+	return &RunningMeans{weight: weight, prior: prior, byKey: map[string]mean{}}
 }
 
 // Get returns the mean of the key. The first use of a key sets its mean to initial.
-func (m *Means) Get(key string, initial float64) float64 {
+func (m *RunningMeans) Get(key string, initial float64) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.getOrCreate(key, initial).value
@@ -41,7 +41,7 @@
 
 // Update adds a value to the mean of the key. The function value computes it from the
 // current mean.
-func (m *Means) Update(key string, initial float64, value func(mean float64) float64) {
+func (m *RunningMeans) Update(key string, initial float64, value func(mean float64) float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	v := m.getOrCreate(key, initial)
@@ -52,7 +52,7 @@
 	m.byKey[key] = mean{value: v.value + w*(value(v.value)-v.value), n: v.n + 1}
 }
 
-func (m *Means) getOrCreate(key string, initial float64) mean {
+func (m *RunningMeans) getOrCreate(key string, initial float64) mean {
 	v, ok := m.byKey[key]
 	if !ok {
 		v = mean{value: initial}
--- a/timing/firstevent.go
+++ b/timing/firstevent.go
@@ -22,7 +22,7 @@
 // FirstEventDelays learns, by service, the ratio of the time to the first event of an answer
 // to the estimate of the prefill work until then. Events are later than the estimate because
 // replicas generate tokens of other streams in between.
-type FirstEventDelays struct{ m *means.Means }
+type FirstEventDelays struct{ m *means.RunningMeans }
 
 // NewFirstEventDelays returns delays without observations.
 func NewFirstEventDelays() *FirstEventDelays { return &FirstEventDelays{m: means.New(delayWeight)} }
--- a/timing/prefill.go
+++ b/timing/prefill.go
@@ -20,7 +20,7 @@
 )
 
 // PrefillTimes learns the prefill time of a token on each model, in milliseconds.
-type PrefillTimes struct{ m *means.Means }
+type PrefillTimes struct{ m *means.RunningMeans }
 
 // NewPrefillTimes returns prefill times without observations.
 func NewPrefillTimes() *PrefillTimes { return &PrefillTimes{m: means.New(prefillWeight)} }
--- a/timing/slots.go
+++ b/timing/slots.go
@@ -18,7 +18,7 @@
 
 // SlotTimes learns how long requests hold their slots after prefill, by kind of request.
 // Answers that are dropped at once count as well.
-type SlotTimes struct{ m *means.Means }
+type SlotTimes struct{ m *means.RunningMeans }
 
 // NewSlotTimes returns slot times without observations.
 func NewSlotTimes() *SlotTimes { return &SlotTimes{m: means.New(slotWeight)} }
