--- a/adapter/platform/platform.go
+++ b/adapter/platform/platform.go
@@ -82,7 +82,7 @@
 	Running  int
 	Waiting  int
 	Slots    int
-	Draining  bool
+	Draining bool
 	Versions []version.ID
 }
 
--- a/adapter/rpc/peer.go
+++ b/adapter/rpc/peer.go
@@ -63,7 +63,7 @@
 }
 
 var (
-	_ control.PeerClient = (*Peers)(nil)
+	_ control.PeerClient  = (*Peers)(nil)
 	_ biller.HolderClient = (*Peers)(nil)
 )
 
--- a/adapter/settings/control.go
+++ b/adapter/settings/control.go
@@ -23,13 +23,13 @@
 	// AdminListen is the listen address of the administration API.
 	AdminListen string
 	// MetricsListen is the listen address for metrics.
-	MetricsListen  string
-	FleetKey string
+	MetricsListen string
+	FleetKey      string
 	// StoreAddr is the address of the store.
 	StoreAddr string
 	// ListAddr is the address of the platform's list of replicas and instances.
 	ListAddr string
-	TLS  TLS
+	TLS      TLS
 	// Level is the least severe level that is logged.
 	Level  string
 	Admins []rpc.Admin
@@ -116,16 +116,16 @@
 func readTimes(s *inifile.Section) control.Times {
 	d := control.DefaultTimes()
 	return control.Times{
-		Exchange:    s.Duration("exchange", d.Exchange),
+		Exchange:         s.Duration("exchange", d.Exchange),
 		Heartbeat:        s.Duration("beat", d.Heartbeat),
 		HeartbeatPerItem: s.Duration("beat_per_peer", d.HeartbeatPerItem),
-		List:        s.Duration("list", d.List),
-		Load:        s.Duration("load", d.Load),
-		Poll:        s.Duration("poll", d.Poll),
-		Flush:       s.Duration("flush", d.Flush),
+		List:             s.Duration("list", d.List),
+		Load:             s.Duration("load", d.Load),
+		Poll:             s.Duration("poll", d.Poll),
+		Flush:            s.Duration("flush", d.Flush),
 		OrphanDelay:      s.Duration("orphan", d.OrphanDelay),
 		TakeoverDelay:    s.Duration("takeover", d.TakeoverDelay),
-		CallTimeout:        s.Duration("call", d.CallTimeout),
+		CallTimeout:      s.Duration("call", d.CallTimeout),
 	}
 }
 
--- a/adapter/settings/entry.go
+++ b/adapter/settings/entry.go
@@ -15,11 +15,11 @@
 	// MetricsListen is the listen address for metrics.
 	MetricsListen string
 	// ControlAddr is the address of the control process on the same host.
-	ControlAddr  string
-	FleetKey string
+	ControlAddr string
+	FleetKey    string
 	// RatingAddr is the address of the platform's service that rates answers.
 	RatingAddr string
-	TLS    TLS
+	TLS        TLS
 	// Level is the least severe level that is logged.
 	Level string
 	// Sync is the interval between syncs with the control process.
--- a/audit/audit.go
+++ b/audit/audit.go
@@ -9,15 +9,15 @@
 
 // The actions that are recorded.
 const (
-	Accept     Action = "accept"
-	Withdraw   Action = "withdraw"
-	Reinstate  Action = "reinstate"
-	StartRollout  Action = "rollout-start"
-	StepRollout   Action = "rollout-step"
-	TripRollout   Action = "rollout-trip"
-	HaltRollout   Action = "rollout-halt"
-	RotateKeys Action = "keys-rotate"
-	Restore    Action = "restore"
+	Accept       Action = "accept"
+	Withdraw     Action = "withdraw"
+	Reinstate    Action = "reinstate"
+	StartRollout Action = "rollout-start"
+	StepRollout  Action = "rollout-step"
+	TripRollout  Action = "rollout-trip"
+	HaltRollout  Action = "rollout-halt"
+	RotateKeys   Action = "keys-rotate"
+	Restore      Action = "restore"
 )
 
 // Entry records one change: who made it and when, the old and the new value, and the
@@ -26,10 +26,10 @@
 	Revision uint64
 	ChangeID string
 	Team     string
-	Actor      string
+	Actor    string
 	At       time.Time
 	Action   Action
 	From     string
 	To       string
-	Reason      string
+	Reason   string
 }
--- a/bill/bill.go
+++ b/bill/bill.go
@@ -63,7 +63,7 @@
 	SettledUpto uint64
 	// SettledAbove holds the settled numbers beyond that.
 	SettledAbove map[uint64]bool
-	Sums  map[Line]Amount
+	Sums         map[Line]Amount
 	// Changes grows with each change by the owner and so orders the ledgers of
 	// one owner.
 	Changes uint64
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -24,7 +24,7 @@
 // Reading is a reading of the monotonic clock and of the wall clock at the same instant.
 type Reading struct {
 	Monotonic time.Duration
-	Wall   time.Duration
+	Wall      time.Duration
 }
 
 // Sources are the system clocks that a clock reads. Boot returns the time since the
--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -130,10 +130,10 @@
 // wireUsage is the message in which an instance reports all its counts of requests since
 // its start, and the number of its requests in progress by service.
 type wireUsage struct {
-	From        string         `json:"from"`
-	Incarnation uint64         `json:"life"`
-	Windows     usage.CountsByWindow  `json:"windows"`
-	Running     map[string]int `json:"running"`
+	From        string               `json:"from"`
+	Incarnation uint64               `json:"life"`
+	Windows     usage.CountsByWindow `json:"windows"`
+	Running     map[string]int       `json:"running"`
 }
 
 // sendUsage sends this instance's counts and load to the holder of the duty and to the
--- a/config/change.go
+++ b/config/change.go
@@ -32,10 +32,10 @@
 	Key session.Key
 	// BaseRevision is the revision of the team's part that the submitted policy is based
 	// on.
-	BaseRevision    uint64
-	Source  policy.Source
-	Version version.ID
-	Rollout rollout.Rollout
+	BaseRevision uint64
+	Source       policy.Source
+	Version      version.ID
+	Rollout      rollout.Rollout
 }
 
 // AnyBase as the base of an accept action skips the check for conflicts.
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -41,9 +41,9 @@
 	v := version.New("m", rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "version"))
 	c := Change{
 		ID: fmt.Sprint("id", rapid.IntRange(0, 40).Draw(t, "id")), Team: "t", Who: "op", At: now, Version: v,
-		Action: rapid.SampledFrom([]audit.Action{audit.Accept, audit.Withdraw, audit.Reinstate, audit.StartRollout, audit.StepRollout, audit.TripRollout, audit.HaltRollout, audit.RotateKeys}).Draw(t, "action"),
-		BaseRevision:   rapid.SampledFrom([]uint64{AnyBase, d.Part("t").Revision, 0, 1}).Draw(t, "base"),
-		Source: source("t", "m"), Key: session.NewKey(),
+		Action:       rapid.SampledFrom([]audit.Action{audit.Accept, audit.Withdraw, audit.Reinstate, audit.StartRollout, audit.StepRollout, audit.TripRollout, audit.HaltRollout, audit.RotateKeys}).Draw(t, "action"),
+		BaseRevision: rapid.SampledFrom([]uint64{AnyBase, d.Part("t").Revision, 0, 1}).Draw(t, "base"),
+		Source:       source("t", "m"), Key: session.NewKey(),
 	}
 	c.Rollout, _ = rollout.New(version.New("m", "1"), v, []int{100, rollout.FullShare}, now, time.Second)
 	if o, ok := d.Part("t").Rollout("m"); ok && rapid.Bool().Draw(t, "current") {
--- a/config/document.go
+++ b/config/document.go
@@ -43,9 +43,9 @@
 	Source   policy.Source
 	// ActiveVersions holds, by model, the target version of the last completed
 	// roll-out.
-	ActiveVersions    map[string]version.ID
-	Withdrawn []version.ID
-	Rollouts  []rollout.Rollout
+	ActiveVersions map[string]version.ID
+	Withdrawn      []version.ID
+	Rollouts       []rollout.Rollout
 }
 
 // IsOlderThan reports whether o has a higher revision than d, so that an
--- a/control/node.go
+++ b/control/node.go
@@ -169,7 +169,7 @@
 // first heartbeat in the peer table.
 func New(p Options) *Node {
 	n := &Node{
-		Options:          p,
+		Options:        p,
 		doc:            config.Document{},
 		table:          peer.NewTable(),
 		cursors:        map[string]peer.Cursor{},
--- a/control/sync.go
+++ b/control/sync.go
@@ -20,11 +20,11 @@
 	View uint64
 	// ControlIncarnation is the control incarnation that sent that view.
 	ControlIncarnation string
-	Ledger  bill.Ledger
+	Ledger             bill.Ledger
 	// LastUnheldSeq is the number of the entry's last counted bill record that no
 	// other instance holds.
 	LastUnheldSeq uint64
-	Evidence  map[version.ID]rollout.Outcomes
+	Evidence      map[version.ID]rollout.Outcomes
 	// InFlight is the number of the entry's requests in flight by replica.
 	InFlight map[string]int
 	// Stopping reports that the entry takes no new requests and finishes those
@@ -41,7 +41,7 @@
 	Document []byte
 	View     uint64
 	// HasView reports that Replicas, Members, Tripped and StoreOK are set.
-	HasView    bool
+	HasView  bool
 	Replicas []pool.Replica
 	Members  []peer.Member
 	Tripped  []version.ID
--- a/means/means.go
+++ b/means/means.go
@@ -23,7 +23,9 @@
 }
 
 // New returns an empty set of means; weight is the weight of a new value, from 0 to 1.
-func New(weight float64) *RunningMeans { return &RunningMeans{weight: weight, byKey: map[string]mean{}} }
+func New(weight float64) *RunningMeans {
+	return &RunningMeans{weight: weight, byKey: map[string]mean{}}
+}
 
 // NewFastStart returns an empty set of means that adapt faster to their first values. With
 // few observations, a mean of constant weight stays close to its initial value for too
--- a/measure/cascade.go
+++ b/measure/cascade.go
@@ -54,7 +54,9 @@
 func Cascade(r *Report, seed uint64) {
 	const requests = 40_000
 	learner := cascade.NewLearner()
-	key := func(t taskProfile) cascade.StepKey { return cascade.StepKey{Task: t.name, Size: policy.Small, Model: "cheap"} }
+	key := func(t taskProfile) cascade.StepKey {
+		return cascade.StepKey{Task: t.name, Size: policy.Small, Model: "cheap"}
+	}
 	rules := []cascadeRule{
 		{"always-strong", func(taskProfile) bool { return false }, false, nil},
 		{"always-cheap", func(taskProfile) bool { return true }, false, nil},
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -103,7 +103,9 @@
 	f *fleet
 }
 
-func (p fleetPlatform) Instances(context.Context) (platform.InstanceList, error) { return *p.f.list, nil }
+func (p fleetPlatform) Instances(context.Context) (platform.InstanceList, error) {
+	return *p.f.list, nil
+}
 
 // Load returns the engine's load, marked as leaving if the engine is the one in
 // drainingID.
--- a/route/table.go
+++ b/route/table.go
@@ -35,7 +35,7 @@
 	// request rate that it can handle during that time; both are 0 for services
 	// whose replicas handle the full rate from the start. ColdPeriod is a duration
 	// rather than a point in time because it applies to future starts.
-	ColdPeriod       time.Duration
+	ColdPeriod    time.Duration
 	ColdPerSecond float64
 	// Scaling bounds the replica counts that may be ordered from the platform; nil if
 	// the platform does not start and stop replicas of the service on request.
@@ -78,10 +78,10 @@
 
 // Limits bounds a client's requests and connections. A zero field sets no limit.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderTimeout  time.Duration
-	IdleTimeout        time.Duration
+	HeaderBytes   int
+	BodyBytes     int64
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // New returns a table. keys maps each API key to its customer; with nil, requests
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -63,13 +63,13 @@
 	failPart, _ := strconv.ParseFloat(string(a.Peek("fail_part")), 64)
 	delay, _ := time.ParseDuration(string(a.Peek("slow")))
 	i.Put(Set{
-		Down:        a.GetBool("down"),
-		Slow:        delay,
+		Down:          a.GetBool("down"),
+		Slow:          delay,
 		DropResponses: a.GetBool("drop_answers"),
-		Limited:     a.GetBool("limited"),
-		Bad:         a.GetBool("bad"),
-		TruncateAfter:    cutAfter,
-		FailFraction:    failPart,
+		Limited:       a.GetBool("limited"),
+		Bad:           a.GetBool("bad"),
+		TruncateAfter: cutAfter,
+		FailFraction:  failPart,
 	})
 }
 
--- a/standin/list/list.go
+++ b/standin/list/list.go
@@ -15,14 +15,14 @@
 
 // Instance is one entry of the list: an instance or a backend server.
 type Instance struct {
-	ID          string `json:"id"`
-	Addr        string `json:"addr"`
-	DataCentre  string `json:"data_centre"`
-	Kind        string `json:"kind"`
-	Service     string `json:"service,omitempty"`
-	Slots       int    `json:"slots,omitempty"`
+	ID                 string `json:"id"`
+	Addr               string `json:"addr"`
+	DataCentre         string `json:"data_centre"`
+	Kind               string `json:"kind"`
+	Service            string `json:"service,omitempty"`
+	Slots              int    `json:"slots,omitempty"`
 	ChecksFencingToken bool   `json:"checks_fence,omitempty"`
-	Draining    bool   `json:"leaving,omitempty"`
+	Draining           bool   `json:"leaving,omitempty"`
 }
 
 // List is a fake instance list. It is safe for concurrent use.
