--- a/adapter/backend/backend_test.go
+++ b/adapter/backend/backend_test.go
@@ -26,8 +26,8 @@
 var small = version.New("small", "1")
 
 func newEngine(t *testing.T) (*engine.Engine, *pool.Replica) {
-	e := engine.New(engine.Settings{ID: "e", Slots: 2, Queue: 2, Models: map[string]engine.Model{"small@1": {Quality: 0.9}}})
-	l, err := serve.On("127.0.0.1:0", e.Handle)
+	e := engine.New(engine.Settings{ID: "e", Slots: 2, QueueSize: 2, Models: map[string]engine.Model{"small@1": {Quality: 0.9}}})
+	l, err := serve.Listen("127.0.0.1:0", e.Handle)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,10 +74,10 @@
 	}{
 		{"response to another request", fault.Set{Bad: true}, "small", outcome.Unknown, "answer", false},
 		{"stream of another request", fault.Set{Bad: true}, "small", outcome.Unknown, "answer", true},
-		{"cut stream", fault.Set{CutAfter: 2}, "small", outcome.Unknown, "stream", true},
-		{"server error", fault.Set{FailPart: 1}, "small", outcome.Unknown, "answer", false},
+		{"cut stream", fault.Set{TruncateAfter: 2}, "small", outcome.Unknown, "stream", true},
+		{"server error", fault.Set{FailFraction: 1}, "small", outcome.Unknown, "answer", false},
 		{"no response", fault.Set{Down: true}, "small", outcome.Unknown, "read", false},
-		{"lost response", fault.Set{DropAnswers: true}, "small", outcome.Unknown, "read", false},
+		{"lost response", fault.Set{DropResponses: true}, "small", outcome.Unknown, "read", false},
 		{"model not loaded", fault.Set{}, "large", outcome.NotRun, "refusal", false},
 		{"model not loaded, stream", fault.Set{}, "large", outcome.NotRun, "refusal", true},
 	} {
@@ -111,13 +111,13 @@
 		"another id":       `data: {"id":"id-2","model":"small@1","choices":[{"delta":{},"finish_reason":"stop"}]}` + "\n\ndata: [DONE]\n\n",
 		"invalid JSON":     "data: {\n\ndata: [DONE]\n\n",
 	} {
-		l, err := serve.On("127.0.0.1:0", respondWith(body))
+		l, err := serve.Listen("127.0.0.1:0", respondWith(body))
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(l.Close)
 		_, err = backend.NewEngines(httpconn.New()).Stream(context.Background(), &pool.Replica{ID: "e", Addr: l.Addr}, attempt(0), func([]byte) error { return nil })
-		if err == nil || outcome.Of(err) != outcome.Unknown {
+		if err == nil || outcome.KindOf(err) != outcome.Unknown {
 			t.Errorf("%s: got error %v, want outcome Unknown", name, err)
 		}
 	}
@@ -127,7 +127,7 @@
 // and a service's own status 429 must reach the caller.
 func TestServiceCalls(t *testing.T) {
 	s := service.New(0, false)
-	l, err := serve.On("127.0.0.1:0", s.Handle)
+	l, err := serve.Listen("127.0.0.1:0", s.Handle)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,8 +139,8 @@
 	if err != nil || !strings.Contains(string(a.Body), "rye") || s.Runs()["confirm/k1"] != 1 {
 		t.Fatalf("got body %s, error %v and runs %v, want a body with rye, no error and one run of confirm/k1", a.Body, err, s.Runs())
 	}
-	s.Faults.Put(fault.Set{DropAnswers: true})
-	if _, err := c.Call(t.Context(), r, k); outcome.Of(err) != outcome.Unknown {
+	s.Faults.Put(fault.Set{DropResponses: true})
+	if _, err := c.Call(t.Context(), r, k); outcome.KindOf(err) != outcome.Unknown {
 		t.Errorf("lost response: got error %v, want outcome Unknown", err)
 	}
 	s.Faults.Put(fault.Set{Limited: true})
@@ -184,7 +184,7 @@
 		{"response to another request", "id-9", "2", "", 200, false},
 		{"not a number", "id-1", "many", "s unreadable", 200, false},
 	} {
-		l, err := serve.On("127.0.0.1:0", func(x *fasthttp.RequestCtx) {
+		l, err := serve.Listen("127.0.0.1:0", func(x *fasthttp.RequestCtx) {
 			x.Response.Header.Set("X-Request-Id", c.id)
 			if c.limit != "" {
 				x.Response.Header.Set(backend.HeaderLimit, c.limit)
@@ -244,7 +244,7 @@
 		{"unreadable", "id-1", "soon", "later", "s X-Leaving unreadable,s Retry-After unreadable,s false 0s true", 503, true},
 		{"response to another request", "id-9", "true", "", "", 200, false},
 	} {
-		l, err := serve.On("127.0.0.1:0", func(x *fasthttp.RequestCtx) {
+		l, err := serve.Listen("127.0.0.1:0", func(x *fasthttp.RequestCtx) {
 			x.Response.Header.Set("X-Request-Id", c.id)
 			if c.draining != "" {
 				x.Response.Header.Set(backend.HeaderDraining, c.draining)
--- a/adapter/caller/caller_test.go
+++ b/adapter/caller/caller_test.go
@@ -50,12 +50,12 @@
 	if b, err := codec.EncodeDocument(d); err != nil || len(b) == 0 {
 		t.Fatal(err)
 	}
-	a, e := config.Activate(d)
+	a, e := config.Compile(d)
 	if len(e) > 0 {
 		t.Fatal(e)
 	}
 	m := map[string]engine.Model{"lingua-small@1": {Quality: 0.9}, "lingua-large@1": {Quality: 0.95}}
-	x := engine.New(engine.Settings{ID: "e", Slots: 4, Queue: 4, Models: m})
+	x := engine.New(engine.Settings{ID: "e", Slots: 4, QueueSize: 4, Models: m})
 	l := listen(t, x.Handle)
 	r := listen(t, rating.New(0).Handle)
 	v := entry.NewCurrentView()
@@ -75,7 +75,7 @@
 
 // listen serves h on a local port until the test ends.
 func listen(t testing.TB, h fasthttp.RequestHandler) *serve.Listener {
-	l, err := serve.On("127.0.0.1:0", h)
+	l, err := serve.Listen("127.0.0.1:0", h)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,7 +181,7 @@
 	if d := cmp.Diff(map[string]string{caller.HeaderRequestID: "mine", caller.HeaderPolicyRevision: "7", caller.HeaderVersion: "1"}, got); d != "" {
 		t.Errorf("headers (-want +got):\n%s", d)
 	}
-	s, err := v.Get().Active.Ring().Open(p.Header.Get(caller.HeaderSession), time.Now())
+	s, err := v.Get().Active.SessionKeys().Verify(p.Header.Get(caller.HeaderSession), time.Now())
 	if err != nil || s.Customer != "skye-strings" || len(s.Pins) == 0 {
 		t.Errorf("got session %+v and error %v, want a session of skye-strings with pins and no error", s, err)
 	}
@@ -197,7 +197,7 @@
 		t.Fatalf("complete stream: got end %q, want the end marker", whole[max(0, len(whole)-80):])
 	}
 	s := x.Faults.Get()
-	s.CutAfter = 3
+	s.TruncateAfter = 3
 	x.Faults.Put(s)
 	_, cut := post(t, addr, body, nil)
 	if strings.Contains(cut, "[DONE]") || !strings.Contains(cut, `"error"`) || !strings.Contains(cut, `"run":"unknown"`) {
--- a/adapter/caller/chat.go
+++ b/adapter/caller/chat.go
@@ -76,7 +76,7 @@
 	h.Set(HeaderModel, r.Version.Model)
 	h.Set(HeaderVersion, r.Version.Name)
 	h.Set(HeaderPolicyRevision, strconv.FormatUint(r.Revision, 10))
-	if t := s.view.Get().Active.Ring().Mint(r.Session); t != "" {
+	if t := s.view.Get().Active.SessionKeys().Issue(r.Session); t != "" {
 		h.Set(HeaderSession, t)
 	}
 	if r.SessionMoved {
@@ -96,7 +96,7 @@
 type pipe struct {
 	// result receives what the router reports before the first chunk.
 	result chan entry.Result
-	chunks *ring.Ring[[]byte]
+	chunks *ring.Queue[[]byte]
 	// ctx is done once the caller has closed the connection or the response has ended.
 	ctx context.Context
 	// done receives the stream's final error or nil.
--- a/adapter/caller/server.go
+++ b/adapter/caller/server.go
@@ -151,7 +151,7 @@
 type call struct {
 	id       string
 	caller   config.Caller
-	active   *config.Active
+	active   *config.Compiled
 	started  time.Time
 	deadline time.Time
 }
@@ -177,8 +177,8 @@
 // biller.MintedPrefix is not valid, since the prefix marks generated ids.
 func requestID(c *fasthttp.RequestCtx) string {
 	id := string(c.Request.Header.Peek(HeaderRequestID))
-	if id == "" || len(id) > maxIDLength || !printable(id) || strings.HasPrefix(id, biller.MintedPrefix) {
-		return biller.MintedPrefix + uuid.NewString()
+	if id == "" || len(id) > maxIDLength || !printable(id) || strings.HasPrefix(id, biller.GeneratedIDPrefix) {
+		return biller.GeneratedIDPrefix + uuid.NewString()
 	}
 	return id
 }
@@ -231,7 +231,7 @@
 func (s *Server) session(c *fasthttp.RequestCtx, k *call) session.Session {
 	t := string(c.Request.Header.Peek(HeaderSession))
 	if t != "" {
-		x, err := k.active.Ring().Open(t, k.started)
+		x, err := k.active.SessionKeys().Verify(t, k.started)
 		if err == nil && x.Customer == k.caller.Customer.Name {
 			x.Expires = k.started.Add(sessionTTL)
 			return x
--- a/adapter/codec/codec_test.go
+++ b/adapter/codec/codec_test.go
@@ -39,9 +39,9 @@
 		t.Fatal(err)
 	}
 	return config.Document{
-		Revision: 9, Recent: []string{"a", "b"}, SessionKeys: []session.Key{{ID: "k", Secret: []byte{1}}},
+		Revision: 9, RecentChanges: []string{"a", "b"}, SessionKeys: []session.Key{{ID: "k", Secret: []byte{1}}},
 		Parts: map[string]config.Part{"shared-memory": {
-			Team: "shared-memory", Revision: 8, Source: s, Active: map[string]version.ID{"lingua-small": m2},
+			Team: "shared-memory", Revision: 8, Source: s, ActiveVersions: map[string]version.ID{"lingua-small": m2},
 			Withdrawn: []version.ID{m1}, Rollouts: []rollout.Rollout{r.WithNextStep()},
 		}},
 	}
@@ -59,7 +59,7 @@
 	if x := cmp.Diff(d, g); err != nil || x != "" {
 		t.Errorf("document: got error %v, (-want +got):\n%s", err, x)
 	}
-	if r, err := codec.PeekRevision(b); err != nil || r != 9 {
+	if r, err := codec.DecodeRevision(b); err != nil || r != 9 {
 		t.Errorf("got revision %d and error %v, want 9 and no error", r, err)
 	}
 	c := claim.New("t/c", "k", "n", "i", noon).WithAnswer(200, []byte("yes"))
@@ -68,13 +68,13 @@
 	if x := cmp.Diff(c, k); err != nil || x != "" {
 		t.Errorf("claim: got error %v, (-want +got):\n%s", err, x)
 	}
-	l := bill.NewLedger("o").With(bill.Record{Owner: "o", Seq: 2, Line: bill.Line{Team: "t", Customer: "c", Version: m1}, Add: bill.Amount{Requests: 1, Cost: 5}})
+	l := bill.NewLedger("o").With(bill.Record{Owner: "o", Seq: 2, Line: bill.Line{Team: "t", Customer: "c", Version: m1}, Amount: bill.Amount{Requests: 1, Cost: 5}})
 	b, _ = codec.EncodeLedger(l)
 	o, err := codec.DecodeLedger(b)
 	if x := cmp.Diff(l, o); err != nil || x != "" {
 		t.Errorf("ledger: got error %v, (-want +got):\n%s", err, x)
 	}
-	e := audit.Entry{Revision: 1, ChangeID: "c", Team: "t", Who: "w", At: noon, Action: audit.Accept, From: "f", To: "t", Why: "y"}
+	e := audit.Entry{Revision: 1, ChangeID: "c", Team: "t", Actor: "w", At: noon, Action: audit.Accept, From: "f", To: "t", Reason: "y"}
 	b, _ = codec.EncodeAudit(e, map[string]string{"f": "x"})
 	a, f, err := codec.DecodeAudit(b)
 	if x := cmp.Diff(e, a); err != nil || x != "" || f["f"] != "x" {
@@ -103,7 +103,7 @@
 	f.Add([]byte(`{"parts":{"t":{"rollouts":[{"from":"a@1","to":"a@2","taken":7}]}}}`))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		if d, err := codec.DecodeDocument(b); err == nil {
-			config.Activate(d)
+			config.Compile(d)
 			d.DueSteps(noon)
 		}
 		_, _ = codec.DecodeClaim(b)
--- a/adapter/codec/document.go
+++ b/adapter/codec/document.go
@@ -52,7 +52,7 @@
 // EncodeDocument encodes a document as JSON. It returns an error if the result is larger than
 // a value of the store may be.
 func EncodeDocument(d config.Document) ([]byte, error) {
-	w := wireDocument{Revision: d.Revision, Recent: d.Recent, Parts: map[string]wirePart{}}
+	w := wireDocument{Revision: d.Revision, Recent: d.RecentChanges, Parts: map[string]wirePart{}}
 	for _, k := range d.SessionKeys {
 		w.Keys = append(w.Keys, wireKey{ID: k.ID, Secret: k.Secret})
 	}
@@ -71,7 +71,7 @@
 
 func partToWire(p config.Part) wirePart {
 	w := wirePart{Revision: p.Revision, Files: p.Source.Files, Withdrawn: versionsToWire(p.Withdrawn), Active: map[string]string{}}
-	for m, v := range p.Active {
+	for m, v := range p.ActiveVersions {
 		w.Active[m] = v.String()
 	}
 	for _, r := range p.Rollouts {
@@ -96,9 +96,9 @@
 	return r
 }
 
-// PeekRevision decodes only the revision of an encoded document. It is cheaper than
+// DecodeRevision decodes only the revision of an encoded document. It is cheaper than
 // DecodeDocument for a reader that may not need the other fields.
-func PeekRevision(b []byte) (uint64, error) {
+func DecodeRevision(b []byte) (uint64, error) {
 	var w struct {
 		Revision uint64 `json:"revision"`
 	}
@@ -112,7 +112,7 @@
 	if err := json.Unmarshal(b, &w); err != nil {
 		return config.Document{}, errors.Wrap(err, "codec: decode document")
 	}
-	d := config.Document{Revision: w.Revision, Recent: w.Recent, Parts: map[string]config.Part{}}
+	d := config.Document{Revision: w.Revision, RecentChanges: w.Recent, Parts: map[string]config.Part{}}
 	for _, k := range w.Keys {
 		d.SessionKeys = append(d.SessionKeys, session.Key{ID: k.ID, Secret: k.Secret})
 	}
@@ -131,13 +131,13 @@
 	if len(e) > 0 {
 		return config.Part{}, e[0]
 	}
-	p := config.Part{Team: team, Revision: w.Revision, Source: s, Active: map[string]version.ID{}}
+	p := config.Part{Team: team, Revision: w.Revision, Source: s, ActiveVersions: map[string]version.ID{}}
 	for m, t := range w.Active {
 		v, err := version.Parse(t)
 		if err != nil {
 			return p, err
 		}
-		p.Active[m] = v
+		p.ActiveVersions[m] = v
 	}
 	for _, t := range w.Withdrawn {
 		v, err := version.Parse(t)
--- a/adapter/codec/records.go
+++ b/adapter/codec/records.go
@@ -31,8 +31,8 @@
 // in force; they are stored with the entry so that an older policy can be shown.
 func EncodeAudit(e audit.Entry, files map[string]string) ([]byte, error) {
 	b, err := json.Marshal(wireAudit{
-		Revision: e.Revision, ChangeID: e.ChangeID, Team: e.Team, Who: e.Who, At: e.At,
-		Action: string(e.Action), From: e.From, To: e.To, Why: e.Why, Files: files,
+		Revision: e.Revision, ChangeID: e.ChangeID, Team: e.Team, Who: e.Actor, At: e.At,
+		Action: string(e.Action), From: e.From, To: e.To, Why: e.Reason, Files: files,
 	})
 	return b, errors.Wrap(err, "codec: encode audit entry")
 }
@@ -44,8 +44,8 @@
 		return audit.Entry{}, nil, errors.Wrap(err, "codec: decode audit entry")
 	}
 	return audit.Entry{
-		Revision: w.Revision, ChangeID: w.ChangeID, Team: w.Team, Who: w.Who, At: w.At,
-		Action: audit.Action(w.Action), From: w.From, To: w.To, Why: w.Why,
+		Revision: w.Revision, ChangeID: w.ChangeID, Team: w.Team, Actor: w.Who, At: w.At,
+		Action: audit.Action(w.Action), From: w.From, To: w.To, Reason: w.Why,
 	}, w.Files, nil
 }
 
@@ -102,8 +102,8 @@
 // EncodeLedger encodes a ledger as JSON in a fixed order, so that equal ledgers have equal
 // bytes.
 func EncodeLedger(l bill.Ledger) ([]byte, error) {
-	w := wireLedger{Owner: l.Owner, Upto: l.Upto, Changes: l.Changes}
-	for n := range l.Above {
+	w := wireLedger{Owner: l.Owner, Upto: l.SettledUpto, Changes: l.Changes}
+	for n := range l.SettledAbove {
 		w.Above = append(w.Above, n)
 	}
 	slices.Sort(w.Above)
@@ -126,9 +126,9 @@
 	if err := json.Unmarshal(b, &w); err != nil {
 		return bill.Ledger{}, errors.Wrap(err, "codec: decode ledger")
 	}
-	l := bill.Ledger{Owner: w.Owner, Upto: w.Upto, Changes: w.Changes, Above: map[uint64]bool{}, Sums: map[bill.Line]bill.Amount{}}
+	l := bill.Ledger{Owner: w.Owner, SettledUpto: w.Upto, Changes: w.Changes, SettledAbove: map[uint64]bool{}, Sums: map[bill.Line]bill.Amount{}}
 	for _, n := range w.Above {
-		l.Above[n] = true
+		l.SettledAbove[n] = true
 	}
 	for _, x := range w.Lines {
 		v, err := version.Parse(x.Version)
--- a/adapter/etcd/etcd.go
+++ b/adapter/etcd/etcd.go
@@ -37,8 +37,8 @@
 	mu   sync.Mutex
 	// leases are the ids of granted leases by the Unix time at which their bucket ends.
 	leases map[int64]string
-	// Count is called with the URL path of each request; it may be nil.
-	Count func(path string)
+	// OnRequest is called with the URL path of each request; it may be nil.
+	OnRequest func(path string)
 }
 
 var _ store.Store = (*Client)(nil)
@@ -324,8 +324,8 @@
 }
 
 func (c *Client) count(path string) {
-	if c.Count != nil {
-		c.Count(path)
+	if c.OnRequest != nil {
+		c.OnRequest(path)
 	}
 }
 
@@ -365,7 +365,7 @@
 
 // classify marks a transport error by whether the request may have been applied.
 func classify(err error) error {
-	if outcome.Of(err) == outcome.NotRun {
+	if outcome.KindOf(err) == outcome.NotRun {
 		return errors.Mark(err, store.ErrUnavailable)
 	}
 	return errors.Mark(err, store.ErrUnknown)
--- a/adapter/etcd/etcd_test.go
+++ b/adapter/etcd/etcd_test.go
@@ -18,7 +18,7 @@
 // newStore returns a client of a new stand-in for the key-value service.
 func newStore(t *testing.T) (*etcd.Client, *kv.Server) {
 	s := kv.NewServer()
-	l, err := serve.On("127.0.0.1:0", s.Handle)
+	l, err := serve.Listen("127.0.0.1:0", s.Handle)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 	}{
 		{"refused", fault.Set{Limited: true}, store.ErrUnavailable, false},
 		{"connection closed before the write", fault.Set{Down: true}, store.ErrUnknown, false},
-		{"connection closed after the write", fault.Set{DropAnswers: true}, store.ErrUnknown, true},
+		{"connection closed after the write", fault.Set{DropResponses: true}, store.ErrUnknown, true},
 	} {
 		t.Run(f.name, func(t *testing.T) {
 			c, s := newStore(t)
--- a/adapter/exchange/exchange_test.go
+++ b/adapter/exchange/exchange_test.go
@@ -57,7 +57,7 @@
 func get(p *Pool, addr string, mine func(http.Header) bool) (string, error) {
 	x, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	r, err := p.Do(x, addr, &Request{Method: "GET", Target: "/", Host: "h", Mine: mine})
+	r, err := p.Do(x, addr, &Request{Method: "GET", Target: "/", Host: "h", Matches: mine})
 	if err != nil {
 		return "", err
 	}
@@ -116,10 +116,10 @@
 	}
 	a := l.Addr().String()
 	_ = l.Close()
-	if _, err := get(New(time.Now), a, nil); outcome.Of(err) != outcome.NotRun {
+	if _, err := get(New(time.Now), a, nil); outcome.KindOf(err) != outcome.NotRun {
 		t.Errorf("no listener: got error %v, want outcome NotRun", err)
 	}
-	if _, err := get(New(time.Now), startScripted(t, closeMark), nil); outcome.Of(err) != outcome.Unknown {
+	if _, err := get(New(time.Now), startScripted(t, closeMark), nil); outcome.KindOf(err) != outcome.Unknown {
 		t.Errorf("no response: got error %v, want outcome Unknown", err)
 	}
 	if _, err := get(New(time.Now), startScripted(t, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"+closeMark), nil); err == nil {
@@ -177,7 +177,7 @@
 		{"cut between lines", "id: 1\n\nid: 2\n", "1", io.ErrUnexpectedEOF},
 		{"none", "", "", io.EOF},
 	} {
-		e := NewEvents(strings.NewReader(c.body))
+		e := NewEventReader(strings.NewReader(c.body))
 		var l []string
 		var v entry.Event
 		var err error
@@ -199,7 +199,7 @@
 	f.Add([]byte("id: 1\ndata: x\n\nid: 2\n\n"))
 	f.Add([]byte("\n\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		e := NewEvents(bytes.NewReader(b))
+		e := NewEventReader(bytes.NewReader(b))
 		var got []byte
 		for {
 			v, err := e.Next()
--- a/adapter/platform/platform.go
+++ b/adapter/platform/platform.go
@@ -17,25 +17,25 @@
 	"fieldvale/version"
 )
 
-// List is the platform's list of fieldvale instances and of backend servers.
-type List struct {
+// InstanceList is the platform's list of fieldvale instances and of backend servers.
+type InstanceList struct {
 	Members  []peer.Member
 	Replicas []pool.Replica
 }
 
-// Platform is a client of the platform's services.
-type Platform struct {
+// Client is a client of the platform's services.
+type Client struct {
 	http *httpconn.Client
 	// listAddr and ratingAddr are the addresses of the list and of the rating service.
 	listAddr   string
 	ratingAddr string
 }
 
-var _ entry.Rater = (*Platform)(nil)
+var _ entry.Rater = (*Client)(nil)
 
 // New returns a client of the list and the rating service at the given addresses.
-func New(c *httpconn.Client, listAddr, ratingAddr string) *Platform {
-	return &Platform{http: c, listAddr: listAddr, ratingAddr: ratingAddr}
+func New(c *httpconn.Client, listAddr, ratingAddr string) *Client {
+	return &Client{http: c, listAddr: listAddr, ratingAddr: ratingAddr}
 }
 
 type wireInstance struct {
@@ -54,14 +54,14 @@
 
 // Instances returns the list, which lags behind the actual state. It leaves out draining
 // instances of fieldvale.
-func (p *Platform) Instances(ctx context.Context) (List, error) {
+func (p *Client) Instances(ctx context.Context) (InstanceList, error) {
 	var w struct {
 		Instances []wireInstance `json:"instances"`
 	}
 	if err := p.get(ctx, p.listAddr, "/v1/instances", &w); err != nil {
-		return List{}, errors.Wrap(err, "platform: list instances")
+		return InstanceList{}, errors.Wrap(err, "platform: list instances")
 	}
-	var l List
+	var l InstanceList
 	for _, i := range w.Instances {
 		if i.Kind == memberKind {
 			if !i.Leaving {
@@ -77,17 +77,17 @@
 	return l, nil
 }
 
-// Report is a model engine's report of its load and state.
-type Report struct {
+// EngineReport is a model engine's report of its load and state.
+type EngineReport struct {
 	Running  int
 	Waiting  int
 	Slots    int
-	Leaving  bool
+	Draining bool
 	Versions []version.ID
 }
 
 // Load fetches an engine's report.
-func (p *Platform) Load(ctx context.Context, r pool.Replica) (Report, error) {
+func (p *Client) Load(ctx context.Context, r pool.Replica) (EngineReport, error) {
 	var w struct {
 		Running  int      `json:"running"`
 		Waiting  int      `json:"waiting"`
@@ -96,9 +96,9 @@
 		Versions []string `json:"versions"`
 	}
 	if err := p.get(ctx, r.Addr, "/load", &w); err != nil {
-		return Report{}, errors.Wrapf(err, "platform: fetch the load of %s", r.ID)
+		return EngineReport{}, errors.Wrapf(err, "platform: fetch the load of %s", r.ID)
 	}
-	o := Report{Running: w.Running, Waiting: w.Waiting, Slots: w.Slots, Leaving: w.Leaving}
+	o := EngineReport{Running: w.Running, Waiting: w.Waiting, Slots: w.Slots, Draining: w.Leaving}
 	for _, t := range w.Versions {
 		v, err := version.Parse(t)
 		if err != nil {
@@ -112,7 +112,7 @@
 // Unload orders an engine to accept no more requests for a version. fence is the revision of
 // the configuration. It is a fencing token: an engine that checks it refuses an order with a
 // lower one than it has seen.
-func (p *Platform) Unload(ctx context.Context, r pool.Replica, v version.ID, fence uint64) error {
+func (p *Client) Unload(ctx context.Context, r pool.Replica, v version.ID, fence uint64) error {
 	b, err := json.Marshal(map[string]any{"order": "unload", "version": v.String(), "fence": fence})
 	if err != nil {
 		return errors.Wrap(err, "platform: encode an order")
@@ -121,7 +121,7 @@
 }
 
 // Rate implements entry.Rater by the platform's rating service.
-func (p *Platform) Rate(ctx context.Context, request, answer []byte) (float64, error) {
+func (p *Client) Rate(ctx context.Context, request, answer []byte) (float64, error) {
 	b, err := json.Marshal(map[string]string{"request": string(request), "answer": string(answer)})
 	if err != nil {
 		return 0, errors.Wrap(err, "platform: encode a rating request")
@@ -138,11 +138,11 @@
 	return *w.Rating, nil
 }
 
-func (p *Platform) get(ctx context.Context, addr, path string, out any) error {
+func (p *Client) get(ctx context.Context, addr, path string, out any) error {
 	return p.call(ctx, fasthttp.MethodGet, addr, path, nil, out)
 }
 
-func (p *Platform) post(ctx context.Context, addr, path string, b []byte, out any) error {
+func (p *Client) post(ctx context.Context, addr, path string, b []byte, out any) error {
 	return p.call(ctx, fasthttp.MethodPost, addr, path, b, out)
 }
 
@@ -150,7 +150,7 @@
 const callTimeout = 3 * time.Second
 
 // call sends a JSON request and decodes the response into out unless out is nil.
-func (p *Platform) call(ctx context.Context, method, addr, path string, b []byte, out any) error {
+func (p *Client) call(ctx context.Context, method, addr, path string, b []byte, out any) error {
 	x, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	q, a := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
--- a/adapter/rpc/admin.go
+++ b/adapter/rpc/admin.go
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, changeError(err)
 	}
-	w := &fieldvalev1.ChangeResponse{Revision: r.Revision, RepeatedChange: r.Repeated}
+	w := &fieldvalev1.ChangeResponse{Revision: r.Revision, RepeatedChange: r.AlreadyApplied}
 	w.InForce, w.NotInForce = s.awaitInForce(ctx, r.Revision)
 	return w, nil
 }
@@ -136,12 +136,12 @@
 
 // changeFromWire converts and checks a request for a change.
 func (s adminServer) changeFromWire(a Admin, q *fieldvalev1.ChangeRequest) (config.Change, error) {
-	c := config.Change{ID: q.Id, Team: q.Team, Who: a.Name, Why: q.Why, At: time.Now(), Action: audit.Action(q.Action), Base: q.Base}
+	c := config.Change{ID: q.Id, Team: q.Team, Who: a.Name, Why: q.Why, At: time.Now(), Action: audit.Action(q.Action), BaseRevision: q.Base}
 	if q.Id == "" {
 		return c, errors.New("change has no id")
 	}
 	if q.AnyBase {
-		c.Base = config.AnyBase
+		c.BaseRevision = config.AnyBase
 	}
 	var err error
 	switch c.Action {
@@ -153,9 +153,9 @@
 		}
 	case audit.Withdraw, audit.Reinstate:
 		c.Version, err = version.Parse(q.Version)
-	case audit.StartRoll:
+	case audit.StartRollout:
 		c.Rollout, err = rolloutFromWire(q)
-	case audit.HaltRoll:
+	case audit.HaltRollout:
 		var v version.ID
 		v, err = version.Parse(q.Version)
 		c.Rollout = rollout.Rollout{To: v}
@@ -259,7 +259,7 @@
 	for _, h := range s.node.Instances() {
 		w.Instances = append(w.Instances, &fieldvalev1.InstanceStatus{
 			Id: h.ID, DataCentre: h.DataCentre, Revision: h.Revision, EntryRevision: h.EntryRevision,
-			StoreOk: h.StoreOK, EntryOk: h.EntryOK, HeardMillisAgo: time.Since(h.At).Milliseconds(),
+			StoreOk: h.StoreOK, EntryOk: h.EntryOK, HeardMillisAgo: time.Since(h.SentAt).Milliseconds(),
 			Alarms: h.Alarms, Stopping: h.Stopping,
 		})
 		for _, a := range h.Alarms {
@@ -288,8 +288,8 @@
 	w := &fieldvalev1.AuditResponse{}
 	for _, e := range l {
 		w.Entries = append(w.Entries, &fieldvalev1.AuditEntry{
-			Revision: e.Revision, ChangeId: e.ChangeID, Team: e.Team, Who: e.Who, At: e.At.UTC().Format(time.RFC3339),
-			Action: string(e.Action), From: e.From, To: e.To, Why: e.Why,
+			Revision: e.Revision, ChangeId: e.ChangeID, Team: e.Team, Who: e.Actor, At: e.At.UTC().Format(time.RFC3339),
+			Action: string(e.Action), From: e.From, To: e.To, Why: e.Reason,
 		})
 	}
 	return w, nil
@@ -301,7 +301,7 @@
 	if !a.mayRead(q.Team) {
 		return nil, permissionDenied(a, "read", q.Team)
 	}
-	m, err := s.node.Bills(ctx, q.Team)
+	m, err := s.node.BillTotals(ctx, q.Team)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
--- a/adapter/rpc/local.go
+++ b/adapter/rpc/local.go
@@ -28,19 +28,19 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	r := control.Report{
-		Incarnation: q.Incarnation, Revision: q.Revision, View: q.ViewVersion, Control: q.Control,
-		Ledger: l, AloneUpto: q.AloneUpto, Evidence: evidenceFromWire(q.Evidence), Running: map[string]int{}, Stopping: q.Stopping,
+	r := control.EntryReport{
+		Incarnation: q.Incarnation, Revision: q.Revision, View: q.ViewVersion, ControlIncarnation: q.Control,
+		Ledger: l, LastUnheldSeq: q.AloneUpto, Evidence: evidenceFromWire(q.Evidence), InFlight: map[string]int{}, Stopping: q.Stopping,
 	}
 	for _, x := range q.LocalLoads {
-		r.Running[x.Replica] = int(x.Running)
+		r.InFlight[x.Replica] = int(x.Running)
 	}
 	return updateToWire(s.node.Sync(r)), nil
 }
 
-func updateToWire(u control.Update) *fieldvalev1.SyncResponse {
-	w := &fieldvalev1.SyncResponse{Control: u.Control, Document: u.Document, ViewVersion: u.View, Settled: u.Settled}
-	if !u.Fresh {
+func updateToWire(u control.EntryUpdate) *fieldvalev1.SyncResponse {
+	w := &fieldvalev1.SyncResponse{Control: u.ControlIncarnation, Document: u.Document, ViewVersion: u.View, Settled: u.Ready}
+	if !u.HasView {
 		return w
 	}
 	w.View = &fieldvalev1.View{Tripped: versionStrings(u.Tripped), StoreOk: u.StoreOK}
@@ -69,7 +69,7 @@
 	if q.Ran {
 		c = c.WithAnswer(int(q.Status), q.Answer)
 	} else {
-		c = c.WithFree()
+		c = c.WithNotRun()
 	}
 	if err := s.node.Finish(ctx, c); err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
@@ -90,24 +90,24 @@
 }
 
 // Sync sends the entry's report and returns the changes that the entry does not have yet.
-func (l *Local) Sync(ctx context.Context, r control.Report) (control.Update, error) {
+func (l *Local) Sync(ctx context.Context, r control.EntryReport) (control.EntryUpdate, error) {
 	q := &fieldvalev1.SyncRequest{
-		Incarnation: r.Incarnation, Revision: r.Revision, ViewVersion: r.View, Control: r.Control,
-		Ledger: ledgerToWire(r.Ledger), AloneUpto: r.AloneUpto, Evidence: evidenceToWire(r.Evidence), Stopping: r.Stopping,
+		Incarnation: r.Incarnation, Revision: r.Revision, ViewVersion: r.View, Control: r.ControlIncarnation,
+		Ledger: ledgerToWire(r.Ledger), AloneUpto: r.LastUnheldSeq, Evidence: evidenceToWire(r.Evidence), Stopping: r.Stopping,
 	}
-	for k, n := range r.Running {
+	for k, n := range r.InFlight {
 		q.LocalLoads = append(q.LocalLoads, &fieldvalev1.LocalLoad{Replica: k, Running: int32(n)})
 	}
 	w, err := l.c.Sync(ctx, q)
 	if err != nil {
-		return control.Update{}, errors.Wrap(err, "rpc: sync with the control process")
+		return control.EntryUpdate{}, errors.Wrap(err, "rpc: sync with the control process")
 	}
 	return updateFromWire(w), nil
 }
 
-func updateFromWire(w *fieldvalev1.SyncResponse) control.Update {
-	u := control.Update{Control: w.Control, Document: w.Document, View: w.ViewVersion, Fresh: w.View != nil, Settled: w.Settled}
-	if !u.Fresh {
+func updateFromWire(w *fieldvalev1.SyncResponse) control.EntryUpdate {
+	u := control.EntryUpdate{ControlIncarnation: w.Control, Document: w.Document, View: w.ViewVersion, HasView: w.View != nil, Ready: w.Settled}
+	if !u.HasView {
 		return u
 	}
 	u.StoreOK = w.View.StoreOk
--- a/adapter/rpc/mapping.go
+++ b/adapter/rpc/mapping.go
@@ -74,8 +74,8 @@
 }
 
 func ledgerToWire(l bill.Ledger) *fieldvalev1.Ledger {
-	w := &fieldvalev1.Ledger{Owner: l.Owner, Upto: l.Upto, Changes: l.Changes}
-	for n := range l.Above {
+	w := &fieldvalev1.Ledger{Owner: l.Owner, Upto: l.SettledUpto, Changes: l.Changes}
+	for n := range l.SettledAbove {
 		w.Above = append(w.Above, n)
 	}
 	slices.Sort(w.Above)
@@ -87,10 +87,10 @@
 
 func ledgerFromWire(w *fieldvalev1.Ledger) (bill.Ledger, error) {
 	l := bill.NewLedger(w.GetOwner())
-	l.Upto, l.Changes = w.GetUpto(), w.GetChanges()
-	l.Above, l.Sums = map[uint64]bool{}, map[bill.Line]bill.Amount{}
+	l.SettledUpto, l.Changes = w.GetUpto(), w.GetChanges()
+	l.SettledAbove, l.Sums = map[uint64]bool{}, map[bill.Line]bill.Amount{}
 	for _, n := range w.GetAbove() {
-		l.Above[n] = true
+		l.SettledAbove[n] = true
 	}
 	for _, x := range w.GetLines() {
 		k, a, err := lineFromWire(x)
@@ -103,7 +103,7 @@
 }
 
 func recordToWire(r bill.Record) *fieldvalev1.BillRecord {
-	return &fieldvalev1.BillRecord{RequestId: r.RequestID, Owner: r.Owner, Seq: r.Seq, Line: lineToWire(r.Line, r.Add)}
+	return &fieldvalev1.BillRecord{RequestId: r.RequestID, Owner: r.Owner, Seq: r.Seq, Line: lineToWire(r.Line, r.Amount)}
 }
 
 func recordsFromWire(w []*fieldvalev1.BillRecord) ([]bill.Record, error) {
@@ -113,7 +113,7 @@
 		if err != nil {
 			return nil, err
 		}
-		r[i] = bill.Record{RequestID: x.RequestId, Owner: x.Owner, Seq: x.Seq, Line: l, Add: a}
+		r[i] = bill.Record{RequestID: x.RequestId, Owner: x.Owner, Seq: x.Seq, Line: l, Amount: a}
 	}
 	return r, nil
 }
--- a/adapter/rpc/peer.go
+++ b/adapter/rpc/peer.go
@@ -51,8 +51,8 @@
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
 	w := &fieldvalev1.HoldResponse{}
-	for _, v := range s.node.Hold(r, l) {
-		w.Words = append(w.Words, &fieldvalev1.HoldWord{Repeat: v.Repeat, Owner: v.Owner, Settled: v.Settled})
+	for _, v := range s.node.HoldRecords(r, l) {
+		w.Words = append(w.Words, &fieldvalev1.HoldWord{Repeat: v.Duplicate, Owner: v.Owner, Settled: v.Settled})
 	}
 	return w, nil
 }
@@ -63,8 +63,8 @@
 }
 
 var (
-	_ control.Peers = (*Peers)(nil)
-	_ biller.Holder = (*Peers)(nil)
+	_ control.PeerClient  = (*Peers)(nil)
+	_ biller.HolderClient = (*Peers)(nil)
 )
 
 // NewPeers returns a client that authenticates to peers by the fleet's shared key.
@@ -102,15 +102,15 @@
 }
 
 // Hold implements biller.Holder.
-func (p *Peers) Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.Word, error) {
+func (p *Peers) Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.HoldResult, error) {
 	w, err := p.client(m).Hold(ctx, &fieldvalev1.HoldRequest{Records: []*fieldvalev1.BillRecord{recordToWire(r)}})
 	if err != nil {
-		return bill.Word{}, errors.Wrapf(err, "rpc: hold a bill record at instance %s", m.ID)
+		return bill.HoldResult{}, errors.Wrapf(err, "rpc: hold a bill record at instance %s", m.ID)
 	}
 	if len(w.Words) != 1 {
-		return bill.Word{}, errors.Newf("rpc: hold a bill record at instance %s: got %d results, want 1", m.ID, len(w.Words))
+		return bill.HoldResult{}, errors.Newf("rpc: hold a bill record at instance %s: got %d results, want 1", m.ID, len(w.Words))
 	}
-	return bill.Word{Repeat: w.Words[0].Repeat, Owner: w.Words[0].Owner, Settled: w.Words[0].Settled}, nil
+	return bill.HoldResult{Duplicate: w.Words[0].Repeat, Owner: w.Words[0].Owner, Settled: w.Words[0].Settled}, nil
 }
 
 // HandOver implements control.Peers.
--- a/adapter/settings/control.go
+++ b/adapter/settings/control.go
@@ -22,22 +22,22 @@
 	LocalListen string
 	// AdminListen is the listen address of the administration API.
 	AdminListen string
-	// Metrics is the listen address for metrics.
-	Metrics  string
-	FleetKey string
-	// Store is the address of the store.
-	Store string
-	// List is the address of the platform's list of replicas and instances.
-	List string
-	TLS  TLS
+	// MetricsListen is the listen address for metrics.
+	MetricsListen string
+	FleetKey      string
+	// StoreAddr is the address of the store.
+	StoreAddr string
+	// ListAddr is the address of the platform's list of replicas and instances.
+	ListAddr string
+	TLS      TLS
 	// Level is the least severe level that is logged.
 	Level  string
 	Admins []rpc.Admin
 	Times  control.Times
 	Rates  rollout.Rates
-	// StopWithin bounds how long a planned stop waits to hand over bill records that
+	// StopTimeout bounds how long a planned stop waits to hand over bill records that
 	// neither the store nor another instance has.
-	StopWithin time.Duration
+	StopTimeout time.Duration
 }
 
 // LoadControl reads and checks the settings file of a fieldvale-control process. It returns all
@@ -57,8 +57,8 @@
 		case "tls":
 			c.TLS = readTLS(s)
 		case "platform":
-			c.Store = readAddress(s, "store")
-			c.List = readAddress(s, "list")
+			c.StoreAddr = readAddress(s, "store")
+			c.ListAddr = readAddress(s, "list")
 		case "log":
 			c.Level = readLevel(s)
 		case "admin":
@@ -72,7 +72,7 @@
 	if !found {
 		f.AddMissingSection("control")
 	}
-	if c.Store == "" {
+	if c.StoreAddr == "" {
 		f.AddMissingSection("platform")
 	}
 	return c, f.Errors()
@@ -80,15 +80,15 @@
 
 // readControl reads the control section.
 func (c *Control) readControl(s *inifile.Section) {
-	c.ID = s.Need("id")
-	c.DataCentre = s.Need("data_centre")
+	c.ID = s.Required("id")
+	c.DataCentre = s.Required("data_centre")
 	c.PeerListen = readAddress(s, "peer_listen")
 	c.PeerAddr = readAddress(s, "peer_addr")
 	c.LocalListen = readAddress(s, "local_listen")
 	c.AdminListen = readAddress(s, "admin_listen")
-	c.Metrics = readAddress(s, "metrics_listen")
+	c.MetricsListen = readAddress(s, "metrics_listen")
 	c.FleetKey = readFleetKey(s)
-	c.StopWithin = s.Duration("stop_within", defaultStopTimeout)
+	c.StopTimeout = s.Duration("stop_within", defaultStopTimeout)
 }
 
 // sha256Length is the length of a SHA-256 sum, in bytes.
@@ -96,7 +96,7 @@
 
 // readAdmin reads the section of one administration key.
 func readAdmin(s *inifile.Section) rpc.Admin {
-	a := rpc.Admin{Name: s.Name, Team: s.Value("team"), Role: rpc.Role(s.Need("role")), KeyHash: s.Need("key_sha256")}
+	a := rpc.Admin{Name: s.Name, Team: s.Value("team"), Role: rpc.Role(s.Required("role")), KeyHash: s.Required("key_sha256")}
 	switch a.Role {
 	case rpc.Platform:
 	case rpc.Viewer, rpc.Operator:
@@ -116,16 +116,16 @@
 func readTimes(s *inifile.Section) control.Times {
 	d := control.DefaultTimes()
 	return control.Times{
-		Exchange:    s.Duration("exchange", d.Exchange),
-		Beat:        s.Duration("beat", d.Beat),
-		BeatPerPeer: s.Duration("beat_per_peer", d.BeatPerPeer),
-		List:        s.Duration("list", d.List),
-		Load:        s.Duration("load", d.Load),
-		Poll:        s.Duration("poll", d.Poll),
-		Flush:       s.Duration("flush", d.Flush),
-		Orphan:      s.Duration("orphan", d.Orphan),
-		Takeover:    s.Duration("takeover", d.Takeover),
-		Call:        s.Duration("call", d.Call),
+		Exchange:         s.Duration("exchange", d.Exchange),
+		Heartbeat:        s.Duration("beat", d.Heartbeat),
+		HeartbeatPerItem: s.Duration("beat_per_peer", d.HeartbeatPerItem),
+		List:             s.Duration("list", d.List),
+		Load:             s.Duration("load", d.Load),
+		Poll:             s.Duration("poll", d.Poll),
+		Flush:            s.Duration("flush", d.Flush),
+		OrphanDelay:      s.Duration("orphan", d.OrphanDelay),
+		TakeoverDelay:    s.Duration("takeover", d.TakeoverDelay),
+		CallTimeout:      s.Duration("call", d.CallTimeout),
 	}
 }
 
--- a/adapter/settings/entry.go
+++ b/adapter/settings/entry.go
@@ -12,23 +12,23 @@
 	DataCentre string
 	// Listen is the listen address for callers.
 	Listen string
-	// Metrics is the listen address for metrics.
-	Metrics string
-	// Control is the address of the control process on the same host.
-	Control  string
-	FleetKey string
-	// Rating is the address of the platform's service that rates answers.
-	Rating string
-	TLS    TLS
+	// MetricsListen is the listen address for metrics.
+	MetricsListen string
+	// ControlAddr is the address of the control process on the same host.
+	ControlAddr string
+	FleetKey    string
+	// RatingAddr is the address of the platform's service that rates answers.
+	RatingAddr string
+	TLS        TLS
 	// Level is the least severe level that is logged.
 	Level string
 	// Sync is the interval between syncs with the control process.
 	Sync time.Duration
-	// Drain is how long a stopping entry still accepts requests after it reports that it
+	// DrainDelay is how long a stopping entry still accepts requests after it reports that it
 	// is not ready, so that the load balancer can stop sending requests.
-	Drain time.Duration
-	// StopWithin bounds how long a planned stop waits until running requests are done.
-	StopWithin time.Duration
+	DrainDelay time.Duration
+	// StopTimeout bounds how long a planned stop waits until running requests are done.
+	StopTimeout time.Duration
 }
 
 // Durations that are used if the file has none.
@@ -55,7 +55,7 @@
 		case "tls":
 			e.TLS = readTLS(s)
 		case "platform":
-			e.Rating = readAddress(s, "rating")
+			e.RatingAddr = readAddress(s, "rating")
 		case "log":
 			e.Level = readLevel(s)
 		}
@@ -63,7 +63,7 @@
 	if !found {
 		f.AddMissingSection("entry")
 	}
-	if e.Rating == "" {
+	if e.RatingAddr == "" {
 		f.AddMissingSection("platform")
 	}
 	return e, f.Errors()
@@ -71,13 +71,13 @@
 
 // readEntry reads the entry section.
 func (e *Entry) readEntry(s *inifile.Section) {
-	e.ID = s.Need("id")
-	e.DataCentre = s.Need("data_centre")
+	e.ID = s.Required("id")
+	e.DataCentre = s.Required("data_centre")
 	e.Listen = readAddress(s, "listen")
-	e.Metrics = readAddress(s, "metrics_listen")
-	e.Control = readAddress(s, "control")
+	e.MetricsListen = readAddress(s, "metrics_listen")
+	e.ControlAddr = readAddress(s, "control")
 	e.FleetKey = readFleetKey(s)
 	e.Sync = s.Duration("sync", defaultSyncInterval)
-	e.Drain = s.Duration("drain", defaultDrainDelay)
-	e.StopWithin = s.Duration("stop_within", defaultStopTimeout)
+	e.DrainDelay = s.Duration("drain", defaultDrainDelay)
+	e.StopTimeout = s.Duration("stop_within", defaultStopTimeout)
 }
--- a/adapter/settings/node.go
+++ b/adapter/settings/node.go
@@ -13,60 +13,60 @@
 	DataCentre string
 	// Listen is the listen address for clients.
 	Listen string
-	// Ready is the listen address for the platform's readiness checks.
-	Ready string
-	// Metrics is the listen address for metrics.
-	Metrics string
-	// Peers is the listen address for datagrams from other instances.
-	Peers string
-	// Store is the address of the platform's store.
-	Store string
+	// ReadyListen is the listen address for the platform's readiness checks.
+	ReadyListen string
+	// MetricsListen is the listen address for metrics.
+	MetricsListen string
+	// PeersListen is the listen address for datagrams from other instances.
+	PeersListen string
+	// StoreAddr is the address of the platform's store.
+	StoreAddr string
 	// FirstStart states that the whole fleet is being started for the first time.
 	FirstStart bool
-	// ApplyWithin bounds the time from a change in the store until the change must be in
+	// MaxApplyDelay bounds the time from a change in the store until the change must be in
 	// force at this instance.
-	ApplyWithin time.Duration
+	MaxApplyDelay time.Duration
 	// Level is the least severe level that is logged.
 	Level string
-	// StopWithin bounds how long a planned stop takes.
-	StopWithin time.Duration
+	// StopTimeout bounds how long a planned stop takes.
+	StopTimeout time.Duration
 	// MemoryMB is the instance's memory in MB; 0 if unknown.
 	MemoryMB int64
 	// LinkMbps is the capacity of the instance's network link in Mbit/s; 0 if unknown.
 	LinkMbps float64
-	// HonourFor bounds how long an API key is accepted after it was revoked.
-	HonourFor time.Duration
-	// KeysLenient lifts the bound on accepting revoked keys while the instance can't confirm
+	// RevokedKeyTTL bounds how long an API key is accepted after it was revoked.
+	RevokedKeyTTL time.Duration
+	// LenientKeys lifts the bound on accepting revoked keys while the instance can't confirm
 	// its configuration.
-	KeysLenient bool
-	// RepeatPart bounds the retries that the whole fleet sends to a service, as a fraction
+	LenientKeys bool
+	// RetryFraction bounds the retries that the whole fleet sends to a service, as a fraction
 	// of the incoming requests.
-	RepeatPart float64
-	// RepeatBurst is a number of retries that is allowed in addition.
-	RepeatBurst float64
-	// ExposedPart bounds the requests that a bad release may get, as a fraction of all
+	RetryFraction float64
+	// RetryBurst is a number of retries that is allowed in addition.
+	RetryBurst float64
+	// ExposedFraction bounds the requests that a bad release may get, as a fraction of all
 	// requests during the planned duration of the release.
-	ExposedPart float64
+	ExposedFraction float64
 	// ExposedSlack is a number of requests that a bad release may get in addition.
 	ExposedSlack float64
-	// Cloud is the address of the platform's API that one instance at a time calls; empty
+	// CloudAddr is the address of the platform's API that one instance at a time calls; empty
 	// if there is none.
-	Cloud string
+	CloudAddr string
 	// The duties that the fleet performs by this API: usage reports and autoscaling.
-	ReportsUsage, Scales bool
+	ReportsUsage, Autoscales bool
 	// The length of the time windows for which usage is reported, and how long after the end
 	// of its window a report is accepted.
-	UsageWindow, UsageLate time.Duration
+	UsageWindow, MaxUsageDelay time.Duration
 	// Regions are the regions of the data centres, by the data centre's name.
 	Regions map[string]string
-	// ColdOverage bounds the requests per second that a cold replica gets from all
+	// ColdLimitFactor bounds the requests per second that a cold replica gets from all
 	// instances, as a multiple of the rate that the replica advertises.
-	ColdOverage float64
-	// ColdSlack is a number of requests per second that a cold replica may get in addition.
-	ColdSlack float64
-	// DrainFor is how long a draining replica still serves requests after it has reported
+	ColdLimitFactor float64
+	// ColdLimitSlack is a number of requests per second that a cold replica may get in addition.
+	ColdLimitSlack float64
+	// DrainPeriod is how long a draining replica still serves requests after it has reported
 	// that it is draining.
-	DrainFor time.Duration
+	DrainPeriod time.Duration
 	// AcceptConfidence is the confidence, from 0 to 100, that the smallest model must report
 	// in its answer for the answer to be returned to the caller.
 	AcceptConfidence float64
@@ -116,9 +116,9 @@
 // defaultNode returns the settings for sections that are missing in the file.
 func defaultNode() Node {
 	return Node{
-		Level: defaultLevel, MemoryMB: defaultMemoryMB, HonourFor: defaultRevokedKeyTTL,
-		RepeatPart: defaultRetryFraction, RepeatBurst: defaultRetryBurst,
-		ExposedPart: defaultExposedFraction, ExposedSlack: defaultExposedSlack, ColdOverage: defaultColdLimitFactor, ColdSlack: defaultColdLimitSlack, DrainFor: defaultDrainPeriod, AcceptConfidence: defaultAcceptConfidence,
+		Level: defaultLevel, MemoryMB: defaultMemoryMB, RevokedKeyTTL: defaultRevokedKeyTTL,
+		RetryFraction: defaultRetryFraction, RetryBurst: defaultRetryBurst,
+		ExposedFraction: defaultExposedFraction, ExposedSlack: defaultExposedSlack, ColdLimitFactor: defaultColdLimitFactor, ColdLimitSlack: defaultColdLimitSlack, DrainPeriod: defaultDrainPeriod, AcceptConfidence: defaultAcceptConfidence,
 	}
 }
 
@@ -133,15 +133,15 @@
 		}
 		n.LinkMbps = s.Float64("link_mbps", 0)
 	case "keys":
-		n.HonourFor = s.Duration("honour_for", defaultRevokedKeyTTL)
-		n.KeysLenient = !s.Bool("strict", true)
+		n.RevokedKeyTTL = s.Duration("honour_for", defaultRevokedKeyTTL)
+		n.LenientKeys = !s.Bool("strict", true)
 	case "releases":
-		n.ExposedPart = s.Float64("exposed_part", defaultExposedFraction)
+		n.ExposedFraction = s.Float64("exposed_part", defaultExposedFraction)
 		n.ExposedSlack = s.Float64("exposed_slack", defaultExposedSlack)
 	case "replicas":
-		n.ColdOverage = s.Float64("cold_overage", defaultColdLimitFactor)
-		n.ColdSlack = s.Float64("cold_slack", defaultColdLimitSlack)
-		n.DrainFor = s.Duration("drain_for", defaultDrainPeriod)
+		n.ColdLimitFactor = s.Float64("cold_overage", defaultColdLimitFactor)
+		n.ColdLimitSlack = s.Float64("cold_slack", defaultColdLimitSlack)
+		n.DrainPeriod = s.Duration("drain_for", defaultDrainPeriod)
 	case "models":
 		n.readModels(s)
 	case "cloud":
@@ -149,8 +149,8 @@
 	case "regions":
 		n.Regions = s.ValueMap()
 	case "repeats":
-		n.RepeatPart = s.Float64("part", defaultRetryFraction)
-		n.RepeatBurst = s.Float64("burst", defaultRetryBurst)
+		n.RetryFraction = s.Float64("part", defaultRetryFraction)
+		n.RetryBurst = s.Float64("burst", defaultRetryBurst)
 	}
 }
 
@@ -172,28 +172,28 @@
 // not called if the address is empty.
 func (n *Node) readCloud(s *inifile.Section) {
 	if s.Value("address") != "" {
-		n.Cloud = readAddress(s, "address")
+		n.CloudAddr = readAddress(s, "address")
 	}
 	l := s.Values("duties")
-	n.ReportsUsage, n.Scales = slices.Contains(l, dutyUsage), slices.Contains(l, dutyScaling)
+	n.ReportsUsage, n.Autoscales = slices.Contains(l, dutyUsage), slices.Contains(l, dutyScaling)
 	n.UsageWindow = time.Duration(s.Float64("usage_window_s", defaultUsageWindow.Seconds()) * float64(time.Second))
-	n.UsageLate = time.Duration(s.Float64("usage_late_s", defaultMaxUsageDelay.Seconds()) * float64(time.Second))
-	if n.UsageWindow < time.Second || n.UsageLate < time.Second {
+	n.MaxUsageDelay = time.Duration(s.Float64("usage_late_s", defaultMaxUsageDelay.Seconds()) * float64(time.Second))
+	if n.UsageWindow < time.Second || n.MaxUsageDelay < time.Second {
 		s.AddError("usage_window_s", "usage_window_s and usage_late_s must be at least one second")
 	}
 }
 
 // readNode reads the node section.
 func (n *Node) readNode(s *inifile.Section) {
-	n.ID = s.Need("id")
-	n.DataCentre = s.Need("data_centre")
+	n.ID = s.Required("id")
+	n.DataCentre = s.Required("data_centre")
 	n.Listen = readAddress(s, "listen")
-	n.Ready = readAddress(s, "ready_listen")
-	n.Metrics = readAddress(s, "metrics_listen")
-	n.Peers = readAddress(s, "peers_listen")
-	n.Store = readAddress(s, "store")
+	n.ReadyListen = readAddress(s, "ready_listen")
+	n.MetricsListen = readAddress(s, "metrics_listen")
+	n.PeersListen = readAddress(s, "peers_listen")
+	n.StoreAddr = readAddress(s, "store")
 	n.FirstStart = s.Bool("first_start", false)
-	n.ApplyWithin = s.Duration("apply_within", defaultMaxApplyDelay)
-	n.StopWithin = s.Duration("stop_within", defaultNodeStopTimeout)
+	n.MaxApplyDelay = s.Duration("apply_within", defaultMaxApplyDelay)
+	n.StopTimeout = s.Duration("stop_within", defaultNodeStopTimeout)
 	n.Level = readLevel(s)
 }
--- a/audit/audit.go
+++ b/audit/audit.go
@@ -1,34 +1,35 @@
-// Package audit holds the entries of the trail of changes. An entry is
-// written in the same transaction as the change that it tells of.
+// Package audit defines the entries of the audit trail. An entry is written in the same
+// transaction as the change that it records.
 package audit
 
 import "time"
 
-// Action names a kind of change.
+// Action is the kind of a recorded change.
 type Action string
 
-// The actions that leave an entry.
+// The actions that are recorded.
 const (
-	Accept     Action = "accept"
-	Withdraw   Action = "withdraw"
-	Reinstate  Action = "reinstate"
-	StartRoll  Action = "rollout-start"
-	StepRoll   Action = "rollout-step"
-	TripRoll   Action = "rollout-trip"
-	HaltRoll   Action = "rollout-halt"
-	RotateKeys Action = "keys-rotate"
-	Restore    Action = "restore"
+	Accept       Action = "accept"
+	Withdraw     Action = "withdraw"
+	Reinstate    Action = "reinstate"
+	StartRollout Action = "rollout-start"
+	StepRollout  Action = "rollout-step"
+	TripRollout  Action = "rollout-trip"
+	HaltRollout  Action = "rollout-halt"
+	RotateKeys   Action = "keys-rotate"
+	Restore      Action = "restore"
 )
 
-// Entry tells of one change: who made it, when, from what to what, and why.
+// Entry records one change: who made it and when, the old and the new value, and the
+// reason.
 type Entry struct {
 	Revision uint64
 	ChangeID string
 	Team     string
-	Who      string
+	Actor    string
 	At       time.Time
 	Action   Action
 	From     string
 	To       string
-	Why      string
+	Reason   string
 }
--- a/bill/bill.go
+++ b/bill/bill.go
@@ -51,19 +51,19 @@
 	Owner string
 	Seq   uint64
 	Line  Line
-	// Add is the amount to be added to the ledger's line.
-	Add Amount
+	// Amount is the amount to be added to the ledger's line.
+	Amount Amount
 }
 
 // Ledger holds the cumulative amounts of one entry incarnation. It is immutable.
 type Ledger struct {
 	Owner string
-	// Upto is the number up to which all records are settled: counted, or found
+	// SettledUpto is the number up to which all records are settled: counted, or found
 	// to be duplicates.
-	Upto uint64
-	// Above holds the settled numbers beyond that.
-	Above map[uint64]bool
-	Sums  map[Line]Amount
+	SettledUpto uint64
+	// SettledAbove holds the settled numbers beyond that.
+	SettledAbove map[uint64]bool
+	Sums         map[Line]Amount
 	// Changes grows with each change by the owner and so orders the ledgers of
 	// one owner.
 	Changes uint64
@@ -77,7 +77,7 @@
 // IsSettled reports whether the record with that number is counted in l or was
 // found to be a duplicate.
 func (l Ledger) IsSettled(seq uint64) bool {
-	return seq <= l.Upto || l.Above[seq]
+	return seq <= l.SettledUpto || l.SettledAbove[seq]
 }
 
 // With returns l with the record counted. A record that is settled already is not
@@ -90,7 +90,7 @@
 	if l.Sums == nil {
 		l.Sums = map[Line]Amount{}
 	}
-	l.Sums[r.Line] = l.Sums[r.Line].Plus(r.Add)
+	l.Sums[r.Line] = l.Sums[r.Line].Plus(r.Amount)
 	return l.markSettled(r.Seq)
 }
 
@@ -107,16 +107,16 @@
 // are settled advances over those that follow it without a gap.
 func (l Ledger) markSettled(seq uint64) Ledger {
 	l.Changes++
-	a := maps.Clone(l.Above)
+	a := maps.Clone(l.SettledAbove)
 	if a == nil {
 		a = map[uint64]bool{}
 	}
 	a[seq] = true
-	for a[l.Upto+1] {
-		l.Upto++
-		delete(a, l.Upto)
+	for a[l.SettledUpto+1] {
+		l.SettledUpto++
+		delete(a, l.SettledUpto)
 	}
-	l.Above = a
+	l.SettledAbove = a
 	return l
 }
 
@@ -139,12 +139,12 @@
 
 // Covers reports whether all records that are settled in o are settled in l.
 func (l Ledger) Covers(o Ledger) bool {
-	for n := l.Upto + 1; n <= o.Upto; n++ {
-		if !l.Above[n] {
+	for n := l.SettledUpto + 1; n <= o.SettledUpto; n++ {
+		if !l.SettledAbove[n] {
 			return false
 		}
 	}
-	for n := range o.Above {
+	for n := range o.SettledAbove {
 		if !l.IsSettled(n) {
 			return false
 		}
--- a/bill/bill_test.go
+++ b/bill/bill_test.go
@@ -20,7 +20,7 @@
 
 // record returns a record of one request with cost seq.
 func record(owner, id string, seq uint64) bill.Record {
-	return bill.Record{RequestID: id, Owner: owner, Seq: seq, Line: line, Add: bill.Amount{Requests: 1, Cost: seq}}
+	return bill.Record{RequestID: id, Owner: owner, Seq: seq, Line: line, Amount: bill.Amount{Requests: 1, Cost: seq}}
 }
 
 // Guards against records that are counted twice or not at all when they are settled
@@ -33,7 +33,7 @@
 		for i := 1; i <= n; i++ {
 			void[i] = rapid.IntRange(0, 4).Draw(t, "void") == 0
 			if !void[i] {
-				want = want.Plus(record("o", "", uint64(i)).Add)
+				want = want.Plus(record("o", "", uint64(i)).Amount)
 			}
 		}
 		order := rapid.Permutation(numbers(n)).Draw(t, "order")
@@ -44,8 +44,8 @@
 			}
 			l = l.With(record("o", "", uint64(i)))
 		}
-		if l.Total() != want || l.Upto != uint64(n) || len(l.Above) != 0 {
-			t.Fatalf("got total %+v up to %d, want %+v up to %d", l.Total(), l.Upto, want, n)
+		if l.Total() != want || l.SettledUpto != uint64(n) || len(l.SettledAbove) != 0 {
+			t.Fatalf("got total %+v up to %d, want %+v up to %d", l.Total(), l.SettledUpto, want, n)
 		}
 	})
 }
@@ -66,12 +66,12 @@
 		for firstAt1 := range 2 {
 			for firstAt2 := range 2 {
 				r := []bill.Record{record("a", "id", 1), record("b", "id", 1)}
-				w := [2][]bill.Word{}
+				w := [2][]bill.HoldResult{}
 				for n, first := range []int{firstAt1, firstAt2} {
 					if gap > 0 && n == 1 && firstAt1 != firstAt2 {
 						continue
 					}
-					b := bill.NewBook()
+					b := bill.NewHeldRecords()
 					w[first] = append(w[first], b.Hold(r[first], noon))
 					w[1-first] = append(w[1-first], b.Hold(r[1-first], noon.Add(gap)))
 				}
@@ -92,7 +92,7 @@
 // Guards against held records that grow without limit while the store is unreachable for
 // hours, and against those that are kept after the store has them and their window ended.
 func TestHeldRecordsAreBoundedThroughHoursOfOutage(t *testing.T) {
-	b := bill.NewBook()
+	b := bill.NewHeldRecords()
 	const most = 150_000
 	for i := range uint64(most + 1000) {
 		b.Hold(record("o", string(rune(i))+"/"+time.Duration(i).String(), i), noon)
@@ -100,7 +100,7 @@
 	if b.Len() > most || b.Dropped != 1000 {
 		t.Errorf("got %d held and %d dropped, want at most %d and 1000", b.Len(), b.Dropped, most)
 	}
-	b.MarkFlushed(bill.Ledger{Owner: "o", Upto: most + 1000})
+	b.MarkFlushed(bill.Ledger{Owner: "o", SettledUpto: most + 1000})
 	b.Expire(noon.Add(bill.DuplicateWindow))
 	if b.Len() != 0 {
 		t.Errorf("got %d held after the store has them all, want 0", b.Len())
@@ -124,10 +124,10 @@
 		{"the dead owner is higher, only its holder is reached", "b", "a", []int{0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			books := []*bill.Book{bill.NewBook(), bill.NewBook()}
+			books := []*bill.HeldRecords{bill.NewHeldRecords(), bill.NewHeldRecords()}
 			dead, alive := record(c.dead, "id", 1), record(c.alive, "id", 1)
 			books[0].Hold(dead, noon)
-			var w []bill.Word
+			var w []bill.HoldResult
 			for _, i := range c.reached {
 				w = append(w, books[i].Hold(alive, noon.Add(100*time.Millisecond)))
 			}
--- a/biller/biller.go
+++ b/biller/biller.go
@@ -28,9 +28,9 @@
 	maxPending = 100_000
 )
 
-// Holder is a client that stores and deletes bill records at the instance m.
-type Holder interface {
-	Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.Word, error)
+// HolderClient is a client that stores and deletes bill records at the instance m.
+type HolderClient interface {
+	Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.HoldResult, error)
 	Release(ctx context.Context, m peer.Member, r bill.Record) error
 }
 
@@ -40,7 +40,7 @@
 // pending, because an isolated instance can't determine whether the caller has
 // retried the request at another one.
 type Biller struct {
-	holder Holder
+	holder HolderClient
 	// members returns the live instances of the fleet.
 	members func() []peer.Member
 	self    string
@@ -60,10 +60,10 @@
 	seenPeer bool
 	// lastUnheldSeq is the number of the last record counted without a holder.
 	lastUnheldSeq uint64
-	// Alone is the number of bills that no other instance held in time.
-	Alone atomic.Uint64
-	// Repeats is the number of bills found to be duplicates.
-	Repeats atomic.Uint64
+	// Unheld is the number of bills that no other instance held in time.
+	Unheld atomic.Uint64
+	// Duplicates is the number of bills found to be duplicates.
+	Duplicates atomic.Uint64
 	// Log is called for each record that no other instance held in time and for
 	// each duplicate; it may be nil.
 	Log func(event string, fields ...any)
@@ -94,7 +94,7 @@
 }
 
 // New returns a biller for the entry incarnation on the instance self.
-func New(h Holder, members func() []peer.Member, self, incarnation string) *Biller {
+func New(h HolderClient, members func() []peer.Member, self, incarnation string) *Biller {
 	return &Biller{holder: h, members: members, self: self, offerSlot: make(chan struct{}, 1), ledger: bill.NewLedger(incarnation)}
 }
 
@@ -105,9 +105,9 @@
 	return b.ledger
 }
 
-// AloneUpto returns the number of the last counted record that no other instance
+// LastUnheldSeq returns the number of the last counted record that no other instance
 // holds. A planned stop must wait until the store has it.
-func (b *Biller) AloneUpto() uint64 {
+func (b *Biller) LastUnheldSeq() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.lastUnheldSeq
@@ -128,7 +128,7 @@
 	if b.offer(context.Background(), r) {
 		return
 	}
-	b.Alone.Add(1)
+	b.Unheld.Add(1)
 	b.log("bill_pending", r)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -144,7 +144,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.seq++
-	return bill.Record{RequestID: id, Owner: b.ledger.Owner, Seq: b.seq, Line: l, Add: a}
+	return bill.Record{RequestID: id, Owner: b.ledger.Owner, Seq: b.seq, Line: l, Amount: a}
 }
 
 // offer sends the record to its holders, and to its spares in batches while no
@@ -170,7 +170,7 @@
 		b.updateLedger(func(l bill.Ledger) bill.Ledger { return l.With(r) })
 		return true
 	}
-	b.Repeats.Add(1)
+	b.Duplicates.Add(1)
 	b.log("bill_repeat", r, "first", bill.DuplicateOwners(w))
 	b.updateLedger(func(l bill.Ledger) bill.Ledger { return l.WithDuplicate(r.Seq) })
 	b.release(ctx, h, r)
@@ -181,7 +181,7 @@
 // that this entry generated can't be retried at another instance, so that the
 // instance's own partners may hold its bill.
 func (b *Biller) holders(r bill.Record, m []peer.Member) (hold, spare []peer.Member) {
-	if !strings.HasPrefix(r.RequestID, MintedPrefix) {
+	if !strings.HasPrefix(r.RequestID, GeneratedIDPrefix) {
 		return peer.Holders(r.RequestID, m)
 	}
 	d := ""
@@ -190,12 +190,12 @@
 			d = x.DataCentre
 		}
 	}
-	return peer.NearHolders(b.self, d, m)
+	return peer.PartnerHolders(b.self, d, m)
 }
 
-// MintedPrefix is the prefix of the ids that entries generate for requests without
+// GeneratedIDPrefix is the prefix of the ids that entries generate for requests without
 // one.
-const MintedPrefix = "fieldvale-"
+const GeneratedIDPrefix = "fieldvale-"
 
 // recordPeers notes whether m has an instance other than this one.
 func (b *Biller) recordPeers(m []peer.Member) {
@@ -215,9 +215,9 @@
 
 // holdAt sends the record to the holders in parallel and returns their results; n is
 // the number of other instances that responded.
-func (b *Biller) holdAt(x context.Context, h []peer.Member, r bill.Record) (w []bill.Word, n int) {
+func (b *Biller) holdAt(x context.Context, h []peer.Member, r bill.Record) (w []bill.HoldResult, n int) {
 	e := make([]error, len(h))
-	all := make([]bill.Word, len(h))
+	all := make([]bill.HoldResult, len(h))
 	var g sync.WaitGroup
 	for i := range h {
 		g.Go(func() { all[i], e[i] = b.holder.Hold(x, h[i], r) })
@@ -303,9 +303,9 @@
 	b.lastUnheldSeq = max(b.lastUnheldSeq, r.Seq)
 }
 
-// Settle settles the pending records before a planned stop: it offers them until
+// SettlePending settles the pending records before a planned stop: it offers them until
 // holders have them or ctx ends, and counts the rest without a holder.
-func (b *Biller) Settle(ctx context.Context) {
+func (b *Biller) SettlePending(ctx context.Context) {
 	for ctx.Err() == nil {
 		if b.offerPending(ctx) == 0 || !b.hasPeers() {
 			break
--- a/biller/biller_test.go
+++ b/biller/biller_test.go
@@ -15,12 +15,12 @@
 
 // lossyHolder is a holder whose first releases fail, as if no response arrived.
 type lossyHolder struct {
-	records *bill.Book
+	records *bill.HeldRecords
 	// failReleases is how many more releases fail.
 	failReleases int
 }
 
-func (h *lossyHolder) Hold(_ context.Context, _ peer.Member, r bill.Record) (bill.Word, error) {
+func (h *lossyHolder) Hold(_ context.Context, _ peer.Member, r bill.Record) (bill.HoldResult, error) {
 	return h.records.Hold(r, time.Now()), nil
 }
 
@@ -40,7 +40,7 @@
 func TestReleaseOfADuplicateIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		line := bill.Line{Team: "t", Customer: "c"}
-		h := &lossyHolder{records: bill.NewBook(), failReleases: 2}
+		h := &lossyHolder{records: bill.NewHeldRecords(), failReleases: 2}
 		h.records.Hold(bill.Record{RequestID: "q", Owner: "b/1", Seq: 1, Line: line}, time.Now())
 		b := New(h, func() []peer.Member { return []peer.Member{{ID: "a"}, {ID: "c"}} }, "a", "a/1")
 		b.Bill("q", line, bill.Amount{Requests: 1})
@@ -62,15 +62,15 @@
 // fleetHolder keeps the records of several holders by instance. The dead instance
 // doesn't respond.
 type fleetHolder struct {
-	records map[string]*bill.Book
+	records map[string]*bill.HeldRecords
 	dead    string
 }
 
 var errNoResponse = errors.New("no response")
 
-func (b fleetHolder) Hold(_ context.Context, m peer.Member, r bill.Record) (bill.Word, error) {
+func (b fleetHolder) Hold(_ context.Context, m peer.Member, r bill.Record) (bill.HoldResult, error) {
 	if m.ID == b.dead {
-		return bill.Word{}, errNoResponse
+		return bill.HoldResult{}, errNoResponse
 	}
 	return b.records[m.ID].Hold(r, time.Now()), nil
 }
@@ -105,11 +105,11 @@
 					continue
 				}
 				synctest.Test(t, func(t *testing.T) {
-					all := fleetHolder{records: map[string]*bill.Book{}, dead: "i0"}
+					all := fleetHolder{records: map[string]*bill.HeldRecords{}, dead: "i0"}
 					for _, x := range m {
-						all.records[x.ID] = bill.NewBook()
+						all.records[x.ID] = bill.NewHeldRecords()
 					}
-					all.records[only.ID].Hold(bill.Record{RequestID: id, Owner: "i0/1", Seq: 1, Line: line, Add: bill.Amount{Requests: 1}}, time.Now())
+					all.records[only.ID].Hold(bill.Record{RequestID: id, Owner: "i0/1", Seq: 1, Line: line, Amount: bill.Amount{Requests: 1}}, time.Now())
 					self := m[1+i%(n-1)].ID
 					b := New(all, func() []peer.Member { return m }, self, self+"/1")
 					b.Bill(id, line, bill.Amount{Requests: 1})
@@ -131,9 +131,9 @@
 // unreachableHolder is an unreachable holder whose calls fail after the given time.
 type unreachableHolder time.Duration
 
-func (h unreachableHolder) Hold(ctx context.Context, _ peer.Member, _ bill.Record) (bill.Word, error) {
+func (h unreachableHolder) Hold(ctx context.Context, _ peer.Member, _ bill.Record) (bill.HoldResult, error) {
 	time.Sleep(time.Duration(h))
-	return bill.Word{}, errNoResponse
+	return bill.HoldResult{}, errNoResponse
 }
 
 func (h unreachableHolder) Release(context.Context, peer.Member, bill.Record) error {
@@ -155,7 +155,7 @@
 			b.Bill("q", bill.Line{Team: "t", Customer: "c"}, bill.Amount{Requests: 1})
 			end, cancel := context.WithTimeout(t.Context(), 8*time.Second)
 			defer cancel()
-			b.Settle(end)
+			b.SettlePending(end)
 			if end.Err() == nil {
 				t.Errorf("got an end before the deadline with %d requests counted, want offers until the deadline", b.Ledger().Total().Requests)
 			}
--- a/cmd/fieldvale-node/announce.go
+++ b/cmd/fieldvale-node/announce.go
@@ -34,12 +34,12 @@
 
 // self returns this instance as a member of the fleet, as it is announced to others.
 func (n *node) self() peer.Member {
-	return peer.Member{ID: n.settings.ID, Addr: n.settings.Peers, DataCentre: n.settings.DataCentre, LinkMbps: n.settings.LinkMbps}
+	return peer.Member{ID: n.settings.ID, Addr: n.settings.PeersListen, DataCentre: n.settings.DataCentre, LinkMbps: n.settings.LinkMbps}
 }
 
 // offerEarlierAnnouncement passes the announcement of an earlier run of this instance to
 // announce; the zero value if there is none. All calls after the first have no effect.
-func (n *node) offerEarlierAnnouncement(a store.Announced) {
+func (n *node) offerEarlierAnnouncement(a store.LeasedKey) {
 	select {
 	case n.earlierAnnouncement <- a:
 	default:
@@ -55,7 +55,7 @@
 	if err != nil {
 		return errors.Wrap(err, "node.announce")
 	}
-	var a store.Announced
+	var a store.LeasedKey
 	select {
 	case a = <-n.earlierAnnouncement:
 	case <-ctx.Done():
@@ -63,7 +63,7 @@
 	}
 	register := false
 	if a.Lease == 0 {
-		register = n.awaitRegistration(ctx, registrationDelay+rand.N(registrationJitter), func() bool { return n.drawRegistration(roster.Joins) })
+		register = n.awaitRegistration(ctx, registrationDelay+rand.N(registrationJitter), func() bool { return n.drawRegistration(roster.JoinProbability) })
 	}
 	for ctx.Err() == nil {
 		if a.Lease != 0 || register {
@@ -72,7 +72,7 @@
 			}
 		}
 		register = n.awaitRegistration(ctx, renewInterval, func() bool {
-			return register && n.drawRegistration(roster.Joins) || n.drawRegistration(roster.JoinsLater)
+			return register && n.drawRegistration(roster.JoinProbability) || n.drawRegistration(roster.LateJoinProbability)
 		})
 	}
 	return nil
@@ -109,7 +109,7 @@
 
 // renewAnnouncement renews the announcement, or makes a new one if there is none or it has
 // expired.
-func (n *node) renewAnnouncement(ctx context.Context, a store.Announced, value []byte) (store.Announced, error) {
+func (n *node) renewAnnouncement(ctx context.Context, a store.LeasedKey, value []byte) (store.LeasedKey, error) {
 	callCtx, cancel := context.WithTimeout(ctx, storeWriteTimeout)
 	defer cancel()
 	if a.Lease != 0 {
@@ -120,7 +120,7 @@
 	}
 	b, err := n.store.Announce(callCtx, platform.MemberKey(n.settings.ID), value, announcementTTL)
 	if err != nil {
-		return store.Announced{}, err
+		return store.LeasedKey{}, err
 	}
 	n.logEvent("listed", "listed_others", n.state.RegisteredCount())
 	return b, nil
--- a/cmd/fieldvale-node/dutyworker.go
+++ b/cmd/fieldvale-node/dutyworker.go
@@ -44,15 +44,15 @@
 type dutyWorker struct {
 	node        *node
 	client      *platform.DutyClient
-	tenure      *duty.Tenure
+	tenure      *duty.State
 	tally       *usage.Tally
-	book        *usage.Book
+	book        *usage.FleetCounts
 	incarnation uint64
 
 	// lease, reported and planners are only used by the goroutine of run. lease is the
 	// duty's lease while this instance is the holder, reported are the windows whose usage
 	// this instance has reported, and planners are by service.
-	lease    store.Announced
+	lease    store.LeasedKey
 	reported map[int64]bool
 	planners map[string]*scaling.Planner
 
@@ -73,20 +73,20 @@
 // newDutyWorker returns the duty worker of an instance; nil if the settings name no address
 // for the platform's calls.
 func newDutyWorker(n *node) *dutyWorker {
-	if n.settings.Cloud == "" {
+	if n.settings.CloudAddr == "" {
 		return nil
 	}
 	return &dutyWorker{
-		node: n, client: platform.NewDutyClient(exchange.New(n.clock), n.settings.Cloud, n.settings.ID), tenure: duty.New(n.settings.ID), tally: usage.NewTally(n.settings.UsageWindow), book: usage.NewBook(),
+		node: n, client: platform.NewDutyClient(exchange.New(n.clock), n.settings.CloudAddr, n.settings.ID), tenure: duty.New(n.settings.ID), tally: usage.NewTally(n.settings.UsageWindow), book: usage.NewFleetCounts(),
 		incarnation: startID(), reported: map[int64]bool{}, planners: map[string]*scaling.Planner{}, recorded: map[int64]usage.Counts{}, loads: map[string]instanceLoad{},
 	}
 }
 
 // HolderChanged implements platform.DutyListener.
-func (c *dutyWorker) HolderChanged(h duty.Holder) { c.tenure.Seen(h, c.node.clock()) }
+func (c *dutyWorker) HolderChanged(h duty.Holder) { c.tenure.RecordHolder(h, c.node.clock()) }
 
 // HolderGone implements platform.DutyListener.
-func (c *dutyWorker) HolderGone(now time.Time) { c.tenure.Free(now) }
+func (c *dutyWorker) HolderGone(now time.Time) { c.tenure.RecordVacancy(now) }
 
 // UsageRecorded implements platform.DutyListener.
 func (c *dutyWorker) UsageRecorded(window int64, x usage.Counts) {
@@ -111,7 +111,7 @@
 			c.sendUsage()
 		}
 		c.maintainDuty(ctx)
-		if f, ok := c.tenure.Fence(c.node.clock()); ok {
+		if f, ok := c.tenure.FencingToken(c.node.clock()); ok {
 			c.performDuties(ctx, f)
 		}
 	}
@@ -122,7 +122,7 @@
 	if c.node.settings.ReportsUsage {
 		c.reportUsage(ctx, fence)
 	}
-	if c.node.settings.Scales {
+	if c.node.settings.Autoscales {
 		c.scale(ctx, fence)
 	}
 }
@@ -130,10 +130,10 @@
 // wireUsage is the message in which an instance reports all its counts of requests since
 // its start, and the number of its requests in progress by service.
 type wireUsage struct {
-	From        string         `json:"from"`
-	Incarnation uint64         `json:"life"`
-	Windows     usage.Windows  `json:"windows"`
-	Running     map[string]int `json:"running"`
+	From        string               `json:"from"`
+	Incarnation uint64               `json:"life"`
+	Windows     usage.CountsByWindow `json:"windows"`
+	Running     map[string]int       `json:"running"`
 }
 
 // sendUsage sends this instance's counts and load to the holder of the duty and to the
@@ -182,7 +182,7 @@
 
 // recordUsageReport stores an instance's counts and load; later reports replace it.
 func (c *dutyWorker) recordUsageReport(u wireUsage) {
-	c.book.Report(u.From, u.Incarnation, u.Windows)
+	c.book.Merge(u.From, u.Incarnation, u.Windows)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.loads[u.From] = instanceLoad{u.Running, c.node.clock()}
@@ -198,24 +198,24 @@
 	defer cancel()
 	now := c.node.clock()
 	switch rank := slices.IndexFunc(c.rankForDuty(), func(m peer.Member) bool { return m.ID == c.node.settings.ID }); {
-	case c.tenure.HasLapsed(now):
+	case c.tenure.HasExpired(now):
 		c.loseDuty("its lease has run out")
-	case c.tenure.Renews(now):
+	case c.tenure.NeedsRenewal(now):
 		c.renewDuty(callCtx)
-	case rank >= 0 && c.node.isConfigConfirmed() && c.tenure.IsDue(rank, now):
+	case rank >= 0 && c.node.isConfigConfirmed() && c.tenure.ShouldClaim(rank, now):
 		c.claimDuty(callCtx, now)
 	}
 }
 
 // claimDuty tries to acquire the duty in the store.
 func (c *dutyWorker) claimDuty(ctx context.Context, now time.Time) {
-	a, fence, err := c.node.store.ClaimDuty(ctx, c.node.settings.ID, c.node.settings.Peers, duty.TTL)
+	a, fence, err := c.node.store.ClaimDuty(ctx, c.node.settings.ID, c.node.settings.PeersListen, duty.TTL)
 	if err != nil || fence == 0 {
 		c.node.logEvent("duty_not_won", "error", err)
 		return
 	}
 	c.lease = a
-	c.tenure.Won(fence, now, a.RenewBy)
+	c.tenure.RecordAcquired(fence, now, a.RenewBy)
 	c.node.logEvent("duty_won", "fence", fence)
 }
 
@@ -232,12 +232,12 @@
 		return
 	}
 	c.lease = a
-	c.tenure.Renewed(c.node.clock(), a.RenewBy)
+	c.tenure.RecordRenewed(c.node.clock(), a.RenewBy)
 }
 
 // loseDuty gives up the duty and logs the reason.
 func (c *dutyWorker) loseDuty(reason string) {
-	c.tenure.Lost(c.node.clock())
+	c.tenure.RecordLost(c.node.clock())
 	c.node.logEvent("duty_lost", "reason", reason)
 }
 
@@ -245,7 +245,7 @@
 // each report in the store first: if the answer is lost, or the duty passes to another
 // instance, the window is reported again, and both reports must be the same.
 func (c *dutyWorker) reportUsage(ctx context.Context, fence int64) {
-	for _, w := range usage.Due(c.node.clock(), c.node.settings.UsageWindow, c.node.settings.UsageLate) {
+	for _, w := range usage.DueWindows(c.node.clock(), c.node.settings.UsageWindow, c.node.settings.MaxUsageDelay) {
 		if c.reported[w] {
 			continue
 		}
@@ -262,7 +262,7 @@
 		}
 		c.reported[w] = err == nil && counts != nil
 	}
-	now := usage.Window(c.node.clock(), c.node.settings.UsageWindow)
+	now := usage.WindowNumber(c.node.clock(), c.node.settings.UsageWindow)
 	maps.DeleteFunc(c.reported, func(w int64, _ bool) bool { return w < now-keptUsageWindows })
 }
 
@@ -308,7 +308,7 @@
 		p = scaling.NewPlanner()
 		c.planners[s.Name] = p
 	}
-	p.Saw(c.fleetLoad(s.Name, now), now)
+	p.RecordLoad(c.fleetLoad(s.Name, now), now)
 	steady := (rel.Order == 0 || rel.State != rollout.Running) && c.node.state.EvacuatedCount() == 0
 	b := scaling.Bounds{Min: s.Scaling.Min, Max: s.Scaling.Max, Slots: s.Slots}
 	for zone, n := range p.Plan(c.replicasByDataCentre(s.Name), b, steady, now) {
@@ -321,7 +321,7 @@
 			return
 		}
 		if err == nil {
-			p.Ordered(zone, n)
+			p.RecordOrder(zone, n)
 		}
 	}
 }
@@ -344,16 +344,16 @@
 
 // replicasByDataCentre returns the number of the service's replicas that are not draining,
 // by data centre.
-func (c *dutyWorker) replicasByDataCentre(service string) []scaling.Zone {
+func (c *dutyWorker) replicasByDataCentre(service string) []scaling.DataCentre {
 	n := map[string]int{}
 	for _, r := range c.node.view.Get().Replicas {
 		if r.Service == service && !r.Draining {
 			n[r.DataCentre]++
 		}
 	}
-	var l []scaling.Zone
+	var l []scaling.DataCentre
 	for _, z := range slices.Sorted(maps.Keys(n)) {
-		l = append(l, scaling.Zone{Name: z, Replicas: n[z]})
+		l = append(l, scaling.DataCentre{Name: z, Replicas: n[z]})
 	}
 	return l
 }
--- a/cmd/fieldvale-node/dutyworker_test.go
+++ b/cmd/fieldvale-node/dutyworker_test.go
@@ -91,8 +91,8 @@
 	s.startReplica("a", "v1")
 	p := newPlatformAPI(t)
 	change := func(n *settings.Node) {
-		n.Cloud, n.ReportsUsage = p.Listener.Addr().String(), true
-		n.UsageWindow, n.UsageLate = time.Second, 8*time.Second
+		n.CloudAddr, n.ReportsUsage = p.Listener.Addr().String(), true
+		n.UsageWindow, n.MaxUsageDelay = time.Second, 8*time.Second
 	}
 	l := []*testEnv{s}
 	for i, id := range []string{"n1", "n2", "n3"} {
--- a/cmd/fieldvale-node/follow.go
+++ b/cmd/fieldvale-node/follow.go
@@ -57,12 +57,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var earlierAnnouncement store.Announced
+	var earlierAnnouncement store.LeasedKey
 	m := make([]peer.Member, len(l))
 	for i, x := range l {
 		m[i] = x.Member
 		if x.Member == n.self() {
-			earlierAnnouncement = x.Announced
+			earlierAnnouncement = x.LeasedKey
 		}
 	}
 	if len(l) > 0 || !stale {
@@ -79,5 +79,5 @@
 		d = n.dutyWorker
 	}
 	on := relay.Tee{ChangeLog: n.changeLog, Listener: platform.NewListener(n.state, n.quarantine, d, n.clock, n.logEvent), Event: n.logEvent}
-	return mirror.New(n.relay, platform.WatchPrefix, relay.TimingFor(n.settings.ApplyWithin).StoreWait, n.clock, on)
+	return mirror.New(n.relay, platform.WatchPrefix, relay.TimingFor(n.settings.MaxApplyDelay).StoreWait, n.clock, on)
 }
--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -86,7 +86,7 @@
 	loggedTrials map[string]entry.ReleaseTrial
 	// earlierAnnouncement passes on the announcement of an earlier run of this instance,
 	// as the first read of the member list found it.
-	earlierAnnouncement chan store.Announced
+	earlierAnnouncement chan store.LeasedKey
 	// dutyWorker performs the duties that one instance at a time holds; nil where none is
 	// configured.
 	dutyWorker *dutyWorker
@@ -125,27 +125,27 @@
 func newNodeWithClock(c *clock.Clock, s settings.Node, path string, l log.Interface) *node {
 	n := &node{
 		settings: s, settingsPath: path, log: l, clock: c.Now, suspendClock: c, metrics: metrics.New(), view: entry.NewCurrentView(),
-		pendingRecords: make(chan state.Record), loggedTrials: map[string]entry.ReleaseTrial{}, earlierAnnouncement: make(chan store.Announced, 1), registerNow: make(chan struct{}, 1), pool: exchange.New(c.Now), stopping: make(chan struct{}),
+		pendingRecords: make(chan state.Record), loggedTrials: map[string]entry.ReleaseTrial{}, earlierAnnouncement: make(chan store.LeasedKey, 1), registerNow: make(chan struct{}, 1), pool: exchange.New(c.Now), stopping: make(chan struct{}),
 	}
-	n.lease = lease.New(time.Duration(confirmationFraction*float64(s.HonourFor)), s.ApplyWithin, keyExpiryRule(s), n.clock())
+	n.lease = lease.New(time.Duration(confirmationFraction*float64(s.RevokedKeyTTL)), s.MaxApplyDelay, keyExpiryRule(s), n.clock())
 	n.placer = placement.NewNode(s.ID, startID(), taggedTransport{n, tagPlacement}, n.clock, n.logEvent)
-	n.store = platform.NewStore(exchange.New(c.Now), s.Store, c.Now).WithCallObserver(n.registerStoreMetrics())
+	n.store = platform.NewStore(exchange.New(c.Now), s.StoreAddr, c.Now).WithCallObserver(n.registerStoreMetrics())
 	n.traffic = n.newTraffic()
 	n.pendingHeld = make(chan heldChange, pendingHeldLimit)
 	n.changeLog = relay.NewChangeLog()
 	n.relay = relay.NewNode(n.self(), startID(), relay.Ports{
 		ChangeLog: n.changeLog, Store: n.store, Net: taggedTransport{n, tagRelay}, Fetcher: countingFetcher{handover.NewClient(n.clock), n.traffic}, ListMembers: n.listMembers, Register: n.requestRegistration, Clock: n.clock, Event: n.logEvent,
-	}, relay.TimingFor(s.ApplyWithin))
+	}, relay.TimingFor(s.MaxApplyDelay))
 	n.quarantine = quarantine.NewNode(startID(), n.quarantineConfig())
 	n.registerQuarantineMetrics()
 	n.quota = quota.NewNode(startID(), n.quotaConfig())
 	n.registerQuotaMetrics()
-	n.notices = notice.NewTracker(n.clock, n.settings.DrainFor, n.logEvent)
+	n.notices = notice.NewTracker(n.clock, n.settings.DrainPeriod, n.logEvent)
 	n.registerNoticeMetrics()
 	n.state = state.New(n.view, n.lease, n.clock, n.logEvent, n.setMembers)
 	n.registerConfigMetrics()
-	n.metrics.Gauge("replicas_cold", "Replicas that have just started, as this instance knows.", func() float64 { return float64(n.state.ColdCount()) })
-	n.metrics.Gauge("data_centres_evacuated", "Data centres whose replicas get nothing.", func() float64 { return float64(n.state.EvacuatedCount()) })
+	n.metrics.GaugeFunc("replicas_cold", "Replicas that have just started, as this instance knows.", func() float64 { return float64(n.state.ColdCount()) })
+	n.metrics.GaugeFunc("data_centres_evacuated", "Data centres whose replicas get nothing.", func() float64 { return float64(n.state.EvacuatedCount()) })
 	n.releases = platform.NewReleaseWriter(n.store)
 	n.dutyWorker = newDutyWorker(n)
 	n.router = entry.NewRouter(n.routerPorts())
@@ -160,7 +160,7 @@
 // keyExpiryRule returns the configured rule for API keys while the configuration can't be
 // confirmed.
 func keyExpiryRule(s settings.Node) lease.ExpiryRule {
-	if s.KeysLenient {
+	if s.LenientKeys {
 		return lease.Lenient
 	}
 	return lease.Strict
@@ -191,8 +191,8 @@
 	return entry.Ports{
 		View: n.view, Clock: n.clock, Self: n.settings.ID, DataCentre: n.settings.DataCentre, Regions: n.settings.Regions, Placer: n.placer, Rand: rand.NewPCG(rand.Uint64(), rand.Uint64()), Hooks: n.routerHooks(),
 		Upstream: u, Prober: u, Quarantine: n.quarantine, AcceptConfidence: n.settings.AcceptConfidence,
-		Quota: n.quota, Notices: n.notices, ColdBound: quota.ColdBound{Overage: n.settings.ColdOverage, Slack: n.settings.ColdSlack},
-		FleetSize: n.relay.FleetSize, Retries: admission.Repeats{Part: retryRatioMargin * n.settings.RepeatPart, Burst: retryBurstMargin * n.settings.RepeatBurst},
+		Quota: n.quota, Notices: n.notices, ColdBound: quota.ColdBound{Overage: n.settings.ColdLimitFactor, Slack: n.settings.ColdLimitSlack},
+		FleetSize: n.relay.FleetSize, Retries: admission.RetryLimit{Ratio: retryRatioMargin * n.settings.RetryFraction, Burst: retryBurstMargin * n.settings.RetryBurst},
 	}
 }
 
@@ -225,16 +225,16 @@
 	if d.clients, err = socket.Open(n.settings.Listen); err != nil {
 		return d, err
 	}
-	if d.ready, err = socket.Open(n.settings.Ready); err != nil {
+	if d.ready, err = socket.Open(n.settings.ReadyListen); err != nil {
 		return d, err
 	}
-	if d.metrics, err = socket.Open(n.settings.Metrics); err != nil {
+	if d.metrics, err = socket.Open(n.settings.MetricsListen); err != nil {
 		return d, err
 	}
-	if d.peers, err = socket.Open(n.settings.Peers); err != nil {
+	if d.peers, err = socket.Open(n.settings.PeersListen); err != nil {
 		return d, err
 	}
-	n.socket, err = datagram.Listen(n.settings.Peers)
+	n.socket, err = datagram.Listen(n.settings.PeersListen)
 	return d, err
 }
 
@@ -245,7 +245,7 @@
 	if err != nil {
 		return errors.Wrap(err, "node.run")
 	}
-	n.logEvent("started", "peers", n.settings.Peers, "listen", d.clients.Addr(), "ready", d.ready.Addr(), "metrics", d.metrics.Addr(), "store", n.settings.Store, "keys", keyExpiryRule(n.settings), "honour_for", n.settings.HonourFor)
+	n.logEvent("started", "peers", n.settings.PeersListen, "listen", d.clients.Addr(), "ready", d.ready.Addr(), "metrics", d.metrics.Addr(), "store", n.settings.StoreAddr, "keys", keyExpiryRule(n.settings), "honour_for", n.settings.RevokedKeyTTL)
 	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g, runCtx := errgroup.WithContext(runCtx)
--- a/cmd/fieldvale-node/observe.go
+++ b/cmd/fieldvale-node/observe.go
@@ -37,7 +37,7 @@
 	}
 	return func(customer string, at time.Time) {
 		if customer != "" {
-			n.dutyWorker.tally.Saw(customer, at)
+			n.dutyWorker.tally.CountRequest(customer, at)
 		}
 	}
 }
@@ -89,12 +89,12 @@
 		}
 		n.logQuarantined(f)
 		age, _ := n.lease.Age(n.clock())
-		if age >= n.settings.ApplyWithin {
+		if age >= n.settings.MaxApplyDelay {
 			n.staleAnswers.WithLabelValues("routed").Inc()
 		}
 		n.logEvent("routed", "request", q.ID, "content", f.Fingerprint, "route", q.Route.Name, "customer", q.Customer.Name, "session", q.Session, "config", q.Table.Version, "config_age", age,
 			"service", f.Service, "replica", f.Replica, "tried", f.Tried, "left_out", f.Excluded, "release", f.Release, "model", f.Model, "confidence", f.Confidence, "dropped", f.Dropped, "doubt", f.Escalation,
-			"prompt", q.Prompt.In, "most", q.Prompt.MaxOut, "limited", f.SkippedCount, "passed_over", f.Skipped, "sends", f.Sends, "runs", f.Runs, "events", f.Events, "status", f.Status, "code", code, "run", f.Outcome, "cause", errorText(f.Cause), "stopped", f.StopReason,
+			"prompt", q.Prompt.InputTokens, "most", q.Prompt.MaxOutputTokens, "limited", f.SkippedCount, "passed_over", f.Skipped, "sends", f.Sends, "runs", f.Runs, "events", f.Events, "status", f.Status, "code", code, "run", f.Outcome, "cause", errorText(f.Cause), "stopped", f.StopReason,
 			"first", elapsed(f.FirstByteAt, q.ArrivedAt), "took", f.EndedAt.Sub(q.ArrivedAt), "allowed", q.Deadline.Sub(q.ArrivedAt))
 	}
 }
@@ -131,7 +131,7 @@
 	return func(id, host, path string, status int, reason string) {
 		c.WithLabelValues(reason).Inc()
 		age, _ := n.lease.Age(n.clock())
-		if age >= n.settings.ApplyWithin && status < http.StatusInternalServerError {
+		if age >= n.settings.MaxApplyDelay && status < http.StatusInternalServerError {
 			n.staleAnswers.WithLabelValues("denied").Inc()
 		}
 		n.logEvent("refused", "request", id, "host", host, "path", path, "status", status, "reason", reason, "config", n.configVersion(), "config_age", age)
--- a/cmd/fieldvale-node/store_test.go
+++ b/cmd/fieldvale-node/store_test.go
@@ -71,7 +71,7 @@
 func TestLenientNodeHonoursKeysDuringStoreOutage(t *testing.T) {
 	s := newTestEnv(t)
 	s.startReplica("a", "v1")
-	s.startWith(func(n *settings.Node) { n.HonourFor, n.KeysLenient = time.Second, true })
+	s.startWith(func(n *settings.Node) { n.RevokedKeyTTL, n.LenientKeys = time.Second, true })
 	s.store.Lock()
 	s.store.RefuseStatus = 503
 	s.store.Unlock()
@@ -137,7 +137,7 @@
 // fetchMetrics returns the node's metrics in the text format.
 func (s *testEnv) fetchMetrics() string {
 	s.t.Helper()
-	r, err := http.Get("http://" + s.node.settings.Metrics + "/metrics")
+	r, err := http.Get("http://" + s.node.settings.MetricsListen + "/metrics")
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/config/active.go
+++ b/config/active.go
@@ -10,11 +10,11 @@
 	"fieldvale/version"
 )
 
-// Active is a compiled configuration document: its policies are compiled and its
+// Compiled is a compiled configuration document: its policies are compiled and its
 // caller keys indexed. It is immutable and shared by all requests of an entry.
-type Active struct {
+type Compiled struct {
 	doc          Document
-	sessionKeys  session.Ring
+	sessionKeys  session.KeyRing
 	callers      map[string]Caller
 	tables       map[string]*policy.Table
 	services     map[string]catalog.Service
@@ -28,12 +28,12 @@
 	Customer catalog.Customer
 }
 
-// Activate compiles the document and returns all faults found. A document whose
+// Compile compiles the document and returns all faults found. A document whose
 // policies were checked when operators submitted them has none.
-func Activate(d Document) (*Active, []error) {
-	a := &Active{
+func Compile(d Document) (*Compiled, []error) {
+	a := &Compiled{
 		doc:          d,
-		sessionKeys:  session.NewRing(d.SessionKeys...),
+		sessionKeys:  session.NewKeyRing(d.SessionKeys...),
 		callers:      map[string]Caller{},
 		tables:       map[string]*policy.Table{},
 		services:     map[string]catalog.Service{},
@@ -49,7 +49,7 @@
 
 // addPart compiles the team's policy and indexes its customers, services and
 // versions.
-func (a *Active) addPart(p Part) []error {
+func (a *Compiled) addPart(p Part) []error {
 	t, e := policy.Compile(p.Source)
 	if len(e) > 0 {
 		return wrapErrors(e, p.Team)
@@ -81,29 +81,29 @@
 }
 
 // Document returns the document from which a was compiled.
-func (a *Active) Document() Document { return a.doc }
+func (a *Compiled) Document() Document { return a.doc }
 
 // Revision returns the document's revision.
-func (a *Active) Revision() uint64 { return a.doc.Revision }
+func (a *Compiled) Revision() uint64 { return a.doc.Revision }
 
-// Ring returns the key ring that signs and verifies session tokens.
-func (a *Active) Ring() session.Ring { return a.sessionKeys }
+// SessionKeys returns the key ring that signs and verifies session tokens.
+func (a *Compiled) SessionKeys() session.KeyRing { return a.sessionKeys }
 
 // Caller returns the customer whose API key this is.
-func (a *Active) Caller(key string) (Caller, bool) {
+func (a *Compiled) Caller(key string) (Caller, bool) {
 	c, ok := a.callers[catalog.HashKey(key)]
 	return c, ok
 }
 
 // Service returns the team's plain service with that name.
-func (a *Active) Service(team, name string) (catalog.Service, bool) {
+func (a *Compiled) Service(team, name string) (catalog.Service, bool) {
 	s, ok := a.services[team+"/"+name]
 	return s, ok
 }
 
 // Task returns the team's declaration of the task, or the default task if the team
 // declares none of that name.
-func (a *Active) Task(team, name string) catalog.Task {
+func (a *Compiled) Task(team, name string) catalog.Task {
 	if t, ok := a.tables[team]; ok {
 		for _, k := range t.Catalog().Tasks {
 			if k.Name == name {
@@ -116,7 +116,7 @@
 
 // Decide returns the plan of the caller's team's policy for a request, or nil if
 // the team has no policy.
-func (a *Active) Decide(c Caller, task string, z policy.Size) policy.Plan {
+func (a *Compiled) Decide(c Caller, task string, z policy.Size) policy.Plan {
 	t, ok := a.tables[c.Team]
 	if !ok {
 		return nil
@@ -124,19 +124,19 @@
 	return t.Decide(c.Customer.Name, task, z)
 }
 
-// MayRun reports whether new requests of the caller may be sent to the version:
+// IsAllowed reports whether new requests of the caller may be sent to the version:
 // the policy allows it and it is not withdrawn. It must be checked at each
 // dispatch, since a version can be withdrawn while a request waits.
-func (a *Active) MayRun(c Caller, v version.ID) bool {
+func (a *Compiled) IsAllowed(c Caller, v version.ID) bool {
 	t, ok := a.tables[c.Team]
 	return ok && !a.withdrawn[v] && t.Allows(c.Customer.Name, v)
 }
 
-// Cost returns the version's declaration, which has the prices of a call.
-func (a *Active) Cost(v version.ID) catalog.Version { return a.declarations[v] }
+// Declaration returns the version's declaration, which has the prices of a call.
+func (a *Compiled) Declaration(v version.ID) catalog.Version { return a.declarations[v] }
 
 // Withdrawn lists the withdrawn versions of all teams.
-func (a *Active) Withdrawn() []version.ID {
+func (a *Compiled) Withdrawn() []version.ID {
 	var r []version.ID
 	for _, t := range a.doc.Teams() {
 		r = append(r, a.doc.Parts[t].Withdrawn...)
@@ -144,13 +144,13 @@
 	return r
 }
 
-// Pick returns the version of the model for a caller's session: the version that
+// PickVersion returns the version of the model for a caller's session: the version that
 // the session is pinned to if the caller may still use it, else the version that
 // the share of a running roll-out assigns to the session, else the active one,
 // else any that the caller may use. A tripped version is not used as a pin or as
 // the target of a roll-out.
-func (a *Active) Pick(c Caller, model string, s session.Session, tripped func(version.ID) bool) (version.ID, bool) {
-	if v, ok := s.Pin(model); ok && a.MayRun(c, v) && !tripped(v) {
+func (a *Compiled) PickVersion(c Caller, model string, s session.Session, tripped func(version.ID) bool) (version.ID, bool) {
+	if v, ok := s.Pin(model); ok && a.IsAllowed(c, v) && !tripped(v) {
 		return v, true
 	}
 	p := a.doc.Part(c.Team)
@@ -160,11 +160,11 @@
 	}
 	r, hasRollout := p.Rollout(model)
 	if hasRollout && r.State == rollout.Running && r.From == v && !tripped(r.To) {
-		if n := r.VersionFor(s.ID); a.MayRun(c, n) {
+		if n := r.VersionFor(s.ID); a.IsAllowed(c, n) {
 			return n, true
 		}
 	}
-	if a.MayRun(c, v) {
+	if a.IsAllowed(c, v) {
 		return v, true
 	}
 	return a.anyAllowed(c, model)
@@ -172,9 +172,9 @@
 
 // anyAllowed returns the first declared version of the model that the caller may
 // use.
-func (a *Active) anyAllowed(c Caller, model string) (version.ID, bool) {
+func (a *Compiled) anyAllowed(c Caller, model string) (version.ID, bool) {
 	for _, v := range a.doc.Part(c.Team).Source.Catalog.Versions {
-		if v.ID.Model == model && a.MayRun(c, v.ID) {
+		if v.ID.Model == model && a.IsAllowed(c, v.ID) {
 			return v.ID, true
 		}
 	}
@@ -182,10 +182,10 @@
 }
 
 // Models lists the versions that the caller may use now.
-func (a *Active) Models(c Caller) []version.ID {
+func (a *Compiled) Models(c Caller) []version.ID {
 	var r []version.ID
 	for _, v := range a.doc.Part(c.Team).Source.Catalog.Versions {
-		if a.MayRun(c, v.ID) {
+		if a.IsAllowed(c, v.ID) {
 			r = append(r, v.ID)
 		}
 	}
--- a/config/change.go
+++ b/config/change.go
@@ -30,12 +30,12 @@
 	// Key is a new signing key for session tokens. The accept action uses it only
 	// if the document has no key yet.
 	Key session.Key
-	// Base is the revision of the team's part that the submitted policy is based
+	// BaseRevision is the revision of the team's part that the submitted policy is based
 	// on.
-	Base    uint64
-	Source  policy.Source
-	Version version.ID
-	Rollout rollout.Rollout
+	BaseRevision uint64
+	Source       policy.Source
+	Version      version.ID
+	Rollout      rollout.Rollout
 }
 
 // AnyBase as the base of an accept action skips the check for conflicts.
@@ -49,7 +49,7 @@
 		Team:    team,
 		Who:     "fieldvale",
 		Why:     "step is due",
-		Action:  audit.StepRoll,
+		Action:  audit.StepRollout,
 		Rollout: r,
 	}
 }
@@ -62,7 +62,7 @@
 		Team:    team,
 		Who:     "fieldvale",
 		Why:     why,
-		Action:  audit.TripRoll,
+		Action:  audit.TripRollout,
 		Rollout: r,
 	}
 }
@@ -83,7 +83,7 @@
 	if err != nil {
 		return d, nil, errors.Wrapf(err, "%s for team %s", c.Action, c.Team)
 	}
-	e := &audit.Entry{Revision: n.Revision, ChangeID: c.ID, Team: c.Team, Who: c.Who, At: c.At, Action: c.Action, From: f, To: t, Why: c.Why}
+	e := &audit.Entry{Revision: n.Revision, ChangeID: c.ID, Team: c.Team, Actor: c.Who, At: c.At, Action: c.Action, From: f, To: t, Reason: c.Why}
 	return n, e, nil
 }
 
@@ -97,9 +97,9 @@
 		return d.withdraw(p, c)
 	case audit.Reinstate:
 		return d.reinstate(p, c)
-	case audit.StartRoll:
+	case audit.StartRollout:
 		return d.startRollout(p, c)
-	case audit.StepRoll, audit.TripRoll, audit.HaltRoll:
+	case audit.StepRollout, audit.TripRollout, audit.HaltRollout:
 		return d.updateRollout(p, c)
 	case audit.RotateKeys:
 		n = d.withChange(c.ID).withSessionKey(c.Key)
@@ -121,8 +121,8 @@
 // is based on another revision than the one in force, names another team, or
 // declares models or caller keys of another team.
 func (d Document) accept(p Part, c Change) (Document, string, string, error) {
-	if c.Base != AnyBase && c.Base != p.Revision {
-		return d, "", "", errors.Wrapf(ErrConflict, "the change is based on revision %d, but revision %d is in force", c.Base, p.Revision)
+	if c.BaseRevision != AnyBase && c.BaseRevision != p.Revision {
+		return d, "", "", errors.Wrapf(ErrConflict, "the change is based on revision %d, but revision %d is in force", c.BaseRevision, p.Revision)
 	}
 	if c.Source.Catalog.Team != c.Team {
 		return d, "", "", errors.Newf("the policy's catalog names team %q, want %q", c.Source.Catalog.Team, c.Team)
@@ -218,12 +218,12 @@
 	if !ok || r.To != c.Rollout.To || r.State != rollout.Running {
 		return d, "", "", errors.Newf("there is no running roll-out to %s", c.Rollout.To)
 	}
-	if c.Action == audit.StepRoll && r.StepsTaken != c.Rollout.StepsTaken {
+	if c.Action == audit.StepRollout && r.StepsTaken != c.Rollout.StepsTaken {
 		return d, "", "", errors.Newf("step %d of the roll-out to %s was already taken", c.Rollout.StepsTaken, r.To)
 	}
 	n := rolloutAfter(r, c.Action)
 	q := p.withRollout(n)
-	if c.Action == audit.TripRoll && !q.IsWithdrawn(n.To) {
+	if c.Action == audit.TripRollout && !q.IsWithdrawn(n.To) {
 		q = q.withWithdrawn(n.To)
 	}
 	return d.withPart(q, c.ID), shareText(r), shareText(n), nil
@@ -232,9 +232,9 @@
 // rolloutAfter returns the roll-out after a trip, halt or step action.
 func rolloutAfter(r rollout.Rollout, a audit.Action) rollout.Rollout {
 	switch a {
-	case audit.TripRoll:
+	case audit.TripRollout:
 		return r.WithState(rollout.Tripped)
-	case audit.HaltRoll:
+	case audit.HaltRollout:
 		return r.WithState(rollout.Halted)
 	}
 	return r.WithNextStep()
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -41,9 +41,9 @@
 	v := version.New("m", rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "version"))
 	c := Change{
 		ID: fmt.Sprint("id", rapid.IntRange(0, 40).Draw(t, "id")), Team: "t", Who: "op", At: now, Version: v,
-		Action: rapid.SampledFrom([]audit.Action{audit.Accept, audit.Withdraw, audit.Reinstate, audit.StartRoll, audit.StepRoll, audit.TripRoll, audit.HaltRoll, audit.RotateKeys}).Draw(t, "action"),
-		Base:   rapid.SampledFrom([]uint64{AnyBase, d.Part("t").Revision, 0, 1}).Draw(t, "base"),
-		Source: source("t", "m"), Key: session.NewKey(),
+		Action:       rapid.SampledFrom([]audit.Action{audit.Accept, audit.Withdraw, audit.Reinstate, audit.StartRollout, audit.StepRollout, audit.TripRollout, audit.HaltRollout, audit.RotateKeys}).Draw(t, "action"),
+		BaseRevision: rapid.SampledFrom([]uint64{AnyBase, d.Part("t").Revision, 0, 1}).Draw(t, "base"),
+		Source:       source("t", "m"), Key: session.NewKey(),
 	}
 	c.Rollout, _ = rollout.New(version.New("m", "1"), v, []int{100, rollout.FullShare}, now, time.Second)
 	if o, ok := d.Part("t").Rollout("m"); ok && rapid.Bool().Draw(t, "current") {
@@ -88,7 +88,7 @@
 // checkPick checks that each picked version is one that the caller may use, and
 // that a pinned session keeps its version.
 func checkPick(t *rapid.T, d Document) {
-	a, e := Activate(d)
+	a, e := Compile(d)
 	if len(e) > 0 {
 		t.Fatal(e)
 	}
@@ -98,14 +98,14 @@
 	}
 	for n := range 20 {
 		s := session.New(fmt.Sprint(n), "c", time.Time{})
-		v, ok := a.Pick(c, "m", s, func(version.ID) bool { return false })
-		if ok && !a.MayRun(c, v) {
+		v, ok := a.PickVersion(c, "m", s, func(version.ID) bool { return false })
+		if ok && !a.IsAllowed(c, v) {
 			t.Fatalf("got version %s, want one that the caller may use", v)
 		}
 		if !ok {
 			continue
 		}
-		p, _ := a.Pick(c, "m", s.WithPin(v), func(version.ID) bool { return false })
+		p, _ := a.PickVersion(c, "m", s.WithPin(v), func(version.ID) bool { return false })
 		if p != v {
 			t.Fatalf("session pinned to %s: got version %s, want the pinned one", v, p)
 		}
@@ -115,7 +115,7 @@
 // Guards against invalid changes that alter the document instead of returning an
 // error.
 func TestApplyRefusesInvalidChanges(t *testing.T) {
-	d, _, err := Document{}.Apply(Change{ID: "1", Team: "t", Action: audit.Accept, Base: AnyBase, Source: source("t", "m")})
+	d, _, err := Document{}.Apply(Change{ID: "1", Team: "t", Action: audit.Accept, BaseRevision: AnyBase, Source: source("t", "m")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,13 +125,13 @@
 		name   string
 		change Change
 	}{
-		{"a base other than the revision in force", Change{ID: "2", Team: "t", Action: audit.Accept, Base: 7, Source: source("t", "m")}},
-		{"another team's policy", Change{ID: "2", Team: "u", Action: audit.Accept, Base: AnyBase, Source: source("t", "m")}},
-		{"another team's model", Change{ID: "2", Team: "u", Action: audit.Accept, Base: AnyBase, Source: source("u", "m")}},
-		{"another team's caller key", Change{ID: "2", Team: "u", Action: audit.Accept, Base: AnyBase, Source: other}},
+		{"a base other than the revision in force", Change{ID: "2", Team: "t", Action: audit.Accept, BaseRevision: 7, Source: source("t", "m")}},
+		{"another team's policy", Change{ID: "2", Team: "u", Action: audit.Accept, BaseRevision: AnyBase, Source: source("t", "m")}},
+		{"another team's model", Change{ID: "2", Team: "u", Action: audit.Accept, BaseRevision: AnyBase, Source: source("u", "m")}},
+		{"another team's caller key", Change{ID: "2", Team: "u", Action: audit.Accept, BaseRevision: AnyBase, Source: other}},
 		{"withdrawing an undeclared version", Change{ID: "2", Team: "t", Action: audit.Withdraw, Version: version.New("m", "7")}},
 		{"reinstating a version that is not withdrawn", Change{ID: "2", Team: "t", Action: audit.Reinstate, Version: version.New("m", "1")}},
-		{"a step without a roll-out", Change{ID: "2", Team: "t", Action: audit.StepRoll}},
+		{"a step without a roll-out", Change{ID: "2", Team: "t", Action: audit.StepRollout}},
 		{"an unknown action", Change{ID: "2", Team: "t", Action: "paint"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -149,11 +149,11 @@
 func TestAcceptingThePolicyInForceChangesNothing(t *testing.T) {
 	s := source("t", "m")
 	s.Files = map[string]string{"policy.star": program}
-	d, _, err := Document{}.Apply(Change{ID: "1", Team: "t", Action: audit.Accept, Base: AnyBase, Source: s})
+	d, _, err := Document{}.Apply(Change{ID: "1", Team: "t", Action: audit.Accept, BaseRevision: AnyBase, Source: s})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, e, err := d.Apply(Change{ID: "2", Team: "t", Action: audit.Accept, Base: 1, Source: s})
+	n, e, err := d.Apply(Change{ID: "2", Team: "t", Action: audit.Accept, BaseRevision: 1, Source: s})
 	if err != nil || e != nil || n.Revision != d.Revision {
 		t.Errorf("got revision %d, entry %v, error %v; want revision %d, no entry and no error", n.Revision, e, err, d.Revision)
 	}
--- a/config/document.go
+++ b/config/document.go
@@ -27,8 +27,8 @@
 // methods that change it return a new one.
 type Document struct {
 	Revision uint64
-	// Recent holds the ids of the last changes, the newest last.
-	Recent []string
+	// RecentChanges holds the ids of the last changes, the newest last.
+	RecentChanges []string
 	// SessionKeys are the keys of session tokens: the first signs, all verify.
 	SessionKeys []session.Key
 	// Parts holds the teams' parts by team name.
@@ -41,11 +41,11 @@
 	// Revision is the document revision at which this part last changed.
 	Revision uint64
 	Source   policy.Source
-	// Active holds, by model, the target version of the last completed
+	// ActiveVersions holds, by model, the target version of the last completed
 	// roll-out.
-	Active    map[string]version.ID
-	Withdrawn []version.ID
-	Rollouts  []rollout.Rollout
+	ActiveVersions map[string]version.ID
+	Withdrawn      []version.ID
+	Rollouts       []rollout.Rollout
 }
 
 // IsOlderThan reports whether o has a higher revision than d, so that an
@@ -57,7 +57,7 @@
 
 // HasChange reports whether the change is among the document's recent ones.
 func (d Document) HasChange(changeID string) bool {
-	return slices.Contains(d.Recent, changeID)
+	return slices.Contains(d.RecentChanges, changeID)
 }
 
 // Part returns the team's part, or an empty one at revision 0 if the document has
@@ -89,8 +89,8 @@
 // withChange returns d at the next revision with the change id recorded.
 func (d Document) withChange(id string) Document {
 	d.Revision++
-	r := append(slices.Clone(d.Recent), id)
-	d.Recent = r[max(0, len(r)-maxRecentChanges):]
+	r := append(slices.Clone(d.RecentChanges), id)
+	d.RecentChanges = r[max(0, len(r)-maxRecentChanges):]
 	return d
 }
 
@@ -121,7 +121,7 @@
 // assigns elsewhere: the target of the last completed roll-out, else the
 // catalog's active version, else any version that is not withdrawn.
 func (p Part) ActiveVersion(model string) (version.ID, bool) {
-	if v, ok := p.Active[model]; ok {
+	if v, ok := p.ActiveVersions[model]; ok {
 		if _, ok := p.Source.Catalog.Version(v); ok && !p.IsWithdrawn(v) {
 			return v, true
 		}
@@ -153,11 +153,11 @@
 	}
 	p.Rollouts = n
 	if r.State == rollout.Done {
-		p.Active = maps.Clone(p.Active)
-		if p.Active == nil {
-			p.Active = map[string]version.ID{}
+		p.ActiveVersions = maps.Clone(p.ActiveVersions)
+		if p.ActiveVersions == nil {
+			p.ActiveVersions = map[string]version.ID{}
 		}
-		p.Active[r.To.Model] = r.To
+		p.ActiveVersions[r.To.Model] = r.To
 	}
 	return p
 }
--- a/control/bills.go
+++ b/control/bills.go
@@ -29,14 +29,14 @@
 // verifyEvery is the interval between checks of an unchanged ledger in the store.
 const verifyEvery = 10 * time.Minute
 
-// Hold stores bill records r on behalf of other instances and returns one
+// HoldRecords stores bill records r on behalf of other instances and returns one
 // result per record. It also deletes the records in release, which their owner
 // has found to be duplicates.
-func (n *Node) Hold(r []bill.Record, release []bill.Record) []bill.Word {
+func (n *Node) HoldRecords(r []bill.Record, release []bill.Record) []bill.HoldResult {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.Clock()
-	v := make([]bill.Word, len(r))
+	v := make([]bill.HoldResult, len(r))
 	for i, x := range r {
 		v[i] = n.heldBills.Hold(x, t)
 	}
@@ -132,7 +132,7 @@
 	defer n.mu.Unlock()
 	if f, ok := n.ledgers[l.Owner]; ok {
 		f.storedChanges = max(f.storedChanges, l.Changes)
-		f.storedUpto = max(f.storedUpto, l.Upto)
+		f.storedUpto = max(f.storedUpto, l.SettledUpto)
 		f.verifyAt = n.Clock().Add(verifyEvery)
 	}
 	return nil
@@ -189,7 +189,7 @@
 			continue
 		}
 		n.ownersSeenAt[h.EntryIncarnation] = t
-		n.heldBills.MarkFlushed(bill.Ledger{Owner: h.EntryIncarnation, Upto: h.LedgerUpto})
+		n.heldBills.MarkFlushed(bill.Ledger{Owner: h.EntryIncarnation, SettledUpto: h.LedgerUpto})
 	}
 	r := map[string][]bill.HeldRecord{}
 	for o, l := range n.heldBills.Held() {
@@ -198,7 +198,7 @@
 			n.ownersSeenAt[o] = t
 			continue
 		}
-		if !t.Before(s.Add(n.Times.Orphan)) {
+		if !t.Before(s.Add(n.Times.OrphanDelay)) {
 			r[o] = l
 		}
 	}
@@ -253,9 +253,9 @@
 	return nil
 }
 
-// Bills returns the totals of all ledgers in the store, restricted to the team
+// BillTotals returns the totals of all ledgers in the store, restricted to the team
 // unless it is empty.
-func (n *Node) Bills(ctx context.Context, team string) (map[bill.Line]bill.Amount, error) {
+func (n *Node) BillTotals(ctx context.Context, team string) (map[bill.Line]bill.Amount, error) {
 	x, cancel := n.call(ctx)
 	defer cancel()
 	p, err := n.Store.List(x, billPrefix, 0)
@@ -277,8 +277,8 @@
 	return r, nil
 }
 
-// Held returns the number of bill records held for other instances.
-func (n *Node) Held() int {
+// HeldRecords returns the number of bill records held for other instances.
+func (n *Node) HeldRecords() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.heldBills.Len()
--- a/control/configuration.go
+++ b/control/configuration.go
@@ -45,14 +45,14 @@
 // one in force and it compiles. It reports whether it did. fromPeers says that
 // the document was received from a peer and not read from the store.
 func (n *Node) adopt(b []byte, fromPeers bool) (bool, error) {
-	if r, err := codec.PeekRevision(b); err != nil || r == n.revision() {
+	if r, err := codec.DecodeRevision(b); err != nil || r == n.revision() {
 		return false, err
 	}
 	d, err := codec.DecodeDocument(b)
 	if err != nil {
 		return false, errors.Wrap(err, "control.adopt")
 	}
-	if _, e := config.Activate(d); len(e) > 0 {
+	if _, e := config.Compile(d); len(e) > 0 {
 		return false, errors.Wrap(e[0], "control.adopt")
 	}
 	n.mu.Lock()
@@ -75,7 +75,7 @@
 func (n *Node) watchStore(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !n.isWatcher() {
-			n.sleep(ctx, n.Times.Beat)
+			n.sleep(ctx, n.Times.Heartbeat)
 			continue
 		}
 		n.mu.Lock()
@@ -153,7 +153,7 @@
 	n.mu.Unlock()
 	var r uint64
 	if p.Version != 0 {
-		o, err := codec.PeekRevision(p.Value)
+		o, err := codec.DecodeRevision(p.Value)
 		if err != nil {
 			n.log("config_unusable", "error", err)
 			return
@@ -179,8 +179,8 @@
 // encoded as b, and adds an audit entry.
 func (n *Node) restore(ctx context.Context, p store.Pair, r uint64, d config.Document, b []byte) {
 	e := audit.Entry{
-		Revision: d.Revision, ChangeID: "restore", Who: "fieldvale/" + n.Self.ID, At: n.Clock(), Action: audit.Restore,
-		From: revisionText(r), To: revisionText(d.Revision), Why: "the store held an older configuration than the instances",
+		Revision: d.Revision, ChangeID: "restore", Actor: "fieldvale/" + n.Self.ID, At: n.Clock(), Action: audit.Restore,
+		From: revisionText(r), To: revisionText(d.Revision), Reason: "the store held an older configuration than the instances",
 	}
 	a, err := codec.EncodeAudit(e, nil)
 	if err != nil {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -35,8 +35,8 @@
 // newTestNode returns a node with the id and the store, and a short call timeout.
 func newTestNode(id string, s *kv.Fake) *Node {
 	t := DefaultTimes()
-	t.Call = 50 * time.Millisecond
-	return New(Parts{Self: peer.Member{ID: id, DataCentre: "dc"}, Incarnation: id + "/1", Store: s, Clock: time.Now, Times: t})
+	t.CallTimeout = 50 * time.Millisecond
+	return New(Options{Self: peer.Member{ID: id, DataCentre: "dc"}, Incarnation: id + "/1", Store: s, Clock: time.Now, Times: t})
 }
 
 // accept returns a change that submits a policy of its own for team t, based on the
@@ -45,7 +45,7 @@
 	f := maps.Clone(files)
 	f[policyfile.ProgramFile] += "# " + id + "\n"
 	s, _ := policyfile.Parse(f)
-	return config.Change{ID: id, Team: "t", Who: "op", Action: audit.Accept, Base: base, Source: s}
+	return config.Change{ID: id, Team: "t", Who: "op", Action: audit.Accept, BaseRevision: base, Source: s}
 }
 
 // Guards against a request with an idempotency key that is sent twice. Nodes whose
@@ -64,7 +64,7 @@
 		holders := map[string][]claim.Claim{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "asks") {
 			at := rapid.IntRange(0, 2).Draw(t, "node")
-			f[at].Break(rapid.SampledFrom([]kv.Fault{kv.Sound, kv.Sound, kv.Down, kv.LostAnswers, kv.LostRequests}).Draw(t, "fault"))
+			f[at].SetFault(rapid.SampledFrom([]kv.Fault{kv.NoFault, kv.NoFault, kv.Down, kv.LostResponses, kv.LostRequests}).Draw(t, "fault"))
 			k := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")
 			c := claim.New("t/c", k, fmt.Sprint(i), n[at].Self.ID, time.Now().Add(time.Hour))
 			j := queuedClaim{claim: c, reply: make(chan claimResult, 1)}
@@ -72,9 +72,9 @@
 			if r := <-j.reply; r.err == nil && r.verdict == claim.Send {
 				holders[k] = append(holders[k], c)
 			}
-			f[at].Break(kv.Sound)
+			f[at].SetFault(kv.NoFault)
 			if l := holders[k]; len(l) > 0 && rapid.IntRange(0, 3).Draw(t, "free") == 0 {
-				if n[at].Finish(t.Context(), l[0].WithFree()) == nil {
+				if n[at].Finish(t.Context(), l[0].WithNotRun()) == nil {
 					holders[k] = l[1:]
 				}
 			}
@@ -247,12 +247,12 @@
 		n := newTestNode("n", f)
 		n.Peers = unreachablePeers{}
 		line := bill.Line{Team: "t", Version: version.New("m", "1")}
-		l := bill.NewLedger("e").With(bill.Record{Owner: "e", Seq: 1, Line: line, Add: bill.Amount{Requests: 1}})
-		n.Sync(Report{Incarnation: "e", Ledger: l, AloneUpto: 1})
-		f.Break(kv.Down)
-		time.AfterFunc(time.Minute, func() { f.Break(kv.Sound) })
+		l := bill.NewLedger("e").With(bill.Record{Owner: "e", Seq: 1, Line: line, Amount: bill.Amount{Requests: 1}})
+		n.Sync(EntryReport{Incarnation: "e", Ledger: l, LastUnheldSeq: 1})
+		f.SetFault(kv.Down)
+		time.AfterFunc(time.Minute, func() { f.SetFault(kv.NoFault) })
 		n.Stop(t.Context())
-		m, err := n.Bills(t.Context(), "")
+		m, err := n.BillTotals(t.Context(), "")
 		if err != nil || m[line].Requests != 1 {
 			t.Errorf("got totals %v, %v; want one request billed", m, err)
 		}
@@ -270,7 +270,7 @@
 			n.table.Put(peer.Item{Key: k, Version: 1, Expires: time.Now().Add(time.Hour)}, "", time.Now())
 		}
 		for range 120 {
-			time.Sleep(n.Times.Beat)
+			time.Sleep(n.Times.Heartbeat)
 			n.publishHeartbeatIfDue()
 			i, ok := n.table.Get(peer.Key{Kind: peer.Instance, Name: "n"}, time.Now())
 			if !ok || time.Until(i.Expires) < i.Expires.Sub(time.Unix(0, int64(i.Version)))/2 {
--- a/control/membership.go
+++ b/control/membership.go
@@ -54,7 +54,7 @@
 // items in the peer table, so that the heartbeats of all instances together cost
 // each instance the same at any fleet size.
 func (n *Node) heartbeatInterval() time.Duration {
-	return max(n.Times.Beat, time.Duration(n.table.Len())*n.Times.BeatPerPeer)
+	return max(n.Times.Heartbeat, time.Duration(n.table.Len())*n.Times.HeartbeatPerItem)
 }
 
 // publishHeartbeatIfDue removes expired items and publishes a heartbeat if the
@@ -126,8 +126,8 @@
 type InstanceHeartbeat struct {
 	ID string
 	peer.Heartbeat
-	// At is when the heartbeat was sent, by the sender's clock.
-	At time.Time
+	// SentAt is when the heartbeat was sent, by the sender's clock.
+	SentAt time.Time
 }
 
 // Instances returns the last heartbeats of all live instances, this one included.
@@ -146,7 +146,7 @@
 			n.log("bad_heartbeat", "peer", i.Key.Name, "error", err)
 			continue
 		}
-		r = append(r, InstanceHeartbeat{ID: i.Key.Name, Heartbeat: h, At: time.Unix(0, int64(i.Version))})
+		r = append(r, InstanceHeartbeat{ID: i.Key.Name, Heartbeat: h, SentAt: time.Unix(0, int64(i.Version))})
 	}
 	return r
 }
@@ -201,7 +201,7 @@
 
 // triggerExchange starts the next round of exchanges at once instead of at the next
 // interval.
-func (n *Node) triggerExchange() { n.exchangeNow.Offer(struct{}{}) }
+func (n *Node) triggerExchange() { n.exchangeNow.TryPut(struct{}{}) }
 
 // exchangeRounds exchanges items with the partners at every interval, and at once
 // after an urgent change, until ctx ends.
@@ -292,7 +292,7 @@
 	newer := revision > n.doc.Revision
 	n.mu.Unlock()
 	if newer && from.Addr != "" {
-		n.fetches.Offer(from)
+		n.fetches.TryPut(from)
 	}
 	if !changed {
 		return
--- a/control/node.go
+++ b/control/node.go
@@ -22,8 +22,8 @@
 	"fieldvale/version"
 )
 
-// Peers is a client for other instances' control processes.
-type Peers interface {
+// PeerClient is a client for other instances' control processes.
+type PeerClient interface {
 	Exchange(ctx context.Context, m peer.Member, q peer.Message) (peer.Reply, error)
 	// Document returns the peer's encoded configuration, or nil if its revision
 	// is not higher than above.
@@ -32,11 +32,11 @@
 	HandOver(ctx context.Context, m peer.Member, r []bill.Record) error
 }
 
-// Platform is a client for the platform: it returns the list of instances and
+// PlatformClient is a client for the platform: it returns the list of instances and
 // replicas and a replica's load, and orders a replica to unload a version.
-type Platform interface {
-	Instances(ctx context.Context) (platform.List, error)
-	Load(ctx context.Context, r pool.Replica) (platform.Report, error)
+type PlatformClient interface {
+	Instances(ctx context.Context) (platform.InstanceList, error)
+	Load(ctx context.Context, r pool.Replica) (platform.EngineReport, error)
 	Unload(ctx context.Context, r pool.Replica, v version.ID, fence uint64) error
 }
 
@@ -44,11 +44,11 @@
 type Times struct {
 	// Exchange is the interval between rounds of exchanges with peers.
 	Exchange time.Duration
-	// Beat is the interval between heartbeats in a small fleet.
-	Beat time.Duration
-	// BeatPerPeer is the least interval between heartbeats per item of the peer
+	// Heartbeat is the interval between heartbeats in a small fleet.
+	Heartbeat time.Duration
+	// HeartbeatPerItem is the least interval between heartbeats per item of the peer
 	// table, which stretches the interval in a large fleet.
-	BeatPerPeer time.Duration
+	HeartbeatPerItem time.Duration
 	// List and Load are the intervals between reads of the platform's list and
 	// of the backend servers' load.
 	List time.Duration
@@ -58,32 +58,32 @@
 	Poll time.Duration
 	// Flush is the interval between writes of a ledger.
 	Flush time.Duration
-	// Orphan is how long an entry must be missing before its holders add its
+	// OrphanDelay is how long an entry must be missing before its holders add its
 	// bills to the ledger in the store.
-	Orphan time.Duration
-	// Takeover is the extra delay, per rank, before an instance takes over a duty
+	OrphanDelay time.Duration
+	// TakeoverDelay is the extra delay, per rank, before an instance takes over a duty
 	// from those that rank above it.
-	Takeover time.Duration
-	// Call is the timeout of one call to the store, the platform or a peer.
-	Call time.Duration
+	TakeoverDelay time.Duration
+	// CallTimeout is the timeout of one call to the store, the platform or a peer.
+	CallTimeout time.Duration
 }
 
 // DefaultTimes returns values for fleets of 7 to 350 instances.
 func DefaultTimes() Times {
 	return Times{
-		Exchange: 500 * time.Millisecond, Beat: 2 * time.Second, BeatPerPeer: 60 * time.Millisecond,
+		Exchange: 500 * time.Millisecond, Heartbeat: 2 * time.Second, HeartbeatPerItem: 60 * time.Millisecond,
 		List: 2 * time.Second, Load: 2 * time.Second, Poll: 30 * time.Second, Flush: 10 * time.Second,
-		Orphan: 15 * time.Second, Takeover: 2 * time.Second, Call: 2 * time.Second,
+		OrphanDelay: 15 * time.Second, TakeoverDelay: 2 * time.Second, CallTimeout: 2 * time.Second,
 	}
 }
 
-// Parts are the dependencies and settings of a node.
-type Parts struct {
+// Options are the dependencies and settings of a node.
+type Options struct {
 	Self        peer.Member
 	Incarnation string
 	Store       store.Store
-	Peers       Peers
-	Platform    Platform
+	Peers       PeerClient
+	Platform    PlatformClient
 	Clock       func() time.Time
 	Times       Times
 	Rates       rollout.Rates
@@ -94,7 +94,7 @@
 
 // Node is the control process of one instance. It is safe for concurrent use.
 type Node struct {
-	Parts
+	Options
 
 	mu sync.Mutex
 	// doc is the configuration document in force and encodedDoc its encoded form.
@@ -123,7 +123,7 @@
 
 	entry     entryState
 	ledgers   map[string]*flushState
-	heldBills *bill.Book
+	heldBills *bill.HeldRecords
 	// ownersSeenAt is when the entry incarnations that own held records were last
 	// named in a heartbeat.
 	ownersSeenAt map[string]time.Time
@@ -138,10 +138,10 @@
 	// pooled outcomes belong.
 	pooledRollouts map[version.ID]string
 
-	claims      *ring.Ring[queuedClaim]
-	abandons    *ring.Ring[abandonedClaim]
-	fetches     *ring.Ring[peer.Member]
-	exchangeNow *ring.Ring[struct{}]
+	claims      *ring.Queue[queuedClaim]
+	abandons    *ring.Queue[abandonedClaim]
+	fetches     *ring.Queue[peer.Member]
+	exchangeNow *ring.Queue[struct{}]
 	stopping    bool
 	// readyBy is when the node counts as ready even if it has not read the list
 	// and the loads or reached a peer.
@@ -167,16 +167,16 @@
 
 // New returns a node without configuration, members or replicas, and with its
 // first heartbeat in the peer table.
-func New(p Parts) *Node {
+func New(p Options) *Node {
 	n := &Node{
-		Parts:          p,
+		Options:        p,
 		doc:            config.Document{},
 		table:          peer.NewTable(),
 		cursors:        map[string]peer.Cursor{},
 		replicas:       map[string]pool.Replica{},
 		local:          map[string]int{},
 		ledgers:        map[string]*flushState{},
-		heldBills:      bill.NewBook(),
+		heldBills:      bill.NewHeldRecords(),
 		ownersSeenAt:   map[string]time.Time{},
 		pooled:         map[version.ID]*rollout.PooledOutcomes{},
 		detectors:      map[version.ID]rollout.Detector{},
@@ -221,7 +221,7 @@
 		n.loopEvery(&n.Times.Poll, n.pollStore),
 		n.fetchDocuments,
 		n.exchangeRounds,
-		n.loopEvery(&n.Times.Beat, func(context.Context) { n.publishHeartbeatIfDue() }),
+		n.loopEvery(&n.Times.Heartbeat, func(context.Context) { n.publishHeartbeatIfDue() }),
 		n.loopEvery(&n.Times.List, n.readList),
 		n.loopEvery(&n.Times.Load, n.readLoads),
 		n.loopEvery(&n.Times.Load, n.orderUnloads),
@@ -259,7 +259,7 @@
 
 // call returns a context with the timeout of one call.
 func (n *Node) call(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, n.Times.Call)
+	return context.WithTimeout(ctx, n.Times.CallTimeout)
 }
 
 // stopRetryDelay is the delay between flushes while a stopping node waits for the
--- a/control/sync.go
+++ b/control/sync.go
@@ -10,57 +10,57 @@
 	"fieldvale/version"
 )
 
-// Report is the state that the entry on the same instance sends to its control
+// EntryReport is the state that the entry on the same instance sends to its control
 // process.
-type Report struct {
+type EntryReport struct {
 	Incarnation string
 	Revision    uint64
 	// View is the number of the last view that the entry received. Each control
 	// incarnation counts its own views.
 	View uint64
-	// Control is the control incarnation that sent that view.
-	Control string
-	Ledger  bill.Ledger
-	// AloneUpto is the number of the entry's last counted bill record that no
+	// ControlIncarnation is the control incarnation that sent that view.
+	ControlIncarnation string
+	Ledger             bill.Ledger
+	// LastUnheldSeq is the number of the entry's last counted bill record that no
 	// other instance holds.
-	AloneUpto uint64
-	Evidence  map[version.ID]rollout.Outcomes
-	// Running is the number of the entry's requests in flight by replica.
-	Running map[string]int
+	LastUnheldSeq uint64
+	Evidence      map[version.ID]rollout.Outcomes
+	// InFlight is the number of the entry's requests in flight by replica.
+	InFlight map[string]int
 	// Stopping reports that the entry takes no new requests and finishes those
 	// in flight.
 	Stopping bool
 }
 
-// Update is the response to an entry's report. Parts that the entry already has
+// EntryUpdate is the response to an entry's report. Parts that the entry already has
 // are left empty.
-type Update struct {
-	// Control is the incarnation of the control process.
-	Control string
+type EntryUpdate struct {
+	// ControlIncarnation is the incarnation of the control process.
+	ControlIncarnation string
 	// Document is the encoded configuration if it is newer than the entry's.
 	Document []byte
 	View     uint64
-	// Fresh reports that Replicas, Members, Tripped and StoreOK are set.
-	Fresh    bool
+	// HasView reports that Replicas, Members, Tripped and StoreOK are set.
+	HasView  bool
 	Replicas []pool.Replica
 	Members  []peer.Member
 	Tripped  []version.ID
 	StoreOK  bool
-	// Settled reports that the control process has finished its start-up, so that
+	// Ready reports that the control process has finished its start-up, so that
 	// the entry may report ready.
-	Settled bool
+	Ready bool
 }
 
 // Sync stores the entry's report and returns the changes that the entry lacks. A
 // new entry incarnation or revision is published in a heartbeat at once.
-func (n *Node) Sync(r Report) Update {
+func (n *Node) Sync(r EntryReport) EntryUpdate {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t := n.Clock()
 	changed := n.entry.incarnation != r.Incarnation || n.entry.revision != r.Revision
 	n.entry = entryState{incarnation: r.Incarnation, revision: r.Revision, reportedAt: t, stopping: r.Stopping}
-	n.updateLedger(r.Ledger, r.AloneUpto)
-	n.local = r.Running
+	n.updateLedger(r.Ledger, r.LastUnheldSeq)
+	n.local = r.InFlight
 	for v, e := range r.Evidence {
 		n.publishEvidence(v, e, t)
 	}
@@ -72,15 +72,15 @@
 }
 
 // buildUpdate builds the response to the report.
-func (n *Node) buildUpdate(r Report) Update {
-	u := Update{Control: n.Incarnation, View: n.view, Settled: n.isReady()}
+func (n *Node) buildUpdate(r EntryReport) EntryUpdate {
+	u := EntryUpdate{ControlIncarnation: n.Incarnation, View: n.view, Ready: n.isReady()}
 	if n.doc.Revision > r.Revision {
 		u.Document = n.encodedDoc
 	}
-	if r.Control == n.Incarnation && r.View == n.view {
+	if r.ControlIncarnation == n.Incarnation && r.View == n.view {
 		return u
 	}
-	u.Fresh = true
+	u.HasView = true
 	u.Replicas = n.sortedReplicas()
 	u.Members = n.members()
 	u.StoreOK = n.storeOK(n.Clock())
@@ -90,9 +90,9 @@
 	return u
 }
 
-// EntryStopping reports whether the entry's last report says that it is stopping
+// IsEntryStopping reports whether the entry's last report says that it is stopping
 // and was received less than within ago.
-func (n *Node) EntryStopping(within time.Duration) bool {
+func (n *Node) IsEntryStopping(within time.Duration) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.entry.stopping && n.Clock().Before(n.entry.reportedAt.Add(within))
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -106,8 +106,8 @@
 	s.names = nil
 }
 
-// Retain calls Remove for all replicas except those with the given names.
-func (s *Set) Retain(names map[string]bool, now time.Time) {
+// RemoveAllExcept calls Remove for all replicas except those with the given names.
+func (s *Set) RemoveAllExcept(names map[string]bool, now time.Time) {
 	for name := range s.replicas {
 		if !names[name] {
 			s.Remove(name, now)
@@ -115,11 +115,11 @@
 	}
 }
 
-// Away starts a grace period without an end, because the store is unreachable.
-func (s *Set) Away() { s.storeLost = true }
+// StoreLost starts a grace period without an end, because the store is unreachable.
+func (s *Set) StoreLost() { s.storeLost = true }
 
-// Back limits the grace period, because the store is reachable again.
-func (s *Set) Back(now time.Time) {
+// StoreRestored limits the grace period, because the store is reachable again.
+func (s *Set) StoreRestored(now time.Time) {
 	s.storeLost = false
 	s.graceUntil = now.Add(ReregisterWithin)
 }
@@ -130,9 +130,9 @@
 	return s.storeLost || now.Before(s.graceUntil)
 }
 
-// Settle removes the replicas that are still missing after the grace period and
+// RemoveMissing removes the replicas that are still missing after the grace period and
 // returns their names.
-func (s *Set) Settle(now time.Time) []string {
+func (s *Set) RemoveMissing(now time.Time) []string {
 	if len(s.missing) == 0 || s.inGracePeriod(now) {
 		return nil
 	}
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -28,8 +28,8 @@
 	for _, id := range []string{"back", "gone", "leaving"} {
 		s.Put(pool.Replica{ID: id, Draining: id == "leaving"})
 	}
-	s.Away()
-	s.Back(noon)
+	s.StoreLost()
+	s.StoreRestored(noon)
 	for _, id := range []string{"back", "gone", "leaving"} {
 		s.Remove(id, noon.Add(100*time.Millisecond))
 	}
@@ -40,10 +40,10 @@
 		t.Error("got a draining replica kept after its entry disappeared, want it removed")
 	}
 	s.Put(pool.Replica{ID: "back"})
-	if l := s.Settle(noon.Add(time.Second)); len(l) != 0 {
+	if l := s.RemoveMissing(noon.Add(time.Second)); len(l) != 0 {
 		t.Errorf("got %v removed within the grace period, want none", l)
 	}
-	if l := s.Settle(noon.Add(discovery.ReregisterWithin)); len(l) != 1 || l[0] != "gone" {
+	if l := s.RemoveMissing(noon.Add(discovery.ReregisterWithin)); len(l) != 1 || l[0] != "gone" {
 		t.Errorf("got %v removed, want [gone]", l)
 	}
 	if !has(s, "back") || has(s, "gone") {
@@ -61,7 +61,7 @@
 	if has(s, "a") {
 		t.Error("got a replica kept whose entry disappeared, want it removed")
 	}
-	s.Retain(map[string]bool{}, noon)
+	s.RemoveAllExcept(map[string]bool{}, noon)
 	if has(s, "b") {
 		t.Error("got a replica kept that is not in the complete list, want it removed")
 	}
--- a/entry/backends.go
+++ b/entry/backends.go
@@ -44,7 +44,7 @@
 	var l []float64
 	for _, s := range b.state {
 		if s.service == x.service && s != x {
-			l = append(l, s.breaker.Rate())
+			l = append(l, s.breaker.FailureRate())
 		}
 	}
 	if len(l) == 0 {
@@ -89,7 +89,7 @@
 	c := b.scratch[i].Replica
 	s := b.stateOf(c.ID)
 	s.running++
-	s.breaker.Tried(now)
+	s.breaker.RecordAttempt(now)
 	return c
 }
 
@@ -101,10 +101,10 @@
 	s := b.stateOf(id)
 	s.running--
 	if err == nil || isRefusal(err) {
-		s.breaker.Succeeded()
+		s.breaker.RecordSuccess()
 		return
 	}
-	s.breaker.Failed(now, b.serviceFailureRate(s))
+	s.breaker.RecordFailure(now, b.serviceFailureRate(s))
 }
 
 func isRefusal(err error) bool {
--- a/entry/candidates.go
+++ b/entry/candidates.go
@@ -50,7 +50,7 @@
 	s.service = r.Service
 	s.running++
 	s.pendingMs += costMs
-	s.breaker.Tried(now)
+	s.breaker.RecordAttempt(now)
 }
 
 // candidates returns the replicas that may be chosen now. Breakers are ignored if they would
@@ -120,10 +120,10 @@
 		return
 	}
 	if bad {
-		s.breaker.Failed(now, b.serviceFailureRate(s))
+		s.breaker.RecordFailure(now, b.serviceFailureRate(s))
 		return
 	}
-	s.breaker.Succeeded()
+	s.breaker.RecordSuccess()
 }
 
 // release undoes the choice of a replica for a request that was not sent.
--- a/entry/distance.go
+++ b/entry/distance.go
@@ -29,16 +29,16 @@
 )
 
 // answerSizes averages the sizes of answers by route, in kB.
-type answerSizes struct{ means *means.Means }
+type answerSizes struct{ means *means.RunningMeans }
 
 func newAnswerSizes() *answerSizes { return &answerSizes{means: means.New(answerSizeWeight)} }
 
 // of returns the mean size of the route's answers, in kB.
-func (s *answerSizes) of(route string) float64 { return s.means.Of(route, initialAnswerKB) }
+func (s *answerSizes) of(route string) float64 { return s.means.Get(route, initialAnswerKB) }
 
 // observe records the size of a complete answer.
 func (s *answerSizes) observe(route string, bytes int) {
-	s.means.Learn(route, initialAnswerKB, func(float64) float64 { return float64(bytes) / 1000 })
+	s.means.Update(route, initialAnswerKB, func(float64) float64 { return float64(bytes) / 1000 })
 }
 
 // remotePenaltyMs is the cost added to replicas in other data centres, in milliseconds.
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -61,7 +61,7 @@
 	x, cancel := context.WithTimeout(ctx, q.effectiveDeadline().Sub(r.clock()))
 	defer cancel()
 	w := &forwarding{r: r, q: q, out: out, lastEventID: q.LastEventID, modelIndex: -1, escalatedFrom: -1, quarantineCheck: quarantineCheck{quarantine: r.quarantine, fingerprint: q.Fingerprint}}
-	w.result = &ForwardResult{Request: q, Service: q.Route.Service(q.ID), Confidence: -1}
+	w.result = &ForwardResult{Request: q, Service: q.Route.SelectService(q.ID), Confidence: -1}
 	if len(q.Route.Models) > 0 && (q.Prompt.Model == prompt.AnyModel || q.Prompt.Model == "") {
 		w.modelIndex = 0
 	}
@@ -118,7 +118,7 @@
 	switch {
 	case isUnreachable(err):
 		return w.isOverUnreachable()
-	case outcome.Of(err) == outcome.NotRun:
+	case outcome.KindOf(err) == outcome.NotRun:
 		return w.isOverRefused()
 	}
 	return w.isOverRan(err)
@@ -138,10 +138,10 @@
 
 // isOverRan decides after an attempt that ran or may have run.
 func (w *forwarding) isOverRan(err error) bool {
-	if outcome.Of(err) == outcome.Unknown {
+	if outcome.KindOf(err) == outcome.Unknown {
 		w.mayHaveRun = true
 	}
-	return w.stopIf(!w.q.Route.Repeats(), "may run once") ||
+	return w.stopIf(!w.q.Route.AllowsRetry(), "may run once") ||
 		w.stopIf(w.result.Runs >= w.q.Route.MaxAttempts, "attempts used") ||
 		w.stopIf(!w.takeRetry(), "no budget")
 }
--- a/entry/gains.go
+++ b/entry/gains.go
@@ -35,18 +35,18 @@
 
 // confidenceGains averages, by model, how much its confidence exceeds that of the next smaller
 // model for the same request. The gain estimates how much more the model can do.
-type confidenceGains struct{ means *means.Means }
+type confidenceGains struct{ means *means.RunningMeans }
 
 func newConfidenceGains() *confidenceGains {
-	return &confidenceGains{means: means.NewQuick(gainWeight, gainPriorWeight)}
+	return &confidenceGains{means: means.NewFastStart(gainWeight, gainPriorWeight)}
 }
 
 // of returns the model's confidence gain over the next smaller one.
-func (l *confidenceGains) of(model string) float64 { return l.means.Of(model, initialGain) }
+func (l *confidenceGains) of(model string) float64 { return l.means.Get(model, initialGain) }
 
 // observe records a request that both models answered.
 func (l *confidenceGains) observe(model string, smaller, larger float64) {
-	l.means.Learn(model, initialGain, func(float64) float64 { return larger - smaller })
+	l.means.Update(model, initialGain, func(float64) float64 { return larger - smaller })
 }
 
 // nextModelBounds are confidences of an answer: from askFirst on, the next larger model is tried
--- a/entry/notices_test.go
+++ b/entry/notices_test.go
@@ -175,7 +175,7 @@
 		rel["s"] = rollout.NewRelease("s", "v1", 1, time.Minute).WithNextPhase().WithNextPhase()
 	}
 	v.Put(NewView(nil, w.replicas, nil, nil).WithRoutes(route.New(1, nil, nil, nil, route.Limits{}), rel))
-	p := Ports{View: v, Clock: w.clock, Rand: rand.NewPCG(1, 1), Upstream: w, Retries: admission.Repeats{Burst: 1000}, AcceptConfidence: 60, Notices: w.tracker}
+	p := Ports{View: v, Clock: w.clock, Rand: rand.NewPCG(1, 1), Upstream: w, Retries: admission.RetryLimit{Burst: 1000}, AcceptConfidence: 60, Notices: w.tracker}
 	if rapid.Bool().Draw(w.t, "placer") {
 		p.Placer = w
 	}
@@ -189,16 +189,16 @@
 }
 
 func (w *noticingReplicas) request(i int) *OpaqueRequest {
-	r := &route.Route{Split: []route.Part{{Service: "s"}}, Target: time.Second, MaxAttempts: rapid.IntRange(1, 4).Draw(w.t, "attempts")}
+	r := &route.Route{Split: []route.WeightedService{{Service: "s"}}, Target: time.Second, MaxAttempts: rapid.IntRange(1, 4).Draw(w.t, "attempts")}
 	r.Kind = rapid.SampledFrom([]route.Kind{route.Once, route.Repeatable, route.Stream}).Draw(w.t, "kind")
 	r.Resumable = rapid.Bool().Draw(w.t, "resumable")
 	q := &OpaqueRequest{ID: fmt.Sprint(i), Table: route.New(1, nil, nil, nil, route.Limits{}), Route: r, Header: http.Header{}, ArrivedAt: w.now, Deadline: w.now.Add(time.Hour), TimeoutAt: w.now.Add(time.Hour)}
 	switch rapid.IntRange(0, 2).Draw(w.t, "prompt") {
 	case 0:
-		q.Prompt = prompt.Prompt{Model: "m", In: 40, MaxOut: 10, Parts: []prompt.Part{{ID: "1", Tokens: 40}}}
+		q.Prompt = prompt.Prompt{Model: "m", InputTokens: 40, MaxOutputTokens: 10, Parts: []prompt.Part{{ID: "1", Tokens: 40}}}
 	case 1:
 		r.Models = []string{"small", "middle", "large"}
-		q.Prompt = prompt.Prompt{Model: prompt.AnyModel, In: 40, MaxOut: 10, Parts: []prompt.Part{{ID: "1", Tokens: 40}}}
+		q.Prompt = prompt.Prompt{Model: prompt.AnyModel, InputTokens: 40, MaxOutputTokens: 10, Parts: []prompt.Part{{ID: "1", Tokens: 40}}}
 	}
 	if rapid.Bool().Draw(w.t, "session") {
 		q.Session = "session"
@@ -296,9 +296,9 @@
 	u := reliableUpstream{map[string]int{}}
 	v := NewCurrentView()
 	v.Put(NewView(nil, []pool.Replica{{ID: "a", Kind: pool.Service, Service: "s"}, {ID: "b", Kind: pool.Service, Service: "s"}, {ID: "c", Kind: pool.Service, Service: "s"}}, nil, nil))
-	r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}, Notices: b})
+	r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.RetryLimit{Burst: 9}, Notices: b})
 	send := func() (string, *Failure) {
-		q := &OpaqueRequest{ID: "q", Table: route.New(1, nil, nil, nil, route.Limits{}), Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: now, Deadline: now.Add(time.Hour), TimeoutAt: now.Add(time.Hour)}
+		q := &OpaqueRequest{ID: "q", Table: route.New(1, nil, nil, nil, route.Limits{}), Route: &route.Route{Split: []route.WeightedService{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: now, Deadline: now.Add(time.Hour), TimeoutAt: now.Add(time.Hour)}
 		f, err := r.Forward(t.Context(), q, &clientSink{})
 		var x *Failure
 		errors.As(err, &x)
@@ -370,8 +370,8 @@
 		}
 		v := NewCurrentView()
 		v.Put(NewView(nil, l, nil, nil))
-		r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}, FleetSize: func() int { return 1 }, Notices: u.tracker})
-		q := &OpaqueRequest{ID: "q", Table: route.New(1, nil, nil, nil, route.Limits{}), Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 3}, ArrivedAt: now, Deadline: now.Add(time.Hour), TimeoutAt: now.Add(time.Hour)}
+		r := NewRouter(Ports{View: v, Clock: clock, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.RetryLimit{Burst: 9}, FleetSize: func() int { return 1 }, Notices: u.tracker})
+		q := &OpaqueRequest{ID: "q", Table: route.New(1, nil, nil, nil, route.Limits{}), Route: &route.Route{Split: []route.WeightedService{{Service: "s"}}, MaxAttempts: 3}, ArrivedAt: now, Deadline: now.Add(time.Hour), TimeoutAt: now.Add(time.Hour)}
 		_, err := r.Forward(t.Context(), q, &clientSink{})
 		var f *Failure
 		if !errors.As(err, &f) || f.Outcome != outcome.NotRun || f.RetryAt.Sub(now) < c.min || f.RetryAt.Sub(now) > c.max {
--- a/entry/quota_test.go
+++ b/entry/quota_test.go
@@ -73,7 +73,7 @@
 	now := time.Unix(1_700_000_000, 0)
 	g.suspect = map[string]bool{}
 	r := NewRouter(Ports{View: NewCurrentView(), Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Quota: g, Placer: p, ColdBound: quota.ColdBound{Overage: 2}})
-	t := route.New(1, nil, map[string]route.Service{"s": {ColdFor: 3 * time.Second, ColdPerSecond: 10}}, nil, route.Limits{})
+	t := route.New(1, nil, map[string]route.Service{"s": {ColdPeriod: 3 * time.Second, ColdPerSecond: 10}}, nil, route.Limits{})
 	l := []*pool.Replica{{ID: "warm"}, {ID: "cold", ColdUntil: now.Add(2 * time.Second)}, {ID: "lost"}, {ID: "cut"}}
 	for _, x := range l {
 		w := &forwarding{r: r, q: &OpaqueRequest{Table: t, Route: &route.Route{}}, result: &ForwardResult{Service: "s"}}
@@ -181,7 +181,7 @@
 		{"all limited, another has one", "a b c", "a b c", 1, "c", ""},
 		{"all limited, none has one", "a b c", "", 0, "", "a"},
 	} {
-		for _, q := range []prompt.Prompt{{}, {Model: "m", In: 10}} {
+		for _, q := range []prompt.Prompt{{}, {Model: "m", InputTokens: 10}} {
 			g := &quotaFake{grants: c.grants, limited: map[string]bool{}, resting: map[string]bool{}}
 			r, table, _, now := newBoundedRouter(g, firstPlacer{})
 			for _, x := range strings.Fields(c.limited) {
@@ -203,7 +203,7 @@
 			for _, x := range w.result.Skipped {
 				skipped += x.Replica
 			}
-			if q.IsNone() && (got != c.want || skipped != c.skipped) {
+			if q.IsZero() && (got != c.want || skipped != c.skipped) {
 				t.Errorf("%s: sent to %q, skipped %q, want %q and %q", c.name, got, skipped, c.want, c.skipped)
 			}
 			if (got == "") != (c.want == "") {
--- a/entry/release_test.go
+++ b/entry/release_test.go
@@ -33,10 +33,10 @@
 	}, nil, nil)
 	now := time.Unix(1_700_000_000, 0)
 	u := &recordingUpstream{}
-	r := NewRouter(Ports{View: v, Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}})
+	r := NewRouter(Ports{View: v, Clock: func() time.Time { return now }, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.RetryLimit{Burst: 9}})
 	rel := rollout.NewRelease("s", "v2", 1, time.Minute).WithNextPhase()
 	send := func(id, session string) string {
-		q := &OpaqueRequest{ID: id, Session: session, Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: now, Deadline: time.Now().Add(time.Hour), TimeoutAt: time.Now().Add(time.Hour)}
+		q := &OpaqueRequest{ID: id, Session: session, Route: &route.Route{Split: []route.WeightedService{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: now, Deadline: time.Now().Add(time.Hour), TimeoutAt: time.Now().Add(time.Hour)}
 		if _, err := r.Forward(t.Context(), q, &clientSink{}); err != nil {
 			t.Fatal(err)
 		}
@@ -81,14 +81,14 @@
 	v.Put(NewView(nil, []pool.Replica{{ID: "new", Kind: pool.Service, Service: "s", Release: "v2"}}, nil, nil).
 		WithRoutes(nil, map[string]rollout.Release{"s": rel.WithNextPhase()}))
 	u := hangingUpstream{began: make(chan struct{})}
-	r := NewRouter(Ports{View: v, Clock: time.Now, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.Repeats{Burst: 9}})
+	r := NewRouter(Ports{View: v, Clock: time.Now, Rand: rand.NewPCG(1, 1), Upstream: u, Retries: admission.RetryLimit{Burst: 9}})
 	for range 20 {
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
 			<-u.began
 			cancel()
 		}()
-		q := &OpaqueRequest{ID: "q", Route: &route.Route{Split: []route.Part{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: time.Now(), Deadline: time.Now().Add(time.Hour), TimeoutAt: time.Now().Add(time.Hour)}
+		q := &OpaqueRequest{ID: "q", Route: &route.Route{Split: []route.WeightedService{{Service: "s"}}, MaxAttempts: 1}, ArrivedAt: time.Now(), Deadline: time.Now().Add(time.Hour), TimeoutAt: time.Now().Add(time.Hour)}
 		if f, err := r.Forward(ctx, q, &clientSink{}); err == nil || f.StopReason != "the client left" {
 			t.Fatalf("error %v, stop reason %q, want an error and \"the client left\"", err, f.StopReason)
 		}
--- a/entry/retries.go
+++ b/entry/retries.go
@@ -6,7 +6,7 @@
 func (r *Router) countRequest(service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.retryWindow(service).Request(r.clock())
+	r.retryWindow(service).RecordRequest(r.clock())
 }
 
 // fleetRequestRate estimates the fleet's requests a second for the service from this instance's
@@ -15,7 +15,7 @@
 	n := r.fleetSizeOrDefault()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return float64(n) * r.retryWindow(service).Rate(r.clock())
+	return float64(n) * r.retryWindow(service).RequestRate(r.clock())
 }
 
 // defaultFleetSize is the number of instances assumed while it is unknown. It is above the usual
@@ -28,7 +28,7 @@
 	n := r.fleetSizeOrDefault()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.retryWindow(service).Repeat(r.clock(), 1/float64(n), reserve)
+	return r.retryWindow(service).TakeRetry(r.clock(), 1/float64(n), reserve)
 }
 
 // fleetSizeOrDefault is the number of instances, or defaultFleetSize if it is unknown.
@@ -43,10 +43,10 @@
 }
 
 // retryWindow returns the service's window of requests and retries; r.mu is held.
-func (r *Router) retryWindow(service string) *admission.Window {
+func (r *Router) retryWindow(service string) *admission.RetryWindow {
 	w, ok := r.retryWindows[service]
 	if !ok {
-		w = admission.NewWindow(r.retries)
+		w = admission.NewRetryWindow(r.retries)
 		r.retryWindows[service] = w
 	}
 	return w
--- a/entry/router.go
+++ b/entry/router.go
@@ -68,9 +68,9 @@
 	tokenTimes       *tokenTimes
 	releases         *releases
 	// retryWindows bound the retries of opaque requests, by service.
-	retryWindows map[string]*admission.Window
+	retryWindows map[string]*admission.RetryWindow
 	fleetSize    func() int
-	retries      admission.Repeats
+	retries      admission.RetryLimit
 	quota        Quota
 	notices      *notice.Tracker
 	// coldBound is the fleet-wide bound on the requests to a cold replica.
@@ -93,7 +93,7 @@
 	Placer Placer
 	// Upstream sends opaque requests; Retries bounds how often they are sent to another replica.
 	Upstream Upstream
-	Retries  admission.Repeats
+	Retries  admission.RetryLimit
 	// Quarantine and Prober may be nil; requests that crash replicas are then not detected.
 	Quarantine Quarantine
 	Prober     Prober
@@ -137,7 +137,7 @@
 		limiters: map[string]*admission.Limiter{}, retryBudget: admission.NewRetryBudget(),
 		cascadeLearner: cascade.NewLearner(), hooks: e,
 		upstream: p.Upstream, activeForwards: newActiveForwards(), quarantine: p.Quarantine, prober: p.Prober, placer: p.Placer, prefillTimes: timing.NewPrefillTimes(), slotTimes: timing.NewSlotTimes(), confidenceGains: newConfidenceGains(), answerSizes: newAnswerSizes(), firstEventDelays: timing.NewFirstEventDelays(), tokenTimes: newTokenTimes(),
-		releases: newReleases(p.Clock()), retryWindows: map[string]*admission.Window{}, retries: p.Retries, fleetSize: p.FleetSize,
+		releases: newReleases(p.Clock()), retryWindows: map[string]*admission.RetryWindow{}, retries: p.Retries, fleetSize: p.FleetSize,
 		acceptConfidence: p.AcceptConfidence, coldBound: p.ColdBound, quota: p.Quota, notices: p.Notices,
 	}
 }
@@ -199,14 +199,14 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cascadeLearner.Skip(learnerKey(q, p[0]), pricePerToken(v, q, p[0].Model), pricePerToken(v, q, p[1].Model)) {
+	if r.cascadeLearner.ShouldSkip(learnerKey(q, p[0]), pricePerToken(v, q, p[0].Model), pricePerToken(v, q, p[1].Model)) {
 		return p[1:]
 	}
 	return p
 }
 
-func learnerKey(q Request, s policy.Step) cascade.Key {
-	return cascade.Key{Team: q.Caller.Team, Task: q.Task, Size: q.Size, Model: s.Model}
+func learnerKey(q Request, s policy.Step) cascade.StepKey {
+	return cascade.StepKey{Team: q.Caller.Team, Task: q.Task, Size: q.Size, Model: s.Model}
 }
 
 // pricePerToken is the price by which the steps' models are compared.
@@ -215,7 +215,7 @@
 	if !ok {
 		return 0
 	}
-	c := v.Active.Cost(x)
+	c := v.Active.Declaration(x)
 	return float64(c.CostIn + c.CostOut)
 }
 
@@ -228,7 +228,7 @@
 		}
 		return x, s, false, nil
 	}
-	x, ok := v.Active.Pick(q.Caller, model, s, v.IsTripped)
+	x, ok := v.Active.PickVersion(q.Caller, model, s, v.IsTripped)
 	if !ok {
 		return x, s, false, notRun(ModelNotAllowed, "no version of "+model+" may be used")
 	}
@@ -251,7 +251,7 @@
 	w := r.backends.queuedPerSlot(p)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.retryBudget.Request()
+	r.retryBudget.RecordRequest()
 	return r.limiter(name).Admit(c.Customer.Name, c.Customer.Share, w, n, deadline)
 }
 
@@ -263,7 +263,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.limiter(name).Done(c.Customer.Name, t, n.After(deadline) || isOverload(err), n)
+	r.limiter(name).Release(c.Customer.Name, t, n.After(deadline) || isOverload(err), n)
 }
 
 // isOverload reports whether the error shows an overloaded backend server: status 429 or an
@@ -283,12 +283,12 @@
 
 // takeRetry takes a retry from the budget if the request may be sent again after err.
 func (r *Router) takeRetry(err error, once bool) bool {
-	if !outcome.MayRepeat(err, once) {
+	if !outcome.MayRetry(err, once) {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.retryBudget.Retry()
+	return r.retryBudget.TakeRetry()
 }
 
 // runOnVersion dispatches a step to replicas of the version until one answers. call makes one
@@ -351,7 +351,7 @@
 // lessCertain keeps the error whose outcome is less certain, so that the caller gets "not run"
 // only if no attempt may have run.
 func lessCertain(a, b error) error {
-	if a != nil && outcome.Of(a) == outcome.Unknown {
+	if a != nil && outcome.KindOf(a) == outcome.Unknown {
 		return a
 	}
 	return b
@@ -411,7 +411,7 @@
 
 // price is the amount billed for one step's answer.
 func price(v *View, x version.ID, a Answer) bill.Amount {
-	c := v.Active.Cost(x).Cost(int64(a.TokensIn), int64(a.TokensOut))
+	c := v.Active.Declaration(x).Cost(int64(a.TokensIn), int64(a.TokensOut))
 	return bill.Amount{TokensIn: a.TokensIn, TokensOut: a.TokensOut, Cost: uint64(c)}
 }
 
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -79,7 +79,7 @@
 }
 
 func (f *portsFake) Finish(_ context.Context, c claim.Claim) error {
-	if c.State == claim.Free {
+	if c.State == claim.NotRun {
 		f.claimsFreed++
 		return nil
 	}
@@ -87,9 +87,9 @@
 	return nil
 }
 
-func (f *portsFake) Hold(context.Context, peer.Member, bill.Record) (bill.Word, error) {
+func (f *portsFake) Hold(context.Context, peer.Member, bill.Record) (bill.HoldResult, error) {
 	f.billsHeld++
-	return bill.Word{}, nil
+	return bill.HoldResult{}, nil
 }
 
 func (f *portsFake) Release(context.Context, peer.Member, bill.Record) error { return nil }
@@ -108,18 +108,18 @@
 var versions = []version.ID{version.New("large", "1"), version.New("small", "1"), version.New("small", "2")}
 
 func newTestRouter(t interface{ Fatal(...any) }, b *backendsFake, f *portsFake) (*Router, *CurrentView) {
-	c := catalog.Catalog{Team: "t", Services: []catalog.Service{{Name: "desk", Once: []string{"confirm"}}, {Name: "checked", Once: []string{"confirm"}, ChecksKey: true}}}
+	c := catalog.Catalog{Team: "t", Services: []catalog.Service{{Name: "desk", NonIdempotentCalls: []string{"confirm"}}, {Name: "checked", NonIdempotentCalls: []string{"confirm"}, ChecksIdempotencyKey: true}}}
 	for i, tier := range []string{"gold", "bronze"} {
 		c.Customers = append(c.Customers, catalog.Customer{Name: tier, Tier: tier, Share: 1, KeyHashes: []string{fmt.Sprintf("%064x", i)}})
 	}
 	for _, v := range versions {
 		c.Versions = append(c.Versions, catalog.Version{ID: v, CostOut: 1000})
 	}
-	d, _, err := config.Document{}.Apply(config.Change{ID: "1", Team: "t", Action: audit.Accept, Base: config.AnyBase, Source: policy.Source{Program: policyProgram, Catalog: c}})
+	d, _, err := config.Document{}.Apply(config.Change{ID: "1", Team: "t", Action: audit.Accept, BaseRevision: config.AnyBase, Source: policy.Source{Program: policyProgram, Catalog: c}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, e := config.Activate(d)
+	a, e := config.Compile(d)
 	if len(e) > 0 {
 		t.Fatal(e)
 	}
@@ -264,7 +264,7 @@
 		var high uint64
 		for range rapid.IntRange(1, 20).Draw(t, "puts") {
 			d.Revision = uint64(rapid.IntRange(0, 9).Draw(t, "revision"))
-			a, _ := config.Activate(d)
+			a, _ := config.Compile(d)
 			c.Put(NewView(a, nil, nil, nil))
 			high = max(high, d.Revision)
 			if g := c.Get().Active.Revision(); g != high {
@@ -275,7 +275,7 @@
 }
 
 func TestIsReadyOnceEnginesHaveReported(t *testing.T) {
-	a, _ := config.Activate(config.Document{Revision: 1})
+	a, _ := config.Compile(config.Document{Revision: 1})
 	e := func(v ...version.ID) pool.Replica { return pool.Replica{Kind: pool.Engine, Versions: v} }
 	for _, c := range []struct {
 		name string
--- a/entry/service.go
+++ b/entry/service.go
@@ -29,14 +29,14 @@
 	}
 	x, cancel := context.WithDeadline(ctx, q.Deadline)
 	defer cancel()
-	q.Once = q.Once || s.IsOnce(q.Call)
+	q.Once = q.Once || s.IsNonIdempotent(q.Call)
 	if !q.Once {
 		return r.callService(x, q)
 	}
 	if q.IdempotencyKey == "" {
 		return ServiceResult{}, notRun(IdempotencyKeyRequired, q.Service+"/"+q.Call+" may not be repeated: give an Idempotency-Key")
 	}
-	return r.callOnce(x, q, s.ChecksKey)
+	return r.callOnce(x, q, s.ChecksIdempotencyKey)
 }
 
 // callOnce claims the idempotency key, sends the call once and records the result.
@@ -91,7 +91,7 @@
 	case err == nil:
 		err = r.claims.Finish(x, c.WithAnswer(a.Answer.Status, a.Answer.Body))
 	case failed(err).Outcome == outcome.NotRun:
-		err = r.claims.Finish(x, c.WithFree())
+		err = r.claims.Finish(x, c.WithNotRun())
 	default:
 		return
 	}
--- a/entry/tokentime_test.go
+++ b/entry/tokentime_test.go
@@ -44,10 +44,10 @@
 		t.Fatal(err)
 	}
 	d := v.Get().Active.Document()
-	if d, _, err = d.Apply(config.Change{ID: "start", Team: "t", Action: audit.StartRoll, Rollout: o, At: time.Now()}); err != nil {
+	if d, _, err = d.Apply(config.Change{ID: "start", Team: "t", Action: audit.StartRollout, Rollout: o, At: time.Now()}); err != nil {
 		t.Fatal(err)
 	}
-	a, e := config.Activate(d)
+	a, e := config.Compile(d)
 	if len(e) > 0 {
 		t.Fatal(e)
 	}
@@ -83,7 +83,7 @@
 				q.ID = fmt.Sprint("q", i)
 				q.Session = session.New(q.ID, "bronze", time.Now().Add(time.Hour))
 				q.Deadline = time.Now().Add(time.Minute)
-				if _, _, err := r.Chat(t.Context(), q); err != nil && outcome.Of(err) != outcome.NotRun {
+				if _, _, err := r.Chat(t.Context(), q); err != nil && outcome.KindOf(err) != outcome.NotRun {
 					t.Fatal(err)
 				}
 			}
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -53,7 +53,7 @@
 
 func (f *trialFleet) router(i int) *Router {
 	return NewRouter(Ports{
-		View: f.view, Clock: time.Now, Rand: rand.NewPCG(uint64(i), 1), Upstream: f, Retries: admission.Repeats{Burst: 1e6},
+		View: f.view, Clock: time.Now, Rand: rand.NewPCG(uint64(i), 1), Upstream: f, Retries: admission.RetryLimit{Burst: 1e6},
 		FleetSize: func() int { return len(f.routers) },
 	})
 }
@@ -111,7 +111,7 @@
 func trialRoutes(n int) []*route.Route {
 	var l []*route.Route
 	for i := range n {
-		l = append(l, &route.Route{Name: fmt.Sprint("r", i), Split: []route.Part{{Service: "s"}}, MaxAttempts: 1})
+		l = append(l, &route.Route{Name: fmt.Sprint("r", i), Split: []route.WeightedService{{Service: "s"}}, MaxAttempts: 1})
 	}
 	return l
 }
--- a/faults/deployment_test.go
+++ b/faults/deployment_test.go
@@ -100,7 +100,7 @@
 	if len(e) > 0 {
 		panic(e[0])
 	}
-	return config.Change{ID: id, Team: "t", Who: "op", Why: note, Action: audit.Accept, Base: base, Source: s, Key: session.Key{ID: "k1", Secret: []byte("secret")}}
+	return config.Change{ID: id, Team: "t", Who: "op", Why: note, Action: audit.Accept, BaseRevision: base, Source: s, Key: session.Key{ID: "k1", Secret: []byte("secret")}}
 }
 
 // deployment is a small system under test with its clients, the requests that they
@@ -141,7 +141,7 @@
 // times returns the default times with shorter intervals for bills and polling.
 func times() control.Times {
 	t := control.DefaultTimes()
-	t.Flush, t.Orphan, t.Poll = 2*time.Second, 8*time.Second, 5*time.Second
+	t.Flush, t.OrphanDelay, t.Poll = 2*time.Second, 8*time.Second, 5*time.Second
 	return t
 }
 
@@ -213,7 +213,7 @@
 			}
 			c.At = time.Now()
 			y, cancel := context.WithTimeout(ctx, operatorTimeout)
-			r, err := world.CallControl(y, d.w, i, func(x context.Context, n *control.Node) (control.Changed, error) { return n.Change(x, c) })
+			r, err := world.CallControl(y, d.w, i, func(x context.Context, n *control.Node) (control.ChangeResult, error) { return n.Change(x, c) })
 			cancel()
 			if err == nil {
 				d.mu.Lock()
@@ -242,7 +242,7 @@
 	if err != nil {
 		panic(err)
 	}
-	_ = d.change(ctx, "a1", config.Change{ID: "roll", Team: "t", Who: "op", Why: "newer", Action: audit.StartRoll, Rollout: r})
+	_ = d.change(ctx, "a1", config.Change{ID: "roll", Team: "t", Who: "op", Why: "newer", Action: audit.StartRollout, Rollout: r})
 	d.waitUntil(22)
 	d.step("withdraw", d.control("b1"))
 	if err := d.change(ctx, "b1", config.Change{ID: "withdraw", Team: "t", Who: "op", Why: "old", Action: audit.Withdraw, Version: cheap1}); err == nil {
--- a/faults/once_test.go
+++ b/faults/once_test.go
@@ -23,13 +23,13 @@
 		d.onStep = func(d *deployment, step string, _ *world.Proc) {
 			if step == world.StepClaim && firstClaim {
 				firstClaim = false
-				d.w.SetStoreFault(kv.LostAnswers)
+				d.w.SetStoreFault(kv.LostResponses)
 			}
 		}
 		if _, err := d.sendOne(ctx, "a1", "once", 1); err != nil {
 			t.Errorf("first request: got %v, want an answer", err)
 		}
-		d.w.SetStoreFault(kv.Sound)
+		d.w.SetStoreFault(kv.NoFault)
 		s, err := d.sendOne(ctx, "b1", "once", 1)
 		if err != nil || !s.replayed || !s.complete {
 			t.Errorf("second request: got %v, replayed %t; want the first answer replayed", err, s.replayed)
@@ -55,7 +55,7 @@
 		if err == nil || outcomeOf(err) == outcome.NotRun {
 			t.Errorf("request to the other instance: got %v, want an error whose outcome is not NotRun", err)
 		}
-		time.Sleep(claim.Margin / 2)
+		time.Sleep(claim.RetentionMargin / 2)
 		a.Entry.Resume()
 		time.Sleep(time.Second)
 		_, _ = d.sendOne(ctx, "b1", "once", 1)
--- a/faults/versions_test.go
+++ b/faults/versions_test.go
@@ -88,7 +88,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.mustChange(ctx, config.Change{ID: id, Team: "t", Who: "op", Why: "t", Action: audit.StartRoll, Rollout: r})
+			d.mustChange(ctx, config.Change{ID: id, Team: "t", Who: "op", Why: "t", Action: audit.StartRollout, Rollout: r})
 		}
 		state := func() rollout.State {
 			r, _ := d.instance("a1").View.Get().Active.Document().Part("t").Rollout("cheap")
@@ -135,7 +135,7 @@
 		for _, b := range d.engines() {
 			b.SetBad(cheap2, true)
 		}
-		d.mustChange(ctx, config.Change{ID: "few", Team: "t", Who: "op", Why: "t", Action: audit.StartRoll, Rollout: r})
+		d.mustChange(ctx, config.Change{ID: "few", Team: "t", Who: "op", Why: "t", Action: audit.StartRollout, Rollout: r})
 		now := func() rollout.Rollout {
 			r, _ := d.instance("a1").View.Get().Active.Document().Part("t").Rollout("cheap")
 			return r
@@ -228,7 +228,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.mustChange(ctx, config.Change{ID: "roll", Team: "t", Who: "op", Why: "t", Action: audit.StartRoll, Rollout: r})
+		d.mustChange(ctx, config.Change{ID: "roll", Team: "t", Who: "op", Why: "t", Action: audit.StartRollout, Rollout: r})
 		k := session.NewKey()
 		d.mustChange(ctx, config.Change{ID: "keys", Who: "op", Why: "t", Action: audit.RotateKeys, Key: k})
 		d.instance("a1").Kill()
@@ -239,7 +239,7 @@
 		if l := d.sessionVersions["thread0"]; len(l) != 1 || l[0] != cheap1 {
 			t.Errorf("the session used the versions %v, want only %v", l, cheap1)
 		}
-		if o, err := d.instance("b1").View.Get().Active.Ring().Open(d.sessionTokens["thread0"], time.Now()); err != nil || o.Customer != "" {
+		if o, err := d.instance("b1").View.Get().Active.SessionKeys().Verify(d.sessionTokens["thread0"], time.Now()); err != nil || o.Customer != "" {
 			t.Errorf("token after the rotation: got %+v, %v; want a session without a customer", o, err)
 		}
 	})
--- a/process/control.go
+++ b/process/control.go
@@ -35,15 +35,15 @@
 // NewControl returns a control process that is not running yet.
 func NewControl(s settings.Control, l log.Interface) *Control {
 	c := &Control{settings: s, log: l, metrics: metrics.New()}
-	k := etcd.New(s.Store)
+	k := etcd.New(s.StoreAddr)
 	n := c.metrics.Counter("store_calls_total", "Calls to the platform's store.", "method")
-	k.Count = func(method string) { n.WithLabelValues(method).Inc() }
-	c.node = control.New(control.Parts{
+	k.OnRequest = func(method string) { n.WithLabelValues(method).Inc() }
+	c.node = control.New(control.Options{
 		Self:        peer.Member{ID: s.ID, Addr: s.PeerAddr, DataCentre: s.DataCentre},
 		Incarnation: uuid.NewString(),
 		Store:       k,
 		Peers:       rpc.NewPeers(s.FleetKey),
-		Platform:    platform.New(httpconn.New(), s.List, ""),
+		Platform:    platform.New(httpconn.New(), s.ListAddr, ""),
 		Clock:       time.Now,
 		Times:       s.Times,
 		Rates:       s.Rates,
@@ -57,13 +57,13 @@
 
 // registerGauges registers the metrics that are read from the state of the process.
 func (c *Control) registerGauges() {
-	c.metrics.Gauge("revision", "Revision of the configuration held.", func() float64 {
+	c.metrics.GaugeFunc("revision", "Revision of the configuration held.", func() float64 {
 		d, _ := c.node.Document()
 		return float64(d.Revision)
 	})
-	c.metrics.Gauge("members", "Live instances known.", func() float64 { return float64(len(c.node.Members())) })
-	c.metrics.Gauge("bill_records_held", "Bill records held for other instances.", func() float64 { return float64(c.node.Held()) })
-	c.metrics.Gauge("alarms", "Alarms of this instance; fieldvale status tells them in words.", func() float64 {
+	c.metrics.GaugeFunc("members", "Live instances known.", func() float64 { return float64(len(c.node.Members())) })
+	c.metrics.GaugeFunc("bill_records_held", "Bill records held for other instances.", func() float64 { return float64(c.node.HeldRecords()) })
+	c.metrics.GaugeFunc("alarms", "Alarms of this instance; fieldvale status tells them in words.", func() float64 {
 		for _, h := range c.node.Instances() {
 			if h.ID == c.settings.ID {
 				return float64(len(h.Alarms))
@@ -98,7 +98,7 @@
 			return err
 		}
 	}
-	m, err := socket.Open(c.settings.Metrics)
+	m, err := socket.Open(c.settings.MetricsListen)
 	if err != nil {
 		return errors.Wrap(err, "process.Control")
 	}
@@ -152,10 +152,10 @@
 func (c *Control) stop() {
 	c.log.Info("stopping")
 	time.Sleep(entryStopDelay)
-	for c.node.EntryStopping(entryStopDelay) {
+	for c.node.IsEntryStopping(entryStopDelay) {
 		time.Sleep(entryPollInterval)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), c.settings.StopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), c.settings.StopTimeout)
 	defer cancel()
 	c.node.Stop(ctx)
 }
--- a/process/entry.go
+++ b/process/entry.go
@@ -60,7 +60,7 @@
 func NewEntry(s settings.Entry, l log.Interface) *Entry {
 	e := &Entry{settings: s, log: l, incarnation: uuid.NewString(), view: entry.NewCurrentView(), metrics: metrics.New()}
 	h := httpconn.New()
-	k := rpc.NewLocal(s.Control, s.FleetKey)
+	k := rpc.NewLocal(s.ControlAddr, s.FleetKey)
 	e.biller = biller.New(rpc.NewPeers(s.FleetKey), e.view.Members, s.ID, e.incarnation)
 	e.biller.Log = func(event string, f ...any) { l.WithFields(logging.Fields(f...)).Info(event) }
 	e.quarantine = quarantine.NewNode(0, quarantine.Config{Self: s.ID, Clock: time.Now, Log: func(event string, f ...any) {
@@ -75,7 +75,7 @@
 	})
 	e.router = entry.NewRouter(entry.Ports{
 		View: e.view, Engines: backend.NewEngines(h).WithLimits(e.quota).WithNotices(e.notices), Services: backend.NewServices(h).WithLimits(e.quota).WithNotices(e.notices), Claims: k,
-		Rater: platform.New(h, "", s.Rating), Biller: e.biller, Clock: time.Now, Self: s.ID,
+		Rater: platform.New(h, "", s.RatingAddr), Biller: e.biller, Clock: time.Now, Self: s.ID,
 		Rand: rand.NewPCG(rand.Uint64(), rand.Uint64()), Hooks: e.routerHooks(),
 		Quarantine: e.quarantine, Prober: backend.Prober{}, Quota: e.quota, Notices: e.notices,
 	})
@@ -116,10 +116,10 @@
 
 // registerGauges registers the metrics that are read from the state of the process.
 func (e *Entry) registerGauges() {
-	e.metrics.Gauge("revision", "Revision of the configuration in force.", func() float64 { return float64(e.syncer.revision()) })
-	e.metrics.Gauge("bills_alone_total", "Bills that no other instance held in time.", func() float64 { return float64(e.biller.Alone.Load()) })
-	e.metrics.Gauge("bills_pending", "Bills that no other instance has seen yet.", func() float64 { return float64(e.biller.Pending()) })
-	e.metrics.Gauge("bills_repeated_total", "Bills left out because the request id was billed before.", func() float64 { return float64(e.biller.Repeats.Load()) })
+	e.metrics.GaugeFunc("revision", "Revision of the configuration in force.", func() float64 { return float64(e.syncer.revision()) })
+	e.metrics.GaugeFunc("bills_alone_total", "Bills that no other instance held in time.", func() float64 { return float64(e.biller.Unheld.Load()) })
+	e.metrics.GaugeFunc("bills_pending", "Bills that no other instance has seen yet.", func() float64 { return float64(e.biller.Pending()) })
+	e.metrics.GaugeFunc("bills_repeated_total", "Bills left out because the request id was billed before.", func() float64 { return float64(e.biller.Duplicates.Load()) })
 }
 
 // Run serves until ctx ends and then shuts down gracefully: it accepts no more requests,
@@ -129,7 +129,7 @@
 	if err != nil {
 		return errors.Wrap(err, "process.Entry")
 	}
-	m, err := socket.Open(e.settings.Metrics)
+	m, err := socket.Open(e.settings.MetricsListen)
 	if err != nil {
 		return errors.Wrap(err, "process.Entry")
 	}
@@ -202,13 +202,13 @@
 func (e *Entry) stop() error {
 	e.log.Info("stopping")
 	e.caller.SetReady(false)
-	time.Sleep(e.settings.Drain)
-	ctx, cancel := context.WithTimeout(context.Background(), e.settings.StopWithin)
+	time.Sleep(e.settings.DrainDelay)
+	ctx, cancel := context.WithTimeout(context.Background(), e.settings.StopTimeout)
 	defer cancel()
 	if err := e.caller.Shutdown(ctx); err != nil {
 		return errors.Wrap(err, "process.Entry: shut down before all requests were answered")
 	}
-	e.biller.Settle(ctx)
+	e.biller.SettlePending(ctx)
 	e.syncer.Sync(ctx, true)
 	return nil
 }
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -98,15 +98,15 @@
 // newTestInstance starts the fakes and returns an instance whose processes are not started.
 func newTestInstance(t *testing.T) *testInstance {
 	c := writeCertificate(t)
-	e := engine.New(engine.Settings{ID: "e", Slots: 4, Queue: 4, Models: map[string]engine.Model{"lingua-small@1": {Quality: 0.9, PerToken: 20 * time.Millisecond}}})
+	e := engine.New(engine.Settings{ID: "e", Slots: 4, QueueSize: 4, Models: map[string]engine.Model{"lingua-small@1": {Quality: 0.9, PerToken: 20 * time.Millisecond}}})
 	el, k, l := serveHandler(t, e.Handle), serveHandler(t, kv.NewServer().Handle), list.New(0)
 	ll := serveHandler(t, l.Handle)
 	i := control.DefaultTimes()
 	i.Load, i.List, i.Flush = 100*time.Millisecond, 100*time.Millisecond, 200*time.Millisecond
 	r := &testInstance{t: t, ca: c.Cert, engine: e, stops: map[string]context.CancelFunc{}, results: map[string]chan error{}}
 	r.control = settings.Control{
-		ID: "i", DataCentre: "dc", PeerListen: reservePort(t), LocalListen: reservePort(t), AdminListen: reservePort(t), Metrics: reservePort(t), FleetKey: "fleet-key-fleet-key",
-		Store: k, List: ll, TLS: c, Times: i, Rates: rollout.DefaultRates(), StopWithin: time.Second,
+		ID: "i", DataCentre: "dc", PeerListen: reservePort(t), LocalListen: reservePort(t), AdminListen: reservePort(t), MetricsListen: reservePort(t), FleetKey: "fleet-key-fleet-key",
+		StoreAddr: k, ListAddr: ll, TLS: c, Times: i, Rates: rollout.DefaultRates(), StopTimeout: time.Second,
 		Admins: []rpc.Admin{
 			{Name: "root", Role: rpc.Platform, KeyHash: catalog.HashKey("root")},
 			{Name: "op", Role: rpc.Operator, Team: "maizes-tilts", KeyHash: catalog.HashKey("op")},
@@ -115,8 +115,8 @@
 	}
 	r.control.PeerAddr = r.control.PeerListen
 	r.entry = settings.Entry{
-		ID: "i", DataCentre: "dc", Listen: reservePort(t), Metrics: reservePort(t), Control: r.control.LocalListen, FleetKey: r.control.FleetKey,
-		Rating: "127.0.0.1:1", TLS: c, Sync: 50 * time.Millisecond, Drain: 50 * time.Millisecond, StopWithin: time.Minute,
+		ID: "i", DataCentre: "dc", Listen: reservePort(t), MetricsListen: reservePort(t), ControlAddr: r.control.LocalListen, FleetKey: r.control.FleetKey,
+		RatingAddr: "127.0.0.1:1", TLS: c, Sync: 50 * time.Millisecond, DrainDelay: 50 * time.Millisecond, StopTimeout: time.Minute,
 	}
 	l.Set([]list.Instance{{ID: "e", Addr: el, Kind: "engine", Slots: 4, DataCentre: "dc"}})
 	b, err := os.ReadFile(c.Cert)
@@ -131,7 +131,7 @@
 
 // serveHandler serves h on a free port until the test ends, and returns its address.
 func serveHandler(t *testing.T, h fasthttp.RequestHandler) string {
-	l, err := serve.On("127.0.0.1:0", h)
+	l, err := serve.Listen("127.0.0.1:0", h)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +162,7 @@
 
 // adminClient returns a client of the administration API with the key.
 func (r *testInstance) adminClient(key string) fieldvalev1connect.AdminClient {
-	c, err := rpc.NewAdmin("https://"+r.control.AdminListen, key, r.ca)
+	c, err := rpc.NewAdminClient("https://"+r.control.AdminListen, key, r.ca)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -329,7 +329,7 @@
 func TestMetrics(t *testing.T) {
 	r := newTestInstance(t)
 	r.startAll()
-	for addr, want := range map[string]string{r.entry.Metrics: "fieldvale_requests_total", r.control.Metrics: "fieldvale_store_calls_total"} {
+	for addr, want := range map[string]string{r.entry.MetricsListen: "fieldvale_requests_total", r.control.MetricsListen: "fieldvale_store_calls_total"} {
 		if s, b := r.get("http://" + addr + "/metrics"); s != 200 || !strings.Contains(b, want) {
 			t.Errorf("the metrics lack %s, or their status is not 200: got status %d", want, s)
 		}
--- a/process/syncer.go
+++ b/process/syncer.go
@@ -14,7 +14,7 @@
 
 // ControlClient calls the control process that runs beside an entry.
 type ControlClient interface {
-	Sync(ctx context.Context, r control.Report) (control.Update, error)
+	Sync(ctx context.Context, r control.EntryReport) (control.EntryUpdate, error)
 }
 
 // Syncer exchanges state between an entry and its control process: it reports the entry's
@@ -30,7 +30,7 @@
 
 	mu sync.Mutex
 	// lastViewUpdate is the last update that included replicas and members.
-	lastViewUpdate control.Update
+	lastViewUpdate control.EntryUpdate
 	// disconnected is set while exchanges fail, so that the loss is logged once.
 	disconnected bool
 	// controlSettled is set once the control process has reported that it is settled. It is
@@ -69,9 +69,9 @@
 	defer l.mu.Unlock()
 	callCtx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
-	u, err := l.control.Sync(callCtx, control.Report{
-		Incarnation: l.incarnation, Revision: l.revision(), View: l.lastViewUpdate.View, Control: l.lastViewUpdate.Control,
-		Ledger: l.biller.Ledger(), AloneUpto: l.biller.AloneUpto(), Evidence: l.router.Evidence(), Running: l.router.InFlight(), Stopping: stopping,
+	u, err := l.control.Sync(callCtx, control.EntryReport{
+		Incarnation: l.incarnation, Revision: l.revision(), View: l.lastViewUpdate.View, ControlIncarnation: l.lastViewUpdate.ControlIncarnation,
+		Ledger: l.biller.Ledger(), LastUnheldSeq: l.biller.LastUnheldSeq(), Evidence: l.router.Evidence(), InFlight: l.router.InFlight(), Stopping: stopping,
 	})
 	if err != nil {
 		if !l.disconnected {
@@ -84,7 +84,7 @@
 		l.disconnected = false
 		l.log("control_back")
 	}
-	l.controlSettled = l.controlSettled || u.Settled
+	l.controlSettled = l.controlSettled || u.Ready
 	l.applyUpdate(u)
 	return true
 }
@@ -106,7 +106,7 @@
 
 // applyUpdate puts the update in force. A configuration that can't be used is logged, and the
 // one before it stays in force.
-func (l *Syncer) applyUpdate(u control.Update) {
+func (l *Syncer) applyUpdate(u control.EntryUpdate) {
 	a := l.view.Get().Active
 	if len(u.Document) > 0 {
 		if n, err := decodeAndActivate(u.Document); err != nil {
@@ -116,7 +116,7 @@
 			l.log("config_in_force", "revision", a.Revision())
 		}
 	}
-	if !u.Fresh {
+	if !u.HasView {
 		l.view.Put(l.view.Get().WithActive(a))
 		return
 	}
@@ -126,12 +126,12 @@
 
 // decodeAndActivate returns the configuration in an encoded document, or the first error that
 // prevents its use.
-func decodeAndActivate(b []byte) (*config.Active, error) {
+func decodeAndActivate(b []byte) (*config.Compiled, error) {
 	d, err := codec.DecodeDocument(b)
 	if err != nil {
 		return nil, err
 	}
-	a, x := config.Activate(d)
+	a, x := config.Compile(d)
 	if len(x) > 0 {
 		return nil, x[0]
 	}
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -1,21 +1,22 @@
-// Package ring joins the duties of a process by bounded queues. A full ring
-// refuses instead of growing, so that overload shows at once where it arises.
+// Package ring provides the bounded queues between the goroutines of a process. A full
+// queue rejects items instead of growing, so that an overload becomes visible immediately
+// where it occurs.
 package ring
 
 import "context"
 
-// Ring is a bounded first-in first-out queue between goroutines.
-type Ring[T any] struct {
+// Queue is a bounded FIFO queue between goroutines.
+type Queue[T any] struct {
 	c chan T
 }
 
-// New returns a ring that holds at most n items.
-func New[T any](n int) *Ring[T] {
-	return &Ring[T]{c: make(chan T, n)}
+// New returns a queue with room for n items.
+func New[T any](n int) *Queue[T] {
+	return &Queue[T]{c: make(chan T, n)}
 }
 
-// Offer adds x and reports whether there was room.
-func (r *Ring[T]) Offer(x T) bool {
+// TryPut adds x if there is room and reports whether it did. It does not wait.
+func (r *Queue[T]) TryPut(x T) bool {
 	select {
 	case r.c <- x:
 		return true
@@ -24,8 +25,8 @@
 	}
 }
 
-// Put waits for room and adds x. It reports false if ctx ended first.
-func (r *Ring[T]) Put(ctx context.Context, x T) bool {
+// Put waits for room and adds x. It returns false if ctx is done first.
+func (r *Queue[T]) Put(ctx context.Context, x T) bool {
 	select {
 	case r.c <- x:
 		return true
@@ -34,8 +35,8 @@
 	}
 }
 
-// Take waits for an item. It fails only with ctx's error.
-func (r *Ring[T]) Take(ctx context.Context) (T, error) {
+// Take waits for an item and removes it. It returns an error only if ctx is done first.
+func (r *Queue[T]) Take(ctx context.Context) (T, error) {
 	select {
 	case x := <-r.c:
 		return x, nil
@@ -45,8 +46,8 @@
 	}
 }
 
-// Drain returns the items queued now, at most n of them, without waiting.
-func (r *Ring[T]) Drain(n int) []T {
+// Drain removes and returns at most n of the queued items without waiting.
+func (r *Queue[T]) Drain(n int) []T {
 	var d []T
 	for len(d) < n {
 		select {
@@ -59,8 +60,8 @@
 	return d
 }
 
-// Len returns the number of items queued.
-func (r *Ring[T]) Len() int { return len(r.c) }
+// Len returns the number of queued items.
+func (r *Queue[T]) Len() int { return len(r.c) }
 
-// Chan is for use in a select beside other waits.
-func (r *Ring[T]) Chan() <-chan T { return r.c }
+// Chan returns the channel of the queue, for receiving in a select statement.
+func (r *Queue[T]) Chan() <-chan T { return r.c }
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -30,12 +30,15 @@
 	return s
 }
 
-func TestTokenSaysWhatWasMintedAcrossRotation(t *testing.T) {
+// A token must return the session it was issued for, also after its key was rotated
+// to a later place in the ring. It must be rejected once its key has been removed or
+// the session has expired.
+func TestTokenRoundTripAcrossRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSession(t)
-		token := session.NewRing(key1).Mint(s)
-		for _, r := range []session.Ring{session.NewRing(key1), session.NewRing(key2, key1)} {
-			got, err := r.Open(token, now)
+		token := session.NewKeyRing(key1).Issue(s)
+		for _, r := range []session.KeyRing{session.NewKeyRing(key1), session.NewKeyRing(key2, key1)} {
+			got, err := r.Verify(token, now)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -43,38 +46,40 @@
 				t.Fatal(d)
 			}
 		}
-		if _, err := session.NewRing(key2).Open(token, now); !errors.Is(err, session.ErrUnknown) {
-			t.Fatalf("a dropped key's token: %v", err)
+		if _, err := session.NewKeyRing(key2).Verify(token, now); !errors.Is(err, session.ErrUnknownKey) {
+			t.Fatalf("token of a removed key: got error %v, want ErrUnknownKey", err)
 		}
-		if _, err := session.NewRing(key1).Open(token, s.Expires); !errors.Is(err, session.ErrExpired) {
-			t.Fatalf("an expired token: %v", err)
+		if _, err := session.NewKeyRing(key1).Verify(token, s.Expires); !errors.Is(err, session.ErrExpired) {
+			t.Fatalf("expired token: got error %v, want ErrExpired", err)
 		}
 	})
 }
 
-func TestChangedTokenIsNotHonoured(t *testing.T) {
+// Guards against forged sessions: a token with one byte changed must not open as a
+// different session.
+func TestModifiedTokenIsRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSession(t)
-		r := session.NewRing(key1)
-		b := []byte(r.Mint(s))
+		r := session.NewKeyRing(key1)
+		b := []byte(r.Issue(s))
 		i := rapid.IntRange(0, len(b)-1).Draw(t, "at")
 		c := rapid.ByteRange('!', '~').Draw(t, "byte")
 		if b[i] == c {
 			return
 		}
 		b[i] = c
-		got, err := r.Open(string(b), now)
+		got, err := r.Verify(string(b), now)
 		if err == nil && !cmp.Equal(s, got) {
-			t.Fatalf("token %q opened as %+v", b, got)
+			t.Fatalf("modified token %q opened as %+v, want an error or the original session", b, got)
 		}
 	})
 }
 
 func FuzzOpen(f *testing.F) {
-	f.Add(session.NewRing(key1).Mint(session.New("s", "c", now)))
+	f.Add(session.NewKeyRing(key1).Issue(session.New("s", "c", now)))
 	f.Add("k1..")
 	f.Add("..")
 	f.Fuzz(func(t *testing.T, token string) {
-		_, _ = session.NewRing(key1).Open(token, now)
+		_, _ = session.NewKeyRing(key1).Verify(token, now)
 	})
 }
--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -76,7 +76,7 @@
 	}
 	f := e.Faults.Get()
 	p := q.prompt()
-	if f.FailPart > 0 && failsFor(p, f.FailPart) {
+	if f.FailFraction > 0 && failsFor(p, f.FailFraction) {
 		c.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
 	}
@@ -149,7 +149,7 @@
 func (e *Engine) stream(w *bufio.Writer, id, model string, t []string, skip int, f fault.Set) {
 	for i := skip; i < len(t); i++ {
 		time.Sleep(e.Models[model].PerToken)
-		if f.CutAfter > 0 && i >= f.CutAfter {
+		if f.TruncateAfter > 0 && i >= f.TruncateAfter {
 			return
 		}
 		if !writeChunk(w, id, model, map[string]any{"index": 0, "delta": map[string]string{"content": t[i]}}, nil) {
@@ -191,7 +191,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.ChecksFence && q.Fence < e.highestToken {
+	if e.ChecksFencingToken && q.Fence < e.highestToken {
 		c.Error("fence is lower than one seen", fasthttp.StatusConflict)
 		return
 	}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -20,9 +20,9 @@
 type Model struct {
 	// Quality is the quality of the answer to the easiest prompt.
 	Quality float64
-	// Spread is the difference between the qualities of the answers to the
+	// QualityRange is the difference between the qualities of the answers to the
 	// easiest and to the hardest prompt.
-	Spread float64
+	QualityRange float64
 	// PerToken is the time that one token of an answer takes.
 	PerToken time.Duration
 	// Bad gives all answers badQuality.
@@ -34,13 +34,13 @@
 	ID string
 	// Slots is the number of requests that run concurrently.
 	Slots int
-	// Queue is the number of requests that may wait for a slot.
-	Queue int
+	// QueueSize is the number of requests that may wait for a slot.
+	QueueSize int
 	// Models holds the versions by name; all are loaded at the start.
 	Models map[string]Model
-	// ChecksFence makes the engine reject orders with a fencing token below the
+	// ChecksFencingToken makes the engine reject orders with a fencing token below the
 	// highest one that it has received.
-	ChecksFence bool
+	ChecksFencingToken bool
 }
 
 // Run is one request that the engine started. AttemptID is its X-Request-Id.
@@ -150,7 +150,7 @@
 		return "leaving"
 	case !e.loaded[model]:
 		return "model not loaded"
-	case e.queued >= e.Queue:
+	case e.queued >= e.QueueSize:
 		return "queue is full"
 	}
 	e.queued++
@@ -187,7 +187,7 @@
 		return badQuality
 	}
 	const grain = 1000
-	return m.Quality - m.Spread*float64(xxhash.Sum64String(prompt)%grain)/grain
+	return m.Quality - m.QualityRange*float64(xxhash.Sum64String(prompt)%grain)/grain
 }
 
 // badQuality is the quality of all answers of a bad version.
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -20,18 +20,18 @@
 	Down bool
 	// Slow delays the handling of each request.
 	Slow time.Duration
-	// DropAnswers handles the request and then closes the connection without
+	// DropResponses handles the request and then closes the connection without
 	// a response.
-	DropAnswers bool
+	DropResponses bool
 	// Limited rejects each request with status 429.
 	Limited bool
 	// Bad makes responses incorrect, in a way that each fake server defines.
 	Bad bool
-	// CutAfter truncates a stream after this many tokens; 0 disables it.
-	CutAfter int
-	// FailPart is the fraction of requests, from 0 to 1, that fail with
+	// TruncateAfter truncates a stream after this many tokens; 0 disables it.
+	TruncateAfter int
+	// FailFraction is the fraction of requests, from 0 to 1, that fail with
 	// status 500.
-	FailPart float64
+	FailFraction float64
 }
 
 // Injector holds a Set that can be replaced at run time. It is safe for concurrent
@@ -63,13 +63,13 @@
 	failPart, _ := strconv.ParseFloat(string(a.Peek("fail_part")), 64)
 	delay, _ := time.ParseDuration(string(a.Peek("slow")))
 	i.Put(Set{
-		Down:        a.GetBool("down"),
-		Slow:        delay,
-		DropAnswers: a.GetBool("drop_answers"),
-		Limited:     a.GetBool("limited"),
-		Bad:         a.GetBool("bad"),
-		CutAfter:    cutAfter,
-		FailPart:    failPart,
+		Down:          a.GetBool("down"),
+		Slow:          delay,
+		DropResponses: a.GetBool("drop_answers"),
+		Limited:       a.GetBool("limited"),
+		Bad:           a.GetBool("bad"),
+		TruncateAfter: cutAfter,
+		FailFraction:  failPart,
 	})
 }
 
@@ -93,7 +93,7 @@
 
 // After applies the faults that take effect once a request was handled.
 func (i *Injector) After(c *fasthttp.RequestCtx) {
-	if i.Get().DropAnswers {
+	if i.Get().DropResponses {
 		closeConnection(c)
 	}
 }
--- a/standin/kv/fake.go
+++ b/standin/kv/fake.go
@@ -24,12 +24,12 @@
 
 // The faults of a Fake.
 const (
-	// Sound injects no fault.
-	Sound Fault = iota
+	// NoFault injects no fault.
+	NoFault Fault = iota
 	// Down makes calls fail without reaching the store.
 	Down
-	// LostAnswers applies writes and loses their responses.
-	LostAnswers
+	// LostResponses applies writes and loses their responses.
+	LostResponses
 	// LostRequests loses requests before they reach the store. The client gets
 	// the same error as for a lost response, since it cannot tell the two apart.
 	LostRequests
@@ -40,8 +40,8 @@
 	return &Fake{Memory: m, calls: map[string]int{}}
 }
 
-// Break sets the fault of all further calls. The zero Fault removes it.
-func (f *Fake) Break(x Fault) {
+// SetFault sets the fault of all further calls. The zero Fault removes it.
+func (f *Fake) SetFault(x Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fault = x
@@ -67,7 +67,7 @@
 		return nil, errors.Mark(errors.Wrapf(errFake, "%s: store is down", name), store.ErrUnavailable)
 	case LostRequests:
 		return nil, errors.Mark(errors.Wrapf(errFake, "%s: request was lost", name), store.ErrUnknown)
-	case LostAnswers:
+	case LostResponses:
 		return errors.Mark(errors.Wrapf(errFake, "%s: response was lost", name), store.ErrUnknown), nil
 	}
 	return nil, nil
--- a/standin/ordered/ordered.go
+++ b/standin/ordered/ordered.go
@@ -12,8 +12,8 @@
 
 // The names of the release in use before the order and of the ordered one.
 const (
-	Old = "v1"
-	New = "v2"
+	OldVersion = "v1"
+	NewVersion = "v2"
 )
 
 const (
@@ -59,16 +59,16 @@
 	return &Release{kind: kind(seed % uint64(kinds)), received: map[string]int{}, rand: rand.New(rand.NewPCG(seed, 99))}
 }
 
-// Begin records that the release is ordered now and that its roll-out takes length.
-func (r *Release) Begin(length time.Duration) {
+// StartRollout records that the release is ordered now and that its roll-out takes length.
+func (r *Release) StartRollout(length time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ends = time.Now().Add(length)
 }
 
-// Reached counts a request that a replica of the named release received. Requests
+// CountRequest counts a request that a replica of the named release received. Requests
 // after the roll-out are not counted.
-func (r *Release) Reached(of string) {
+func (r *Release) CountRequest(of string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if time.Now().Before(r.ends) {
@@ -76,12 +76,12 @@
 	}
 }
 
-// Spoil injects the fault of the next response of the named release: it sleeps if a
+// InjectFault injects the fault of the next response of the named release: it sleeps if a
 // slow release is to delay the response, and reports whether the response is to fail.
 // Only the new release has faults.
-func (r *Release) Spoil(of string) bool {
+func (r *Release) InjectFault(of string) bool {
 	r.mu.Lock()
-	faulty := of == New && r.rand.IntN(100) < badPercent
+	faulty := of == NewVersion && r.rand.IntN(100) < badPercent
 	r.mu.Unlock()
 	if faulty && r.kind == slow {
 		time.Sleep(slowDelay)
@@ -89,13 +89,13 @@
 	return faulty && r.kind == failing
 }
 
-// Settle returns a violation if a bad release received more requests than ExposedPart
+// CheckExposure returns a violation if a bad release received more requests than ExposedPart
 // and ExposedSlack allow.
-func (r *Release) Settle() []string {
+func (r *Release) CheckExposure() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := r.received[Old] + r.received[New]
-	if n := r.received[New]; r.kind != good && float64(n) > ExposedPart*float64(all)+ExposedSlack {
+	all := r.received[OldVersion] + r.received[NewVersion]
+	if n := r.received[NewVersion]; r.kind != good && float64(n) > ExposedPart*float64(all)+ExposedSlack {
 		return []string{fmt.Sprintf("a %s release received %d of the %d requests during its roll-out, want at most %.0f%% plus %d", r.kind, n, all, 100*ExposedPart, ExposedSlack)}
 	}
 	return nil
@@ -105,5 +105,5 @@
 func (r *Release) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return fmt.Sprintf("%s: %d of %d requests", r.kind, r.received[New], r.received[Old]+r.received[New])
+	return fmt.Sprintf("%s: %d of %d requests", r.kind, r.received[NewVersion], r.received[OldVersion]+r.received[NewVersion])
 }
--- a/standin/world/clients.go
+++ b/standin/world/clients.go
@@ -86,7 +86,7 @@
 		return z, errors.Wrap(store.ErrUnavailable, "store is down")
 	}
 	v, err := invoke(ctx, l.w, l.p, l.w.StoreProc, f)
-	if fault == kv.LostAnswers && err == nil && write {
+	if fault == kv.LostResponses && err == nil && write {
 		return z, errors.Wrap(store.ErrUnknown, "response of the store was lost")
 	}
 	var e *CallError
@@ -173,7 +173,7 @@
 // HandOver implements control.Peers.
 func (l *peerClient) HandOver(ctx context.Context, m peer.Member, r []bill.Record) error {
 	_, err := peerCall(ctx, l.w, l.p, m.ID, func(n *control.Node) (bool, error) {
-		n.Hold(r, nil)
+		n.HoldRecords(r, nil)
 		return true, nil
 	})
 	return err
@@ -186,14 +186,14 @@
 }
 
 // Instances implements control.Platform.
-func (l *platformClient) Instances(ctx context.Context) (platform.List, error) {
-	return invoke(ctx, l.w, l.p, l.w.ListProc, func(context.Context) (platform.List, error) { return l.w.visibleList(), nil })
+func (l *platformClient) Instances(ctx context.Context) (platform.InstanceList, error) {
+	return invoke(ctx, l.w, l.p, l.w.ListProc, func(context.Context) (platform.InstanceList, error) { return l.w.visibleList(), nil })
 }
 
 // Load implements control.Platform.
-func (l *platformClient) Load(ctx context.Context, r pool.Replica) (platform.Report, error) {
+func (l *platformClient) Load(ctx context.Context, r pool.Replica) (platform.EngineReport, error) {
 	b := l.w.Backend(r.ID)
-	return invoke(ctx, l.w, l.p, b.Proc, func(context.Context) (platform.Report, error) { return b.loadReport() })
+	return invoke(ctx, l.w, l.p, b.Proc, func(context.Context) (platform.EngineReport, error) { return b.loadReport() })
 }
 
 // Unload implements control.Platform.
@@ -210,10 +210,10 @@
 }
 
 // Sync implements process.ControlClient.
-func (l *controlClient) Sync(ctx context.Context, r control.Report) (control.Update, error) {
+func (l *controlClient) Sync(ctx context.Context, r control.EntryReport) (control.EntryUpdate, error) {
 	l.w.step(StepSync, l.i.Entry)
 	n, c := l.i.currentNode()
-	return invoke(ctx, l.w, l.i.Entry, c, func(context.Context) (control.Update, error) { return n.Sync(r), nil })
+	return invoke(ctx, l.w, l.i.Entry, c, func(context.Context) (control.EntryUpdate, error) { return n.Sync(r), nil })
 }
 
 // claimClient is an entry's client for claims, which its control makes.
@@ -253,18 +253,18 @@
 	p *Proc
 }
 
-// Hold implements biller.Holder.
-func (l *billClient) Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.Word, error) {
+// Hold implements biller.HolderClient.
+func (l *billClient) Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.HoldResult, error) {
 	l.w.step(StepBill, l.p)
-	return peerCall(ctx, l.w, l.p, m.ID, func(n *control.Node) (bill.Word, error) {
-		return n.Hold([]bill.Record{r}, nil)[0], nil
+	return peerCall(ctx, l.w, l.p, m.ID, func(n *control.Node) (bill.HoldResult, error) {
+		return n.HoldRecords([]bill.Record{r}, nil)[0], nil
 	})
 }
 
-// Release implements biller.Holder.
+// Release implements biller.HolderClient.
 func (l *billClient) Release(ctx context.Context, m peer.Member, r bill.Record) error {
 	_, err := peerCall(ctx, l.w, l.p, m.ID, func(n *control.Node) (bool, error) {
-		n.Hold(nil, []bill.Record{r})
+		n.HoldRecords(nil, []bill.Record{r})
 		return true, nil
 	})
 	return err
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -50,7 +50,7 @@
 // listVersion is one published version of the platform's list.
 type listVersion struct {
 	publishedAt time.Time
-	list        platform.List
+	list        platform.InstanceList
 }
 
 // Instance is one instance: its entry process and its control process.
@@ -153,7 +153,7 @@
 // incarnation unique.
 func (w *World) startControl(i *Instance, n int) {
 	p := i.Control
-	i.Node = control.New(control.Parts{
+	i.Node = control.New(control.Options{
 		Self: peer.Member{ID: i.ID, Addr: i.ID, DataCentre: i.DataCentre}, Incarnation: fmt.Sprintf("%s/c%d", i.ID, n),
 		Store: &storeClient{w, p}, Peers: &peerClient{w, p}, Platform: &platformClient{w, p}, Clock: time.Now, Times: w.Times,
 		Rates: rollout.DefaultRates(), Log: func(event string, f ...any) { w.log(i.ID, event, f...) },
@@ -248,7 +248,7 @@
 	for i.inflightRequests() > 0 {
 		time.Sleep(syncInterval)
 	}
-	i.Biller.Settle(ctx)
+	i.Biller.SettlePending(ctx)
 	time.Sleep(2 * syncInterval)
 	n, _ := i.currentNode()
 	n.Stop(ctx)
@@ -290,7 +290,7 @@
 // PublishList publishes a version of the platform's list with all instances and
 // backend servers that run; readers see it after ListDelay.
 func (w *World) PublishList() {
-	var l platform.List
+	var l platform.InstanceList
 	for _, i := range w.Instances() {
 		if i.Control.Alive() {
 			l.Members = append(l.Members, peer.Member{ID: i.ID, Addr: i.ID, DataCentre: i.DataCentre})
@@ -308,10 +308,10 @@
 
 // visibleList returns the newest version that is at least ListDelay old. The first
 // version is visible at once.
-func (w *World) visibleList() platform.List {
+func (w *World) visibleList() platform.InstanceList {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var l platform.List
+	var l platform.InstanceList
 	for n, x := range w.listVersions {
 		if n == 0 || time.Since(x.publishedAt) >= w.ListDelay {
 			l = x.list
@@ -323,8 +323,8 @@
 // Billed returns the sums of all ledgers in the store, or nil if they cannot be
 // read.
 func (w *World) Billed(ctx context.Context) map[bill.Line]bill.Amount {
-	n := control.New(control.Parts{Self: peer.Member{ID: "reader"}, Store: kv.NewFake(w.Store), Clock: time.Now, Times: w.Times})
-	m, err := n.Bills(ctx, "")
+	n := control.New(control.Options{Self: peer.Member{ID: "reader"}, Store: kv.NewFake(w.Store), Clock: time.Now, Times: w.Times})
+	m, err := n.BillTotals(ctx, "")
 	if err != nil {
 		return nil
 	}
--- a/state/state.go
+++ b/state/state.go
@@ -56,9 +56,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock()
-	if c.Table != nil && c.Table.Newer(s.table) {
+	if c.Table != nil && c.Table.IsNewer(s.table) {
 		s.table = c.Table
-		s.log("config_in_force", "version", c.Table.Version, "routes", c.Table.Routes())
+		s.log("config_in_force", "version", c.Table.Version, "routes", c.Table.RouteCount())
 	}
 	s.applyReplicas(c, now)
 	s.applyEvacuations(c, now)
@@ -86,7 +86,7 @@
 		s.log("replica_entry_gone", "replica", id)
 	}
 	if c.AllReplicas != nil {
-		s.replicas.Retain(c.AllReplicas, now)
+		s.replicas.RemoveAllExcept(c.AllReplicas, now)
 	}
 	s.dropMissing(now)
 }
@@ -160,7 +160,7 @@
 // dropMissing drops the replicas whose entries were not restored after the store was back,
 // and reports whether there were any.
 func (s *State) dropMissing(now time.Time) bool {
-	missing := s.replicas.Settle(now)
+	missing := s.replicas.RemoveMissing(now)
 	for _, id := range missing {
 		s.log("replica_gone", "replica", id, "reason", "its entry did not return with the store")
 	}
@@ -221,7 +221,7 @@
 		close(s.firstConfig.disconnected)
 	}
 	s.disconnected = true
-	s.replicas.Away()
+	s.replicas.StoreLost()
 	a, _ := s.lease.Age(s.clock())
 	s.log("store_lost", "error", err, "confirmed_ago", a)
 }
@@ -235,7 +235,7 @@
 	}
 	s.disconnected = false
 	now := s.clock()
-	s.replicas.Back(now)
+	s.replicas.StoreRestored(now)
 	a, _ := s.lease.Age(now)
 	s.log("store_back", "confirmed_ago", a)
 }
--- a/timing/firstevent.go
+++ b/timing/firstevent.go
@@ -22,7 +22,7 @@
 // FirstEventDelays learns, by service, the ratio of the time to the first event of an answer
 // to the estimate of the prefill work until then. Events are later than the estimate because
 // replicas generate tokens of other streams in between.
-type FirstEventDelays struct{ m *means.Means }
+type FirstEventDelays struct{ m *means.RunningMeans }
 
 // NewFirstEventDelays returns delays without observations.
 func NewFirstEventDelays() *FirstEventDelays { return &FirstEventDelays{m: means.New(delayWeight)} }
@@ -30,7 +30,7 @@
 // Expect returns the expected time to the first event, for an estimate of the prefill work in
 // milliseconds.
 func (d *FirstEventDelays) Expect(service string, estimateMs float64) time.Duration {
-	r := d.m.Of(service, firstDelayRatio)
+	r := d.m.Get(service, firstDelayRatio)
 	return time.Duration(r * estimateMs * float64(time.Millisecond))
 }
 
@@ -40,5 +40,5 @@
 		return
 	}
 	x := min(maxDelayRatio, max(minDelayRatio, took.Seconds()*1000/estimateMs))
-	d.m.Learn(service, firstDelayRatio, func(float64) float64 { return x })
+	d.m.Update(service, firstDelayRatio, func(float64) float64 { return x })
 }
--- a/timing/prefill.go
+++ b/timing/prefill.go
@@ -20,7 +20,7 @@
 )
 
 // PrefillTimes learns the prefill time of a token on each model, in milliseconds.
-type PrefillTimes struct{ m *means.Means }
+type PrefillTimes struct{ m *means.RunningMeans }
 
 // NewPrefillTimes returns prefill times without observations.
 func NewPrefillTimes() *PrefillTimes { return &PrefillTimes{m: means.New(prefillWeight)} }
@@ -32,7 +32,7 @@
 	for range size {
 		first *= firstSizeFactor
 	}
-	return p.m.Of(key, first)
+	return p.m.Get(key, first)
 }
 
 // Observe learns from a prompt that was prefilled with no other work before it. MsPerToken must
@@ -42,5 +42,5 @@
 		return
 	}
 	x := took.Seconds() * 1000 / tokens
-	p.m.Learn(key, 0, func(mean float64) float64 { return min(x, 4*mean) })
+	p.m.Update(key, 0, func(mean float64) float64 { return min(x, 4*mean) })
 }
--- a/timing/slots.go
+++ b/timing/slots.go
@@ -18,16 +18,16 @@
 
 // SlotTimes learns how long requests hold their slots after prefill, by kind of request.
 // Answers that are dropped at once count as well.
-type SlotTimes struct{ m *means.Means }
+type SlotTimes struct{ m *means.RunningMeans }
 
 // NewSlotTimes returns slot times without observations.
 func NewSlotTimes() *SlotTimes { return &SlotTimes{m: means.New(slotWeight)} }
 
 // ExpectedMs returns the expected time in the slot for a request of the kind, in
 // milliseconds.
-func (s *SlotTimes) ExpectedMs(kind string) float64 { return s.m.Of(kind, firstSlotMs) }
+func (s *SlotTimes) ExpectedMs(kind string) float64 { return s.m.Get(kind, firstSlotMs) }
 
 // Observe learns from a request that has ended.
 func (s *SlotTimes) Observe(kind string, took time.Duration) {
-	s.m.Learn(kind, firstSlotMs, func(float64) float64 { return took.Seconds() * 1000 })
+	s.m.Update(kind, firstSlotMs, func(float64) float64 { return took.Seconds() * 1000 })
 }
