--- a/adapter/caller/server.go
+++ b/adapter/caller/server.go
@@ -174,7 +174,7 @@
 }
 
 // requestID returns the caller's request id if it is valid, else a new one. An id with
-// biller.MintedPrefix is not valid, since the prefix marks generated ids.
+// biller.GeneratedIDPrefix is not valid, since the prefix marks generated ids.
 func requestID(c *fasthttp.RequestCtx) string {
 	id := string(c.Request.Header.Peek(HeaderRequestID))
 	if id == "" || len(id) > maxIDLength || !printable(id) || strings.HasPrefix(id, biller.GeneratedIDPrefix) {
--- a/adapter/rpc/peer.go
+++ b/adapter/rpc/peer.go
@@ -101,7 +101,7 @@
 	return w.Document, nil
 }
 
-// Hold implements biller.Holder.
+// Hold implements biller.HolderClient.
 func (p *Peers) Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.HoldResult, error) {
 	w, err := p.client(m).Hold(ctx, &fieldvalev1.HoldRequest{Records: []*fieldvalev1.BillRecord{recordToWire(r)}})
 	if err != nil {
@@ -123,7 +123,7 @@
 	return errors.Wrapf(err, "rpc: hand over bill records to instance %s", m.ID)
 }
 
-// Release implements biller.Holder.
+// Release implements biller.HolderClient.
 func (p *Peers) Release(ctx context.Context, m peer.Member, r bill.Record) error {
 	_, err := p.client(m).Hold(ctx, &fieldvalev1.HoldRequest{Release: []*fieldvalev1.BillRecord{recordToWire(r)}})
 	return errors.Wrapf(err, "rpc: release a bill record at instance %s", m.ID)
