--- a/means/means_test.go
+++ b/means/means_test.go
@@ -8,7 +8,7 @@
 
 // A mean starts at its initial value and moves towards each new value by its weight. One of
 // NewQuick moves further for the first values.
-func ExampleMeans() {
+func ExampleRunningMeans() {
 	slow, quick := means.New(0.1), means.NewFastStart(0.1, 1)
 	for range 3 {
 		slow.Update("k", 10, func(float64) float64 { return 20 })
