--- a/standin/world/clients.go
+++ b/standin/world/clients.go
@@ -209,7 +209,7 @@
 	i *Instance
 }
 
-// Sync implements process.Controller.
+// Sync implements process.ControlClient.
 func (l *controlClient) Sync(ctx context.Context, r control.EntryReport) (control.EntryUpdate, error) {
 	l.w.step(StepSync, l.i.Entry)
 	n, c := l.i.currentNode()
@@ -253,7 +253,7 @@
 	p *Proc
 }
 
-// Hold implements entry.Holder.
+// Hold implements biller.HolderClient.
 func (l *billClient) Hold(ctx context.Context, m peer.Member, r bill.Record) (bill.HoldResult, error) {
 	l.w.step(StepBill, l.p)
 	return peerCall(ctx, l.w, l.p, m.ID, func(n *control.Node) (bill.HoldResult, error) {
