--- a/standin/world/clients.go
+++ b/standin/world/clients.go
@@ -261,7 +261,7 @@
 	})
 }
 
-// Release implements entry.Holder.
+// Release implements biller.HolderClient.
 func (l *billClient) Release(ctx context.Context, m peer.Member, r bill.Record) error {
 	_, err := peerCall(ctx, l.w, l.p, m.ID, func(n *control.Node) (bool, error) {
 		n.HoldRecords(nil, []bill.Record{r})
