--- a/cmd/fieldvale-node/node.go
+++ b/cmd/fieldvale-node/node.go
@@ -36,7 +36,7 @@
 )
 
 const (
-	// confirmationFraction is the fraction of the HonourFor setting for which a
+	// confirmationFraction is the fraction of the honour_for setting for which a
 	// confirmation of the configuration allows API keys to be honoured. The rest covers
 	// the time that a request takes to its replica, and clocks that run at different
 	// rates.
--- a/cmd/fieldvale-node/stop.go
+++ b/cmd/fieldvale-node/stop.go
@@ -14,7 +14,7 @@
 	// being ready: the platform checks the readiness each second, and sends connections
 	// elsewhere after the second failed check.
 	drainDelay = 2500 * time.Millisecond
-	// exitMargin is the part of the StopWithin setting that is reserved for the end of the
+	// exitMargin is the part of the stop_within setting that is reserved for the end of the
 	// process after all requests are finished or cut off.
 	exitMargin = 700 * time.Millisecond
 )
--- a/means/means_test.go
+++ b/means/means_test.go
@@ -7,7 +7,7 @@
 )
 
 // A mean starts at its initial value and moves towards each new value by its weight. One of
-// NewQuick moves further for the first values.
+// NewFastStart moves further for the first values.
 func ExampleRunningMeans() {
 	slow, quick := means.New(0.1), means.NewFastStart(0.1, 1)
 	for range 3 {
